--- a/entry/metrics_test.go
+++ b/entry/metrics_test.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
 
 	"github.com/beaconpoint/beaconpoint/settings"
 	"github.com/beaconpoint/beaconpoint/wire"
@@ -51,6 +52,7 @@
 		inPage = append(inPage, m[1])
 	}
 	slices.Sort(inCode)
+	golden.Assert(t, strings.Join(inCode, "\n")+"\n", "metrics.golden")
 	slices.Sort(inPage)
 	assert.DeepEqual(t, inCode, inPage)
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
 
 	"github.com/beaconpoint/beaconpoint/settings"
 )
@@ -64,6 +65,7 @@
 		inPage = append(inPage, m[1])
 	}
 	slices.Sort(inCode)
+	golden.Assert(t, strings.Join(inCode, "\n")+"\n", "metrics.golden")
 	slices.Sort(inPage)
 	assert.DeepEqual(t, inCode, inPage)
 }
--- /dev/null
+++ b/peer/golden_test.go
@@ -0,0 +1,78 @@
+package peer
+
+import (
+	"encoding/hex"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"github.com/beaconpoint/beaconpoint/code"
+	"github.com/beaconpoint/beaconpoint/task"
+)
+
+// goldenFrames has each kind of frame that a process sends, in both directions.
+func goldenFrames() []struct {
+	name  string
+	frame *Frame
+} {
+	id := task.ID{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}
+	stamps := Frame{Stamp: 1500 * time.Millisecond, Echo: 1400 * time.Millisecond, Seq: 70000, Config: 12}
+	with := func(change func(*Frame)) *Frame {
+		f := stamps
+		change(&f)
+		return &f
+	}
+	return []struct {
+		name  string
+		frame *Frame
+	}{
+		{"heartbeat", &stamps},
+		{"entry: hello", with(func(f *Frame) { f.Hello = &Hello{Role: RoleEntry, Name: "edge-mtm-1", Addr: "10.1.0.13:7720"} })},
+		{"agent: introduces itself", with(func(f *Frame) {
+			f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Addr: "10.1.0.30:7720", Introduce: true}
+		})},
+		{"either: asks for the configuration", with(func(f *Frame) { f.Ask = true })},
+		{"either: hands over the configuration", with(func(f *Frame) { f.Document = []byte(`{"version":12}`) })},
+		{"entry: starts", with(func(f *Frame) {
+			f.Starts = []task.Order{
+				{Task: id, Run: 2, Spec: "60ms", Needs: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}, Estimate: 61 * time.Millisecond,
+					Guess: 60 * time.Millisecond, Doubtful: true, Limit: 1480 * time.Millisecond},
+				{Task: task.ID{Job: "5c0e7a21d94b36f8"}, Run: 1},
+			}
+		})},
+		{"entry: stops", with(func(f *Frame) { f.Stops = []task.Ref{{Task: id, Run: 2}} })},
+		{"entry: answers an offer and wants more", with(func(f *Frame) {
+			f.Offer = 9
+			f.Want = &Want{Slack: -30 * time.Millisecond, Needs: task.Needs{CPU: 1600}, Total: task.Needs{CPU: 12800, MemoryMB: 512, GPU: 2}}
+		})},
+		{"agent: state", with(func(f *Frame) {
+			f.State = &State{Free: task.Needs{CPU: 3200, MemoryMB: 1024}, Speed: 0.75, Taking: true, Cleared: true, Seen: 69999}
+		})},
+		{"agent: state of an ejected target, with its profile", with(func(f *Frame) {
+			f.State = &State{Speed: 1, Health: Sick, Profile: &Profile{Worker: "i-7", Service: "trackd", Zone: "mtm",
+				Labels: []string{"rack-1", "gpu"}, Capacity: task.Needs{CPU: 16000, MemoryMB: 65536, GPU: 8}}}
+		})},
+		{"agent: ends of runs", with(func(f *Frame) {
+			for _, e := range []task.End{task.EndNone, task.EndDone, task.EndFailed, task.EndStopped, task.EndLapsed, task.EndLost, task.EndRejected} {
+				f.Ended = append(f.Ended, Ended{Ref: task.Ref{Task: id, Run: 2}, End: e, Reason: code.RunListed, Took: 59 * time.Millisecond, Blameless: true})
+			}
+		})},
+		{"agent: an offer", with(func(f *Frame) { f.Room = &Offer{ID: 9, Room: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}} })},
+	}
+}
+
+// TestFramesOnTheWire holds the bytes of every kind of frame: processes of two
+// versions talk to each other during an upgrade.
+func TestFramesOnTheWire(t *testing.T) {
+	var out strings.Builder
+	for _, g := range goldenFrames() {
+		buf, err := AppendFrame(nil, g.frame)
+		assert.NilError(t, err)
+		fmt.Fprintf(&out, "%s\n%s\n", g.name, hex.EncodeToString(buf))
+	}
+	golden.Assert(t, out.String(), "frames.golden")
+}
--- /dev/null
+++ b/settings/golden_test.go
@@ -0,0 +1,33 @@
+package settings
+
+import (
+	"os"
+	"strings"
+	"testing"
+
+	"go.yaml.in/yaml/v3"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+// TestKeysOfTheSettings holds the keys of each settings file with their defaults.
+func TestKeysOfTheSettings(t *testing.T) {
+	node, err := yaml.Marshal(DefaultNode())
+	assert.NilError(t, err)
+	golden.Assert(t, string(node), "node-keys.golden")
+	process, err := yaml.Marshal(Default())
+	assert.NilError(t, err)
+	golden.Assert(t, string(process), "process-keys.golden")
+}
+
+// TestDeployFiles holds the deploy file and its templates, which the platform
+// fills in.
+func TestDeployFiles(t *testing.T) {
+	var all strings.Builder
+	for _, name := range []string{"system.toml", "entry.yaml", "agent.yaml"} {
+		raw, err := os.ReadFile("../deploy/" + name)
+		assert.NilError(t, err)
+		all.WriteString("# " + name + "\n" + string(raw))
+	}
+	golden.Assert(t, all.String(), "deploy.golden")
+}
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -234,6 +234,21 @@
 	return resp.StatusCode, strings.TrimSpace(string(raw))
 }
 
+// Do sends a request with more headers to entry k and returns the answer, whose
+// body the caller closes.
+func (s *System) Do(k int, method, path, body string, headers map[string]string) *http.Response {
+	s.tb.Helper()
+	req, err := http.NewRequest(method, "http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
+	assert.NilError(s.tb, err)
+	req.Host = Host
+	for name, value := range headers {
+		req.Header.Set(name, value)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	assert.NilError(s.tb, err)
+	return resp
+}
+
 // Closes reports whether entry k closes its callers' connection after an answer.
 func (s *System) Closes(k int, path string) bool {
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[k].settings.Callers+path, nil)
