--- a/cmd/beaconpoint/golden_test.go
+++ b/cmd/beaconpoint/golden_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
 // commands are the subcommands, in the order in which --help lists them.
-var commands = []string{"node", "entry", "agent", "check", "demo", "submit", "load", "experiment", "plan", "confirm", "drain", "show",
+var commands = []string{"node", "entry", "agent", "check", "demo", "submit", "load", "plan", "confirm", "drain", "show",
 	"history", "status", "explain", "codes", "events", "version"}
 
 // run runs the binary and returns its exit code and what it wrote.
--- a/cmd/beaconpoint/main.go
+++ b/cmd/beaconpoint/main.go
@@ -39,7 +39,7 @@
 func main() {
 	commands := []*command{
 		nodeCommand(), entryCommand(), agentCommand(), checkCommand(), demoCommand(),
-		submitCommand(), loadCommand(), experimentCommand(),
+		submitCommand(), loadCommand(),
 		planCommand(), confirmCommand(), drainCommand(), showCommand(), historyCommand(), statusCommand(),
 		explainCommand(), codesCommand(), eventsCommand(), versionCommand(),
 	}
--- a/cmd/beaconpoint/operate.go
+++ b/cmd/beaconpoint/seats_operate.go
@@ -13,8 +13,8 @@
 	"go.yaml.in/yaml/v3"
 
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/operator"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/operator"
 )
 
 // defaultOperators is where the examples' entries serve operators.
--- a/cmd/beaconpoint/roles.go
+++ b/cmd/beaconpoint/seats_roles.go
@@ -9,11 +9,12 @@
 
 	"github.com/integrii/flaggy"
 
-	"github.com/beaconpoint/beaconpoint/agent"
-	"github.com/beaconpoint/beaconpoint/demo"
-	"github.com/beaconpoint/beaconpoint/entry"
-	"github.com/beaconpoint/beaconpoint/settings"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/agent"
+	"github.com/beaconpoint/beaconpoint/seats/demo"
+	"github.com/beaconpoint/beaconpoint/seats/entry"
+	"github.com/beaconpoint/beaconpoint/seats/settings"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
+	nodesettings "github.com/beaconpoint/beaconpoint/settings"
 )
 
 func settingsFlag(s *flaggy.Subcommand, path *string) {
@@ -66,7 +67,7 @@
 		return settings.Settings{}, fault(exitUsage, errors.New("name the settings with --settings FILE"))
 	}
 	cfg, err := settings.Load(path)
-	var faults settings.Faults
+	var faults nodesettings.Faults
 	if errors.As(err, &faults) {
 		for _, f := range faults {
 			fmt.Fprintf(os.Stderr, "%s: %s\n", path, f)
--- a/cmd/beaconpoint/submit.go
+++ b/cmd/beaconpoint/seats_submit.go
@@ -11,9 +11,9 @@
 
 	"github.com/integrii/flaggy"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/load"
-	"github.com/beaconpoint/beaconpoint/operator"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/load"
+	"github.com/beaconpoint/beaconpoint/seats/operator"
 )
 
 // defaultEntry is where the examples' first entry serves callers.
@@ -44,7 +44,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		a, err := beaconpoint.NewClient(entry).Submit(ctx, service, j)
+		a, err := seats.NewClient(entry).Submit(ctx, service, j)
 		if err != nil {
 			return fault(exitUnreachable, err)
 		}
@@ -53,8 +53,8 @@
 	return c
 }
 
-func jobFrom(file, id, member, payload string, tasks int) (beaconpoint.Job, error) {
-	var j beaconpoint.Job
+func jobFrom(file, id, member, payload string, tasks int) (seats.Job, error) {
+	var j seats.Job
 	if file != "" {
 		raw, err := os.ReadFile(file)
 		if err != nil {
@@ -71,23 +71,23 @@
 	if id == "" {
 		id = fmt.Sprintf("job-%d", time.Now().UnixNano())
 	}
-	j = beaconpoint.Job{ID: id, Member: member}
+	j = seats.Job{ID: id, Member: member}
 	for k := range tasks {
-		j.Tasks = append(j.Tasks, beaconpoint.Task{ID: fmt.Sprintf("task-%d", k), Payload: json.RawMessage(payload)})
+		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprintf("task-%d", k), Payload: json.RawMessage(payload)})
 	}
 	return j, nil
 }
 
-func printAnswer(a beaconpoint.Answer) int {
+func printAnswer(a seats.Answer) int {
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(a); err != nil {
 		return fault(exitFailed, err)
 	}
 	switch a.State {
-	case beaconpoint.Complete:
+	case seats.Complete:
 		return exitOK
-	case beaconpoint.Refused:
+	case seats.Refused:
 		return exitRefused
 	}
 	return exitFailed
--- a/agent/agent.go
+++ b/seats/agent/agent.go
@@ -13,12 +13,12 @@
 
 	"github.com/oklog/run"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/guard"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/settings"
-	"github.com/beaconpoint/beaconpoint/target"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/guard"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/settings"
+	"github.com/beaconpoint/beaconpoint/seats/target"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Intervals of an agent.
--- a/agent/agent_test.go
+++ b/seats/agent/agent_test.go
@@ -7,9 +7,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/settings"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/settings"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // TestAConnectionThatComesAfterTheCloseIsTurnedAway: nobody would ever close it,
--- a/client.go
+++ b/seats/client.go
@@ -1,4 +1,4 @@
-package beaconpoint
+package seats
 
 import (
 	"bytes"
--- a/demo/demo.go
+++ b/seats/demo/demo.go
@@ -16,15 +16,15 @@
 
 	"github.com/oklog/run"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/agent"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/entry"
-	"github.com/beaconpoint/beaconpoint/operator"
-	"github.com/beaconpoint/beaconpoint/settings"
-	standplatform "github.com/beaconpoint/beaconpoint/standin/platform"
-	standtarget "github.com/beaconpoint/beaconpoint/standin/target"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/agent"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/entry"
+	"github.com/beaconpoint/beaconpoint/seats/operator"
+	"github.com/beaconpoint/beaconpoint/seats/settings"
+	standplatform "github.com/beaconpoint/beaconpoint/seats/standin/store"
+	standtarget "github.com/beaconpoint/beaconpoint/seats/standin/target"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Sizes of the demo.
@@ -245,7 +245,7 @@
 
 func (s *system) runJob(ctx context.Context) error {
 	j, longest := mixedJob()
-	c := beaconpoint.NewClient(s.entries[1].CallersURL())
+	c := seats.NewClient(s.entries[1].CallersURL())
 	before := s.messages()
 	began := time.Now()
 	a, err := c.Submit(ctx, service, j)
@@ -253,7 +253,7 @@
 		return fmt.Errorf("submit: %w", err)
 	}
 	took := time.Since(began)
-	if a.State != beaconpoint.Complete {
+	if a.State != seats.Complete {
 		return fmt.Errorf("the job was %s: %d %s: %s", a.State, a.Code, a.Name, a.Message)
 	}
 	s.say("job %s: %s with %d results, the first %s", a.ID, a.State, len(a.Results), a.Results[0].Output)
@@ -266,8 +266,8 @@
 }
 
 // mixedJob returns a job of short and longer tasks, and its longest task.
-func mixedJob() (beaconpoint.Job, time.Duration) {
-	j := beaconpoint.Job{ID: "demo-job", Member: member}
+func mixedJob() (seats.Job, time.Duration) {
+	j := seats.Job{ID: "demo-job", Member: member}
 	longest := 0
 	for k := range tasks {
 		ms := 50 + (k*37)%200
@@ -275,7 +275,7 @@
 			ms = 900
 		}
 		longest = max(longest, ms)
-		j.Tasks = append(j.Tasks, beaconpoint.Task{
+		j.Tasks = append(j.Tasks, seats.Task{
 			ID:         fmt.Sprintf("task-%02d", k),
 			Payload:    fmt.Appendf(nil, `{"ms":%d,"echo":"fix-%d"}`, ms, k),
 			ExpectedMS: int64(ms),
--- a/entry/callers.go
+++ b/seats/entry/callers.go
@@ -12,9 +12,9 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/beaconpoint/beaconpoint"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/job"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/job"
 )
 
 // Headers of a single request.
@@ -79,7 +79,7 @@
 	if !job.ValidID(id) {
 		return badRequest(c, id, code.Error(code.BadID, "the job's id is not an id"))
 	}
-	sub := job.Submission{Service: c.Param("service"), Job: beaconpoint.Job{ID: id}}
+	sub := job.Submission{Service: c.Param("service"), Job: seats.Job{ID: id}}
 	a, err := e.ask(c.Request().Context(), sub, true)
 	if err != nil {
 		return err
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	if a.State != beaconpoint.Complete {
+	if a.State != seats.Complete {
 		return writeAnswer(c, a)
 	}
 	var out []byte
@@ -146,15 +146,15 @@
 // readBody reads at most the largest body.
 func readBody(c echo.Context) ([]byte, error) {
 	var buf bytes.Buffer
-	if n := c.Request().ContentLength; n > 0 && n <= beaconpoint.MaxBody {
+	if n := c.Request().ContentLength; n > 0 && n <= seats.MaxBody {
 		buf.Grow(int(n) + bytes.MinRead)
 	}
-	_, err := buf.ReadFrom(io.LimitReader(c.Request().Body, beaconpoint.MaxBody+1))
+	_, err := buf.ReadFrom(io.LimitReader(c.Request().Body, seats.MaxBody+1))
 	if err != nil {
 		return nil, code.Errorf(code.BadJSON, "the body broke off: %v", err)
 	}
-	if buf.Len() > beaconpoint.MaxBody {
-		return nil, code.Errorf(code.TooLarge, "the body is larger than %d bytes", beaconpoint.MaxBody)
+	if buf.Len() > seats.MaxBody {
+		return nil, code.Errorf(code.TooLarge, "the body is larger than %d bytes", seats.MaxBody)
 	}
 	return buf.Bytes(), nil
 }
@@ -162,14 +162,14 @@
 // badRequest refuses what is not a well-formed job: nothing can have run.
 func badRequest(c echo.Context, id string, err error) error {
 	k := code.Of(err, code.BadJSON)
-	return writeAnswer(c, beaconpoint.Answer{
-		ID: id, State: beaconpoint.Refused,
-		Code: uint16(k), Name: k.Name(), Message: err.Error(), Ran: beaconpoint.RanNo,
+	return writeAnswer(c, seats.Answer{
+		ID: id, State: seats.Refused,
+		Code: uint16(k), Name: k.Name(), Message: err.Error(), Ran: seats.RanNo,
 	})
 }
 
 // writeAnswer writes an answer with its status and the time to come back.
-func writeAnswer(c echo.Context, a beaconpoint.Answer) error {
+func writeAnswer(c echo.Context, a seats.Answer) error {
 	h := c.Response().Header()
 	if a.RetryAfterMS > 0 {
 		h.Set(echo.HeaderRetryAfter, strconv.FormatInt((a.RetryAfterMS+999)/1000, 10))
--- a/entry/entry.go
+++ b/seats/entry/entry.go
@@ -13,16 +13,16 @@
 
 	"github.com/oklog/run"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/agent"
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/platform"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/settings"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/agent"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/settings"
+	"github.com/beaconpoint/beaconpoint/seats/store"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Intervals of an entry.
@@ -41,7 +41,7 @@
 	cfg      settings.Settings
 	log      *slog.Logger
 	clock    clock.Clock
-	store    *platform.Client
+	store    *store.Client
 	tokens   *tokens
 	peers    net.Listener
 	callers  net.Listener
@@ -70,7 +70,7 @@
 type ticket struct {
 	sub    job.Submission
 	lookup bool
-	answer chan beaconpoint.Answer
+	answer chan seats.Answer
 }
 
 // NewEntry returns an entry that listens at its settings' addresses.
@@ -83,7 +83,7 @@
 		cfg:     cfg,
 		log:     log.With("role", wire.RoleEntry),
 		clock:   clock.New(),
-		store:   platform.NewClient(cfg.Entry.Platform),
+		store:   store.NewClient(cfg.Entry.Platform),
 		tokens:  keys,
 		work:    make(chan func(context.Context), 64),
 		began:   time.Now(),
@@ -276,8 +276,8 @@
 }
 
 // ask submits and waits for the answer, or until the caller has gone.
-func (e *Entry) ask(ctx context.Context, sub job.Submission, lookup bool) (beaconpoint.Answer, error) {
-	t := &ticket{sub: sub, lookup: lookup, answer: make(chan beaconpoint.Answer, 1)}
+func (e *Entry) ask(ctx context.Context, sub job.Submission, lookup bool) (seats.Answer, error) {
+	t := &ticket{sub: sub, lookup: lookup, answer: make(chan seats.Answer, 1)}
 	var id uint64
 	e.do(func(now clock.Moment) home.Effects {
 		e.tickets++
@@ -292,7 +292,7 @@
 		e.mu.Lock()
 		delete(e.waiting, id)
 		e.mu.Unlock()
-		return beaconpoint.Answer{}, ctx.Err()
+		return seats.Answer{}, ctx.Err()
 	}
 }
 
--- a/entry/links.go
+++ b/seats/entry/links.go
@@ -6,10 +6,10 @@
 	"net"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Bounds of dialling.
--- a/entry/metrics_test.go
+++ b/seats/entry/metrics_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"github.com/beaconpoint/beaconpoint/settings"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/settings"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 const testToken = "a-token-for-the-tests-of-entry"
--- a/entry/operators.go
+++ b/seats/entry/operators.go
@@ -13,12 +13,12 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/labstack/echo/v4"
 
-	"github.com/beaconpoint/beaconpoint/agent"
-	"github.com/beaconpoint/beaconpoint/clock"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/platform"
+	"github.com/beaconpoint/beaconpoint/seats/agent"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/store"
 )
 
 // Confirmed answers a confirmed plan.
@@ -197,7 +197,7 @@
 		return config.Document{}, code.Errorf(code.ChangeUnknown, "the store's answer was lost (%v) and it can't be read back (%v)", cause, err)
 	case now.HasChange(p.Change):
 		return now, nil
-	case errors.Is(cause, platform.ErrConflict):
+	case errors.Is(cause, store.ErrConflict):
 		_, err := p.Apply(now, "", time.Now())
 		if err == nil {
 			err = code.Error(code.PlanStale, "another change came first")
--- a/entry/operators_test.go
+++ b/seats/entry/operators_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/config"
+	"github.com/beaconpoint/beaconpoint/seats/config"
 )
 
 func TestWhoMayDoWhat(t *testing.T) {
--- a/entry/store.go
+++ b/seats/entry/store.go
@@ -7,11 +7,11 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/platform"
-	"github.com/beaconpoint/beaconpoint/roster"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/store"
 )
 
 // Keys and intervals of the store.
@@ -77,7 +77,7 @@
 	switch {
 	case err == nil:
 		return home.Swapped
-	case errors.Is(err, platform.ErrConflict):
+	case errors.Is(err, store.ErrConflict):
 		return home.Conflicted
 	}
 	return home.Unknown
@@ -99,7 +99,7 @@
 	return r, v.Revision, err
 }
 
-func decodeRoster(v platform.Value) (roster.Roster, error) {
+func decodeRoster(v store.Value) (roster.Roster, error) {
 	var r roster.Roster
 	if v.Revision == 0 {
 		return r, nil
@@ -111,7 +111,7 @@
 // watchRoster keeps a watch on the roster, so that a change is heard of even
 // when whoever made it has died.
 func (e *Entry) watchRoster(ctx context.Context) error {
-	return e.watch(ctx, e.rosterKey(), func(v platform.Value) error {
+	return e.watch(ctx, e.rosterKey(), func(v store.Value) error {
 		r, err := decodeRoster(v)
 		if err != nil {
 			return err
@@ -123,7 +123,7 @@
 
 // watchConfig keeps a watch on the operators' configuration.
 func (e *Entry) watchConfig(ctx context.Context) error {
-	return e.watch(ctx, configKey, func(v platform.Value) error {
+	return e.watch(ctx, configKey, func(v store.Value) error {
 		var d config.Document
 		if v.Revision > 0 {
 			var err error
@@ -136,7 +136,7 @@
 	})
 }
 
-func (e *Entry) watch(ctx context.Context, key string, take func(platform.Value) error) error {
+func (e *Entry) watch(ctx context.Context, key string, take func(store.Value) error) error {
 	var seen uint64
 	for ctx.Err() == nil {
 		v, err := e.store.Watch(ctx, key, seen, watchWait)
@@ -163,7 +163,7 @@
 		}
 		leaving := make(map[string]bool)
 		for _, h := range hosts {
-			leaving[h.Name] = h.State == platform.HostLeaving
+			leaving[h.Name] = h.State == store.HostLeaving
 		}
 		e.do(func(now clock.Moment) home.Effects { return e.home.HostsLeaving(now, leaving) })
 	}
--- a/guard/guard.go
+++ b/seats/guard/guard.go
@@ -6,11 +6,11 @@
 import (
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/clock"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/lease"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/lease"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Config is what a guard needs to know of its place.
--- a/guard/guard_test.go
+++ b/seats/guard/guard_test.go
@@ -6,10 +6,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/clock"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 const testLease = 3 * time.Second
--- a/guard/start.go
+++ b/seats/guard/start.go
@@ -4,10 +4,10 @@
 	"maps"
 	"slices"
 
-	"github.com/beaconpoint/beaconpoint/clock"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 func (g *Guard) handle(now clock.Moment, from roster.ID, f wire.Frame) {
--- a/guard/window.go
+++ b/seats/guard/window.go
@@ -1,6 +1,6 @@
 package guard
 
-import "github.com/beaconpoint/beaconpoint/roster"
+import "github.com/beaconpoint/beaconpoint/seats/roster"
 
 // capacity is how many accepted tasks the agent holds at once.
 func (g *Guard) capacity() int {
--- a/home/change.go
+++ b/seats/home/change.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Waits around changes of the roster.
--- a/home/configure.go
+++ b/seats/home/configure.go
@@ -1,9 +1,9 @@
 package home
 
 import (
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Configure puts a configuration from the store in force, if its revision is
--- a/home/configure_test.go
+++ b/seats/home/configure_test.go
@@ -6,11 +6,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 func TestStaleConfigurationIsNotServed(t *testing.T) {
--- a/home/doubt.go
+++ b/seats/home/doubt.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // doubt is a share of jobs of which it can't be known whether they ran.
--- a/home/drain_test.go
+++ b/seats/home/drain_test.go
@@ -7,12 +7,12 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // finish lets the agent end every start of the effects after d.
@@ -34,9 +34,9 @@
 	submit := func(id string, tasks int, life time.Duration) home.Effects {
 		x.n++
 		at := x.now.Wall.Add(life)
-		j := beaconpoint.Job{ID: id, Member: "m", ExpiresAt: &at}
+		j := seats.Job{ID: id, Member: "m", ExpiresAt: &at}
 		for k := range tasks {
-			j.Tasks = append(j.Tasks, beaconpoint.Task{ID: fmt.Sprint(k)})
+			j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(k)})
 		}
 		sub, err := job.New("trackd", j)
 		assert.NilError(t, err)
@@ -54,5 +54,5 @@
 	out = submit("too-large", 800, 2*time.Second)
 	assert.Equal(t, len(out.Answers), 1)
 	assert.Equal(t, out.Answers[0].Answer.Name, "cannot-meet-expiry")
-	assert.Equal(t, out.Answers[0].Answer.Ran, beaconpoint.RanNo)
+	assert.Equal(t, out.Answers[0].Answer.Ran, seats.RanNo)
 }
--- a/home/found_test.go
+++ b/seats/home/found_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/testutil/world"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/world"
 )
 
 // TestFoundHistories tells the histories that once broke a promise, each by the
--- a/home/handover.go
+++ b/seats/home/handover.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // movedTo returns those of the jobs, given with their expiries, that the seat is
--- a/home/home.go
+++ b/seats/home/home.go
@@ -7,14 +7,14 @@
 import (
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/dispatch"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/lease"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/dispatch"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/lease"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Config is what a home needs to know of its place, and its time bounds.
@@ -88,7 +88,7 @@
 // Answered is the final answer to a submission made here.
 type Answered struct {
 	Ticket uint64
-	Answer beaconpoint.Answer
+	Answer seats.Answer
 }
 
 // Swap is a compare-and-swap of the roster: Next replaces revision Base.
@@ -317,7 +317,7 @@
 		return false
 	}
 	for _, r := range h.records {
-		if r.state == beaconpoint.Running {
+		if r.state == seats.Running {
 			return false
 		}
 	}
--- a/home/judge.go
+++ b/seats/home/judge.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/job"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/job"
 )
 
 // Bounds of the times to come back that refusals give.
@@ -31,7 +31,7 @@
 		return
 	}
 	if h.take.inDoubt(key, sub.Expiry()) && !h.rules.SkipDoubt {
-		h.refuse(w, id, beaconpoint.RanMaybe, refusal{code.OwnerLost,
+		h.refuse(w, id, seats.RanMaybe, refusal{code.OwnerLost,
 			"an entry and an agent that may know of the job were lost together", h.take.doubtLeft(h.now)})
 		return
 	}
@@ -45,14 +45,14 @@
 
 // ranOf tells whether a job that is refused may have run: of one so old that
 // its record would have been forgotten nothing is known.
-func (h *Home) ranOf(sub job.Submission, c code.Code) beaconpoint.Ran {
+func (h *Home) ranOf(sub job.Submission, c code.Code) seats.Ran {
 	if c == code.ExpiryPast && h.now.Wall.UnixMilli() >= sub.Expiry() {
-		return beaconpoint.RanMaybe
+		return seats.RanMaybe
 	}
-	return beaconpoint.RanNo
+	return seats.RanNo
 }
 
-func (h *Home) refuse(w waiter, id string, ran beaconpoint.Ran, r refusal) {
+func (h *Home) refuse(w waiter, id string, ran seats.Ran, r refusal) {
 	h.stats.Refused++
 	h.tell(w, refused(id, r.code, ran, r.text, r.retry))
 }
@@ -140,7 +140,7 @@
 func (h *Home) rebuild(w waiter, sub job.Submission, in *inherited) {
 	id := sub.Job.ID
 	if in.digest != sub.Digest {
-		h.refuse(w, id, beaconpoint.RanMaybe, refusal{code.Conflict, "another job with this id is known", 0})
+		h.refuse(w, id, seats.RanMaybe, refusal{code.Conflict, "another job with this id is known", 0})
 		return
 	}
 	h.stats.Takeovers++
@@ -155,7 +155,7 @@
 		r.order = append(r.order, k)
 	}
 	if len(r.order) > 0 && h.take.inDoubt(sub.Key(), sub.Expiry()) && !h.rules.SkipDoubt {
-		h.refuse(w, id, beaconpoint.RanYes, refusal{code.OwnerLost,
+		h.refuse(w, id, seats.RanYes, refusal{code.OwnerLost,
 			"an entry and an agent that may know of the job were lost together", 0})
 		return
 	}
@@ -166,7 +166,7 @@
 // awaitAll asks the agents for the results of tasks that others started.
 func (h *Home) awaitAll(r *record) {
 	for k := range r.tasks {
-		if r.state != beaconpoint.Running {
+		if r.state != seats.Running {
 			return
 		}
 		if r.tasks[k].phase != sent {
--- a/home/link.go
+++ b/seats/home/link.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // link is what a home knows of another process, connected or not.
--- a/home/longest_test.go
+++ b/seats/home/longest_test.go
@@ -6,9 +6,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/roster"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
 // TestShorterExpiryDoesNotEndDoubtsEarly: a doubt must last as long as any job
--- a/home/place.go
+++ b/seats/home/place.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/dispatch"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/dispatch"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Waits before a place is tried again.
@@ -125,7 +125,7 @@
 
 // refuseLate gives up on a job before its first task, as not run.
 func (h *Home) refuseLate(s *service, r *record) {
-	h.finish(r, refused(r.id, code.CannotMeetExpiry, beaconpoint.RanNo,
+	h.finish(r, refused(r.id, code.CannotMeetExpiry, seats.RanNo,
 		"the job waited so long that it can't end before its expiry", s.drain.turnFor(h.now.Mono, len(r.tasks))))
 }
 
@@ -198,7 +198,7 @@
 	h.stats.Resends++
 	s.asked = h.now.Mono
 	r := h.records[key.Job]
-	if s.await || r == nil || r.state != beaconpoint.Running {
+	if s.await || r == nil || r.state != seats.Running {
 		s.seq = h.send(l, wire.Await{Key: key})
 		return
 	}
@@ -226,7 +226,7 @@
 		h.service(m.Key.Service()).drain.tasks.note(h.now.Mono - s.sentAt)
 	}
 	r := h.records[m.Key.Job]
-	if r != nil && r.state == beaconpoint.Running && r.tasks[m.Key.Index].phase == sent && r.tasks[m.Key.Index].agent == l.id {
+	if r != nil && r.state == seats.Running && r.tasks[m.Key.Index].phase == sent && r.tasks[m.Key.Index].agent == l.id {
 		h.ended(r, m)
 	}
 	h.pump(l.service)
@@ -248,7 +248,7 @@
 		r.outputs += len(m.Output)
 		r.unfinished--
 		switch {
-		case r.outputs > beaconpoint.MaxAnswer:
+		case r.outputs > seats.MaxAnswer:
 			h.fail(r, code.AnswerLarge, "the tasks' outputs together are too large")
 		case r.unfinished == 0:
 			h.finish(r, r.complete())
@@ -286,7 +286,7 @@
 	for _, key := range sortedTasks(l.starts) {
 		h.drop(l, key)
 		r := h.records[key.Job]
-		if r != nil && r.state == beaconpoint.Running && r.tasks[key.Index].agent == l.id {
+		if r != nil && r.state == seats.Running && r.tasks[key.Index].agent == l.id {
 			h.loseTask(r, key.Index)
 		}
 	}
@@ -296,7 +296,7 @@
 func (h *Home) startAgain(l *link) {
 	for _, key := range sortedTasks(l.starts) {
 		h.drop(l, key)
-		if r := h.records[key.Job]; r != nil && r.state == beaconpoint.Running {
+		if r := h.records[key.Job]; r != nil && r.state == seats.Running {
 			r.again(key.Index)
 			h.enqueue(r)
 		}
--- a/home/protocol_test.go
+++ b/seats/home/protocol_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/beaconpoint/beaconpoint/testutil/world"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/world"
 )
 
 // Bounds of the histories.
--- a/home/quota.go
+++ b/seats/home/quota.go
@@ -6,8 +6,8 @@
 	"golang.org/x/time/rate"
 
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/roster"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
 // member is this home's part of a member's use.
--- a/home/quota_test.go
+++ b/seats/home/quota_test.go
@@ -7,14 +7,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/clock"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // bench is one home with one agent that answers nothing by itself.
@@ -52,9 +52,9 @@
 func (x *bench) submit(n int) (code.Code, time.Duration) {
 	x.t.Helper()
 	x.n++
-	j := beaconpoint.Job{ID: fmt.Sprintf("j%d", x.n), Member: "m"}
+	j := seats.Job{ID: fmt.Sprintf("j%d", x.n), Member: "m"}
 	for k := range n {
-		j.Tasks = append(j.Tasks, beaconpoint.Task{ID: fmt.Sprint(k)})
+		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(k)})
 	}
 	sub, err := job.New("trackd", j)
 	assert.NilError(x.t, err)
@@ -63,7 +63,7 @@
 		return code.Running, 0
 	}
 	a := out.Answers[0].Answer
-	assert.Equal(x.t, a.Ran, beaconpoint.RanNo)
+	assert.Equal(x.t, a.Ran, seats.RanNo)
 	return code.Code(a.Code), time.Duration(a.RetryAfterMS) * time.Millisecond
 }
 
--- a/home/record.go
+++ b/seats/home/record.go
@@ -4,11 +4,11 @@
 	"sort"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // phase is where a task stands at its home.
@@ -35,12 +35,12 @@
 	sub        job.Submission
 	digest     uint64
 	expiry     int64 // Unix milliseconds
-	state      beaconpoint.State
+	state      seats.State
 	tasks      []task
 	order      []int // tasks that wait, the next one last
 	unfinished int
 	began      bool // a task is known to have been started
-	answer     beaconpoint.Answer
+	answer     seats.Answer
 	outputs    int // bytes, of the tasks that are done
 	size       int
 	waiters    []waiter
@@ -56,7 +56,7 @@
 		sub:        sub,
 		digest:     sub.Digest,
 		expiry:     expiry,
-		state:      beaconpoint.Running,
+		state:      seats.Running,
 		tasks:      make([]task, len(sub.Job.Tasks)),
 		unfinished: len(sub.Job.Tasks),
 		since:      now,
@@ -83,34 +83,34 @@
 }
 
 // started reports what is known of the job's starts.
-func (r *record) started() beaconpoint.Ran {
+func (r *record) started() seats.Ran {
 	if r.began {
-		return beaconpoint.RanYes
+		return seats.RanYes
 	}
 	for _, t := range r.tasks {
 		if t.phase != waiting {
-			return beaconpoint.RanMaybe
+			return seats.RanMaybe
 		}
 	}
-	return beaconpoint.RanNo
+	return seats.RanNo
 }
 
 // complete makes the whole answer from the tasks' outputs.
-func (r *record) complete() beaconpoint.Answer {
-	results := make([]beaconpoint.Result, len(r.tasks))
+func (r *record) complete() seats.Answer {
+	results := make([]seats.Result, len(r.tasks))
 	for k, t := range r.tasks {
-		results[k] = beaconpoint.Result{ID: r.sub.Job.Tasks[k].ID, Output: t.output}
+		results[k] = seats.Result{ID: r.sub.Job.Tasks[k].ID, Output: t.output}
 		r.size += len(t.output) + len(results[k].ID)
 	}
-	return beaconpoint.Answer{ID: r.id, State: beaconpoint.Complete, Results: results}
+	return seats.Answer{ID: r.id, State: seats.Complete, Results: results}
 }
 
 // finish ends a job with its answer and tells everybody who waits. A job of
 // which nothing was started is forgotten, so that it may be submitted again. A
 // home that is not confirmed can't say so: another may have taken the job up.
-func (h *Home) finish(r *record, a beaconpoint.Answer) {
-	if a.Ran == beaconpoint.RanNo && !h.Standing(h.now) && !h.rules.SkipLastWord {
-		a.Ran = beaconpoint.RanMaybe
+func (h *Home) finish(r *record, a seats.Answer) {
+	if a.Ran == seats.RanNo && !h.Standing(h.now) && !h.rules.SkipLastWord {
+		a.Ran = seats.RanMaybe
 	}
 	r.state = a.State
 	r.answer = a
@@ -120,7 +120,7 @@
 		h.tell(w, a)
 	}
 	r.waiters = nil
-	if a.Ran == beaconpoint.RanNo && a.State != beaconpoint.Complete {
+	if a.Ran == seats.RanNo && a.State != seats.Complete {
 		delete(h.records, r.key)
 		return
 	}
@@ -152,8 +152,8 @@
 func (h *Home) dropAnswer(r *record) {
 	h.heldSize -= r.size
 	r.size = 0
-	if r.answer.State == beaconpoint.Complete {
-		r.answer = failed(r.id, code.AnswerDropped, beaconpoint.RanYes, "the job ran; its answer is no longer held")
+	if r.answer.State == seats.Complete {
+		r.answer = failed(r.id, code.AnswerDropped, seats.RanYes, "the job ran; its answer is no longer held")
 	}
 }
 
@@ -163,7 +163,7 @@
 }
 
 // tell hands an answer to whoever waits for it.
-func (h *Home) tell(w waiter, a beaconpoint.Answer) {
+func (h *Home) tell(w waiter, a seats.Answer) {
 	if w.seat == h.cfg.Self {
 		h.out.Answers = append(h.out.Answers, Answered{Ticket: w.ticket, Answer: a})
 		return
@@ -173,27 +173,27 @@
 	}
 }
 
-func (h *Home) count(a beaconpoint.Answer) {
+func (h *Home) count(a seats.Answer) {
 	switch a.State {
-	case beaconpoint.Complete:
+	case seats.Complete:
 		h.stats.Completed++
-	case beaconpoint.Refused:
+	case seats.Refused:
 		h.stats.Refused++
 	default:
 		h.stats.Failed++
 	}
 }
 
-func failed(id string, c code.Code, ran beaconpoint.Ran, text string) beaconpoint.Answer {
-	return beaconpoint.Answer{
-		ID: id, State: beaconpoint.Failed,
+func failed(id string, c code.Code, ran seats.Ran, text string) seats.Answer {
+	return seats.Answer{
+		ID: id, State: seats.Failed,
 		Code: uint16(c), Name: c.Name(), Message: text, Ran: ran,
 	}
 }
 
-func refused(id string, c code.Code, ran beaconpoint.Ran, text string, retry time.Duration) beaconpoint.Answer {
-	return beaconpoint.Answer{
-		ID: id, State: beaconpoint.Refused,
+func refused(id string, c code.Code, ran seats.Ran, text string, retry time.Duration) seats.Answer {
+	return seats.Answer{
+		ID: id, State: seats.Refused,
 		Code: uint16(c), Name: c.Name(), Message: text, Ran: ran,
 		RetryAfterMS: retry.Milliseconds(),
 	}
--- a/home/retry_test.go
+++ b/seats/home/retry_test.go
@@ -7,12 +7,12 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // request submits a single request.
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(out.Answers), 1)
 	a := out.Answers[0].Answer
 	assert.Equal(t, a.Name, "agent-lost")
-	assert.Equal(t, a.Ran, beaconpoint.RanMaybe)
+	assert.Equal(t, a.Ran, seats.RanMaybe)
 	assert.Equal(t, x.h.Stats().Retries, uint64(0))
 }
 
@@ -64,10 +64,10 @@
 func TestAnswerThatNoFrameCarriesIsAFailure(t *testing.T) {
 	x := newBench(t, config.Member{Name: "m"}, config.Bounds{})
 	x.n++
-	j := beaconpoint.Job{ID: "large", Member: "m"}
+	j := seats.Job{ID: "large", Member: "m"}
 	const tasks = 7
 	for k := range tasks {
-		j.Tasks = append(j.Tasks, beaconpoint.Task{ID: fmt.Sprint(k)})
+		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(k)})
 	}
 	sub, err := job.New("trackd", j)
 	assert.NilError(t, err)
@@ -81,6 +81,6 @@
 	assert.Equal(t, len(out.Answers), 1)
 	a := out.Answers[0].Answer
 	assert.Equal(t, a.Name, "answer-too-large")
-	assert.Equal(t, a.Ran, beaconpoint.RanYes)
+	assert.Equal(t, a.Ran, seats.RanYes)
 	assert.Equal(t, len(a.Results), 0)
 }
--- a/home/rules_test.go
+++ b/seats/home/rules_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"github.com/beaconpoint/beaconpoint/guard"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/testutil/world"
+	"github.com/beaconpoint/beaconpoint/seats/guard"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/world"
 )
 
 // mostHistories is how many histories are told at most until a fault is found.
--- a/home/submit.go
+++ b/seats/home/submit.go
@@ -5,13 +5,13 @@
 	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/clock"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // forwardGrace is how long after a job's deadline its home is still waited for.
@@ -30,7 +30,7 @@
 // Lookup asks where a job stands.
 func (h *Home) Lookup(now clock.Moment, ticket uint64, service, id string) Effects {
 	h.now = now
-	sub := job.Submission{Service: service, Job: beaconpoint.Job{ID: id}}
+	sub := job.Submission{Service: service, Job: seats.Job{ID: id}}
 	sub.Deadline = now.Wall.Add(h.cfg.Lease).UnixMilli()
 	h.route(waiter{h.cfg.Self, ticket}, sub, true)
 	return h.drain()
@@ -77,7 +77,7 @@
 		return
 	}
 	if lookup {
-		h.tell(w, refused(sub.Job.ID, code.UnknownJob, beaconpoint.RanMaybe, "no record of this job is held", 0))
+		h.tell(w, refused(sub.Job.ID, code.UnknownJob, seats.RanMaybe, "no record of this job is held", 0))
 		return
 	}
 	h.judge(w, sub)
@@ -112,7 +112,7 @@
 // giveUp tells a caller that nothing can be said of its job now.
 func (h *Home) giveUp(p pending) {
 	h.stats.Refused++
-	h.tell(p.from, refused(p.sub.Job.ID, code.NotConfirmed, beaconpoint.RanMaybe,
+	h.tell(p.from, refused(p.sub.Job.ID, code.NotConfirmed, seats.RanMaybe,
 		"this entry can't speak for the job now", h.cfg.Lease))
 }
 
@@ -120,15 +120,15 @@
 func (h *Home) attach(w waiter, sub job.Submission, r *record, lookup bool) {
 	if !lookup && sub.Digest != r.digest {
 		h.stats.Refused++
-		h.tell(w, refused(r.id, code.Conflict, beaconpoint.RanMaybe,
+		h.tell(w, refused(r.id, code.Conflict, seats.RanMaybe,
 			"another job with this id is known", 0))
 		return
 	}
 	switch {
-	case r.state != beaconpoint.Running:
+	case r.state != seats.Running:
 		h.tell(w, r.answer)
 	case lookup:
-		h.tell(w, beaconpoint.Answer{ID: r.id, State: beaconpoint.Running, Code: uint16(code.Running),
+		h.tell(w, seats.Answer{ID: r.id, State: seats.Running, Code: uint16(code.Running),
 			Name: code.Running.Name(), Ran: r.started(), Message: "the job is not finished"})
 	default:
 		r.waiters = append(r.waiters, w)
@@ -187,7 +187,7 @@
 			h.rebuild(w, m.Submission, in)
 			return
 		}
-		h.tell(w, refused(m.Submission.Job.ID, code.UnknownJob, beaconpoint.RanMaybe,
+		h.tell(w, refused(m.Submission.Job.ID, code.UnknownJob, seats.RanMaybe,
 			"the job's record is no longer held", 0))
 		return
 	}
@@ -215,7 +215,7 @@
 		}
 		delete(h.forwards, t)
 		h.stats.Refused++
-		h.tell(f.waiter(h.cfg.Self), refused(f.sub.Job.ID, code.HomeUnreachable, beaconpoint.RanMaybe,
+		h.tell(f.waiter(h.cfg.Self), refused(f.sub.Job.ID, code.HomeUnreachable, seats.RanMaybe,
 			"the job's home did not answer in time", h.cfg.Lease))
 	}
 }
--- a/home/takeover.go
+++ b/seats/home/takeover.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // takeover is what a home gathers after a change of the seats, before it speaks
--- a/home/tick.go
+++ b/seats/home/tick.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/clock"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // expiryGrain is the precision with which a job's expiry is noticed.
@@ -130,7 +130,7 @@
 	if h.records[r.key] != r {
 		return
 	}
-	if r.state == beaconpoint.Running {
+	if r.state == seats.Running {
 		h.fail(r, code.Expired, "the job did not finish before its expiry")
 	}
 	keep := r.expiry + h.cfg.Skew.Milliseconds()
--- a/job.go
+++ b/seats/job.go
@@ -1,6 +1,6 @@
-// Package beaconpoint is the face that the dispatcher shows to callers: jobs,
+// Package seats is the face that the dispatcher shows to callers: jobs,
 // answers, and a client that submits the one and waits for the other.
-package beaconpoint
+package seats
 
 import (
 	"encoding/json"
--- a/job/submission.go
+++ b/seats/job/submission.go
@@ -12,14 +12,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/beaconpoint/beaconpoint"
 	"github.com/beaconpoint/beaconpoint/code"
+	"github.com/beaconpoint/beaconpoint/seats"
 )
 
 // Submission is a well-formed job on its way to its home.
 type Submission struct {
 	Service string
-	Job     beaconpoint.Job
+	Job     seats.Job
 	// Digest is over the job's content and expiry.
 	Digest uint64
 	// Deadline is the caller's expiry or, where it gave none, the one that
@@ -69,7 +69,7 @@
 }
 
 // New checks the form of j and returns its submission.
-func New(service string, j beaconpoint.Job) (Submission, error) {
+func New(service string, j seats.Job) (Submission, error) {
 	if err := check(j); err != nil {
 		return Submission{}, err
 	}
@@ -87,16 +87,16 @@
 	if err != nil {
 		return Submission{}, err
 	}
-	s, err := New(service, beaconpoint.Job{
+	s, err := New(service, seats.Job{
 		ID: id, Member: member, ExpiresAt: expiry,
-		Tasks: []beaconpoint.Task{{ID: "request", Payload: payload, Repeatable: repeatable}},
+		Tasks: []seats.Task{{ID: "request", Payload: payload, Repeatable: repeatable}},
 	})
 	s.Single = true
 	return s, err
 }
 
-func decode(body []byte) (beaconpoint.Job, error) {
-	var j beaconpoint.Job
+func decode(body []byte) (seats.Job, error) {
+	var j seats.Job
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&j); err != nil {
@@ -111,7 +111,7 @@
 	return j, nil
 }
 
-func check(j beaconpoint.Job) error {
+func check(j seats.Job) error {
 	if !ValidID(j.ID) {
 		return code.Errorf(code.BadID, "the job's id %.40q is not an id", j.ID)
 	}
@@ -121,8 +121,8 @@
 	if len(j.Tasks) == 0 {
 		return code.Error(code.NoTasks, "the job has no tasks")
 	}
-	if len(j.Tasks) > beaconpoint.MaxTasks {
-		return code.Errorf(code.TooManyTasks, "the job has %d tasks, more than %d", len(j.Tasks), beaconpoint.MaxTasks)
+	if len(j.Tasks) > seats.MaxTasks {
+		return code.Errorf(code.TooManyTasks, "the job has %d tasks, more than %d", len(j.Tasks), seats.MaxTasks)
 	}
 	seen := make(map[string]bool, len(j.Tasks))
 	for _, t := range j.Tasks {
@@ -133,7 +133,7 @@
 	return nil
 }
 
-func checkTask(t beaconpoint.Task, seen map[string]bool) error {
+func checkTask(t seats.Task, seen map[string]bool) error {
 	if !ValidID(t.ID) {
 		return code.Errorf(code.BadID, "the task's id %.40q is not an id", t.ID)
 	}
@@ -148,9 +148,9 @@
 }
 
 // ValidID reports whether id may name a job, task, request or member: 1 to
-// beaconpoint.MaxID printable ASCII characters without space, slash or quotes.
+// seats.MaxID printable ASCII characters without space, slash or quotes.
 func ValidID(id string) bool {
-	if id == "" || len(id) > beaconpoint.MaxID {
+	if id == "" || len(id) > seats.MaxID {
 		return false
 	}
 	for _, c := range []byte(id) {
@@ -162,7 +162,7 @@
 }
 
 // digest hashes the job in a form that white space does not change.
-func digest(service string, j beaconpoint.Job) (uint64, error) {
+func digest(service string, j seats.Job) (uint64, error) {
 	if j.ExpiresAt != nil {
 		utc := j.ExpiresAt.UTC()
 		j.ExpiresAt = &utc
--- a/lease/standing.go
+++ b/seats/lease/standing.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/roster"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
 // Standing holds until when each seat has confirmed one process.
--- a/load/load.go
+++ b/seats/load/load.go
@@ -17,7 +17,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/beaconpoint/beaconpoint"
+	"github.com/beaconpoint/beaconpoint/seats"
 )
 
 // Bounds of a load.
@@ -67,7 +67,7 @@
 	mu       sync.Mutex
 	Jobs     int
 	Tasks    int
-	States   map[beaconpoint.State]int
+	States   map[seats.State]int
 	Codes    map[string]int
 	NoAnswer int
 	// Wrong counts complete answers that were not whole and the caller's own.
@@ -84,15 +84,15 @@
 		return nil, err
 	}
 	r := &Report{
-		States: make(map[beaconpoint.State]int),
+		States: make(map[seats.State]int),
 		Codes:  make(map[string]int),
 		Ratio:  hdrhistogram.New(1, maxRatio, 3),
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: maxInFlight}
 	defer transport.CloseIdleConnections()
-	var clients []*beaconpoint.Client
+	var clients []*seats.Client
 	for base := range strings.SplitSeq(cfg.Entries, ",") {
-		clients = append(clients, beaconpoint.NewClient(base, beaconpoint.WithHTTPClient(&http.Client{Transport: transport})))
+		clients = append(clients, seats.NewClient(base, seats.WithHTTPClient(&http.Client{Transport: transport})))
 	}
 	rng := rand.New(rand.NewPCG(cfg.Seed, cfg.Seed))
 	room := make(chan struct{}, maxInFlight)
@@ -122,8 +122,8 @@
 		return errors.New("name at least one entry")
 	case c.Jobs < 1 || c.Jobs > maxJobs:
 		return fmt.Errorf("jobs must be 1 to %d", maxJobs)
-	case c.LargestJob < 1 || c.LargestJob > beaconpoint.MaxTasks:
-		return fmt.Errorf("tasks must be 1 to %d", beaconpoint.MaxTasks)
+	case c.LargestJob < 1 || c.LargestJob > seats.MaxTasks:
+		return fmt.Errorf("tasks must be 1 to %d", seats.MaxTasks)
 	case c.JobsPerSecond <= 0 || c.JobsPerSecond > maxRate:
 		return fmt.Errorf("the rate must be above 0 and at most %d", maxRate)
 	case c.ShortMS < 0 || c.LongMS < c.ShortMS:
@@ -133,9 +133,9 @@
 }
 
 // job makes the k-th job and tells its longest task.
-func (c Config) job(rng *rand.Rand, k int) (beaconpoint.Job, time.Duration) {
+func (c Config) job(rng *rand.Rand, k int) (seats.Job, time.Duration) {
 	n := int(math.Exp(rng.Float64() * math.Log(float64(c.LargestJob)+0.999)))
-	j := beaconpoint.Job{ID: fmt.Sprintf("load-%d-%d-%d", c.Seed, time.Now().UnixNano(), k), Member: c.Member}
+	j := seats.Job{ID: fmt.Sprintf("load-%d-%d-%d", c.Seed, time.Now().UnixNano(), k), Member: c.Member}
 	if c.Expiry > 0 {
 		at := time.Now().Add(c.Expiry)
 		j.ExpiresAt = &at
@@ -147,7 +147,7 @@
 			ms = severalMin + rng.IntN(severalMax-severalMin)
 		}
 		longest = max(longest, ms)
-		j.Tasks = append(j.Tasks, beaconpoint.Task{
+		j.Tasks = append(j.Tasks, seats.Task{
 			ID:      fmt.Sprintf("t%d", i),
 			Payload: fmt.Appendf(nil, `{"ms":%d,"echo":"%s-%d"}`, ms, j.ID, i),
 		})
@@ -166,7 +166,7 @@
 	}
 }
 
-func (r *Report) submit(ctx context.Context, c *beaconpoint.Client, cfg Config, j beaconpoint.Job, longest time.Duration) {
+func (r *Report) submit(ctx context.Context, c *seats.Client, cfg Config, j seats.Job, longest time.Duration) {
 	began := time.Now()
 	a, err := c.Submit(ctx, cfg.Service, j)
 	took := time.Since(began)
@@ -179,7 +179,7 @@
 		return
 	}
 	r.States[a.State]++
-	if a.State != beaconpoint.Complete {
+	if a.State != seats.Complete {
 		r.Codes[fmt.Sprintf("%d %s (ran: %s)", a.Code, a.Name, a.Ran)]++
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // whole reports whether a answers every task of j, each with its own echo.
-func whole(j beaconpoint.Job, a beaconpoint.Answer) bool {
+func whole(j seats.Job, a seats.Answer) bool {
 	if a.ID != j.ID || len(a.Results) != len(j.Tasks) {
 		return false
 	}
@@ -213,7 +213,7 @@
 	fmt.Fprintf(&b, "jobs %d, tasks %d, in %.1f s (%.0f tasks/s finished)\n",
 		r.Jobs, r.Tasks, r.Took.Seconds(), float64(r.Finished)/r.Took.Seconds())
 	fmt.Fprintf(&b, "complete %d, refused %d, failed %d, no answer %d, wrong %d\n",
-		r.States[beaconpoint.Complete], r.States[beaconpoint.Refused], r.States[beaconpoint.Failed], r.NoAnswer, r.Wrong)
+		r.States[seats.Complete], r.States[seats.Refused], r.States[seats.Failed], r.NoAnswer, r.Wrong)
 	var codes []string
 	for c := range r.Codes {
 		codes = append(codes, c)
--- a/operator/client.go
+++ b/seats/operator/client.go
@@ -10,8 +10,8 @@
 	"net/http"
 
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/entry"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/entry"
 )
 
 // Client calls the operators' interface of one entry.
--- a/settings/page_test.go
+++ b/seats/settings/page_test.go
@@ -13,7 +13,7 @@
 // TestOperationsPageHasEverySetting compares the table in docs/OPERATIONS.md
 // with the code: the keys, in order, and their defaults.
 func TestOperationsPageHasEverySetting(t *testing.T) {
-	page, err := os.ReadFile("../docs/OPERATIONS.md")
+	page, err := os.ReadFile("../docs/operations.md")
 	assert.NilError(t, err)
 	rest := string(page)
 	for _, row := range rows("", reflect.ValueOf(Default())) {
--- a/settings/settings.go
+++ b/seats/settings/settings.go
@@ -6,9 +6,14 @@
 	"fmt"
 	"io/fs"
 	"os"
+	"reflect"
+	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/wire"
+	"go.yaml.in/yaml/v3"
+
+	"github.com/beaconpoint/beaconpoint/seats/wire"
+	"github.com/beaconpoint/beaconpoint/settings"
 )
 
 // Defaults of the settings.
@@ -18,7 +23,6 @@
 	DefaultOutputMB  = 16
 	DefaultDrainTime = 60 * time.Second
 	DefaultSkew      = 2 * time.Second
-	DefaultLogLevel  = "info"
 )
 
 // Settings are what one process reads at its start. Addresses are "IP:port".
@@ -77,42 +81,12 @@
 		Lease:     DefaultLease,
 		Skew:      DefaultSkew,
 		DrainTime: DefaultDrainTime,
-		LogLevel:  DefaultLogLevel,
+		LogLevel:  settings.DefaultLogLevel,
 		Entry:     Entry{AnswerMB: DefaultOutputMB},
 		Agent:     Agent{Queue: DefaultQueue, OutputMB: DefaultOutputMB},
 	}
 }
 
-// Fault is one thing that is wrong with the settings.
-type Fault struct {
-	// Line is the line in the file, zero where there is none.
-	Line int
-	Text string
-}
-
-// String returns the fault as a person reads it.
-func (f Fault) String() string {
-	if f.Line == 0 {
-		return f.Text
-	}
-	return fmt.Sprintf("line %d: %s", f.Line, f.Text)
-}
-
-// Faults is every fault of one file.
-type Faults []Fault
-
-// Error implements error.
-func (f Faults) Error() string {
-	text := ""
-	for k, fault := range f {
-		if k > 0 {
-			text += "\n"
-		}
-		text += fault.String()
-	}
-	return text
-}
-
 // Load reads and checks the file at path. The error is of type Faults where
 // the file's content is at fault.
 func Load(path string) (Settings, error) {
@@ -125,3 +99,41 @@
 	}
 	return Parse(raw)
 }
+
+// Parse reads and checks settings. The error is of type settings.Faults and holds
+// every fault, with its line.
+func Parse(raw []byte) (Settings, error) {
+	s := Default()
+	root, err := settings.Decode(raw, &s,
+		reflect.TypeFor[Settings](), reflect.TypeFor[Entry](), reflect.TypeFor[Agent](), reflect.TypeFor[settings.Node]())
+	if err != nil {
+		return Settings{}, err
+	}
+	if faults := check(s, root); len(faults) > 0 {
+		return Settings{}, faults
+	}
+	return s, nil
+}
+
+// check validates the settings and the part of their role.
+func check(s Settings, root *yaml.Node) settings.Faults {
+	faults := settings.StructFaults(s, "", root)
+	switch s.Role {
+	case wire.RoleEntry:
+		faults = append(faults, settings.StructFaults(s.Entry, "entry", root)...)
+		faults = append(faults, foreignPart("agent", s.Role, root)...)
+	case wire.RoleAgent:
+		faults = append(faults, settings.StructFaults(s.Agent, "agent", root)...)
+		faults = append(faults, foreignPart("entry", s.Role, root)...)
+	}
+	slices.SortStableFunc(faults, func(a, b settings.Fault) int { return a.Line - b.Line })
+	return faults
+}
+
+// foreignPart reports settings of the other role, which would have no effect.
+func foreignPart(key string, role wire.Role, root *yaml.Node) settings.Faults {
+	if line := settings.LineOf(root, key); line > 0 {
+		return settings.Faults{{Line: line, Text: fmt.Sprintf("%q has no meaning for the role %q", key, role)}}
+	}
+	return nil
+}
--- a/standin/cmd/platform/main.go
+++ b/seats/standin/cmd/platform/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"github.com/beaconpoint/beaconpoint/standin/platform"
+	"github.com/beaconpoint/beaconpoint/seats/standin/store"
 )
 
 func main() {
@@ -21,5 +21,5 @@
 	flaggy.Duration(&lag, "", "lag", "how far the host list lags behind")
 	flaggy.Parse()
 	log.Printf("platform stand-in serves at http://%s", listen)
-	log.Fatal(http.ListenAndServe(listen, platform.NewServer(platform.NewStore(lag))))
+	log.Fatal(http.ListenAndServe(listen, store.NewServer(store.NewStore(lag))))
 }
--- a/standin/cmd/target/main.go
+++ b/seats/standin/cmd/target/main.go
@@ -7,7 +7,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"github.com/beaconpoint/beaconpoint/standin/target"
+	"github.com/beaconpoint/beaconpoint/seats/standin/target"
 )
 
 func main() {
--- a/standin/platform/store.go
+++ b/seats/standin/store/store.go
@@ -1,7 +1,7 @@
-// Package platform is a stand-in for the platform: a key-value service with
+// Package store is a stand-in for the platform: a key-value service with
 // compare-and-swap, leases and long-poll watches, and a host list that lags. It
 // can be made to fail, and it counts the calls.
-package platform
+package store
 
 import (
 	"sync"
--- a/platform/client.go
+++ b/seats/store/client.go
@@ -1,6 +1,6 @@
-// Package platform speaks the platform's published protocol: a small key-value
+// Package store speaks the platform's published protocol: a small key-value
 // service with compare-and-swap and long-poll watches, and a list of hosts.
-package platform
+package store
 
 import (
 	"bytes"
@@ -33,8 +33,8 @@
 // Errors of the client. Any error of Swap but ErrConflict leaves open whether
 // the swap took effect.
 var (
-	ErrConflict = errors.New("platform: the revision has moved")
-	ErrStatus   = errors.New("platform: unexpected status")
+	ErrConflict = errors.New("store: the revision has moved")
+	ErrStatus   = errors.New("store: unexpected status")
 )
 
 // Value is what a key holds; a missing key has revision zero.
@@ -113,7 +113,7 @@
 	}
 	var hosts []Host
 	if err := json.Unmarshal(raw, &hosts); err != nil {
-		return nil, fmt.Errorf("platform: host list: %w", err)
+		return nil, fmt.Errorf("store: host list: %w", err)
 	}
 	return hosts, nil
 }
@@ -154,7 +154,7 @@
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, MaxValue+1))
 	if err != nil {
-		return nil, nil, fmt.Errorf("platform: read: %w", err)
+		return nil, nil, fmt.Errorf("store: read: %w", err)
 	}
 	return resp, raw, nil
 }
@@ -162,7 +162,7 @@
 func revisionOf(resp *http.Response) (uint64, error) {
 	revision, err := strconv.ParseUint(resp.Header.Get(HeaderRevision), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("platform: revision: %w", err)
+		return 0, fmt.Errorf("store: revision: %w", err)
 	}
 	return revision, nil
 }
--- a/target/bench_test.go
+++ b/seats/target/bench_test.go
@@ -6,7 +6,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // BenchmarkRun shows what a connection of its own costs each task, beside kept
--- a/target/client.go
+++ b/seats/target/client.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Headers of a task's request.
--- a/testutil/cluster/cluster.go
+++ b/seats/testutil/cluster/cluster.go
@@ -23,11 +23,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/operator"
-	standplatform "github.com/beaconpoint/beaconpoint/standin/platform"
-	standtarget "github.com/beaconpoint/beaconpoint/standin/target"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/operator"
+	standplatform "github.com/beaconpoint/beaconpoint/seats/standin/store"
+	standtarget "github.com/beaconpoint/beaconpoint/seats/standin/target"
 )
 
 // Names of what a cluster serves.
@@ -303,8 +303,8 @@
 }
 
 // Client returns a callers' client of the k-th entry.
-func (c *Cluster) Client(k int) *beaconpoint.Client {
-	return beaconpoint.NewClient(c.urls[k])
+func (c *Cluster) Client(k int) *seats.Client {
+	return seats.NewClient(c.urls[k])
 }
 
 // URL returns the k-th entry's base URL for callers.
--- a/experiment/experiment_test.go
+++ b/seats/testutil/policy/experiment_test.go
@@ -1,4 +1,4 @@
-package experiment
+package policy
 
 import (
 	"bytes"
--- a/experiment/fleet.go
+++ b/seats/testutil/policy/fleet.go
@@ -1,20 +1,20 @@
-package experiment
+package policy
 
 import (
 	"fmt"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/clock"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/dispatch"
-	"github.com/beaconpoint/beaconpoint/guard"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/vtime"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/dispatch"
+	"github.com/beaconpoint/beaconpoint/seats/guard"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
+	"github.com/beaconpoint/beaconpoint/testutil/vtime"
 )
 
 // Times of a fleet.
@@ -201,11 +201,11 @@
 		return
 	}
 	switch a.Answer.State {
-	case beaconpoint.Complete:
+	case seats.Complete:
 		r.left--
 		r.result.note(j, r.q.Now()-warmUp-j.at, r.tenth)
 		r.result.finished(j, r.q.Now()-warmUp)
-	case beaconpoint.Refused:
+	case seats.Refused:
 		r.result.Refusals++
 		wait := time.Duration(a.Answer.RetryAfterMS) * time.Millisecond
 		if r.fleet.FixedRetry > 0 {
--- a/experiment/suite.go
+++ b/seats/testutil/policy/suite.go
@@ -1,14 +1,13 @@
-package experiment
+package policy
 
 import (
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"strings"
 	"sync"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/dispatch"
+	"github.com/beaconpoint/beaconpoint/seats/dispatch"
 )
 
 // Sizes of today, for each of the two users.
@@ -35,26 +34,8 @@
 		Policy: dispatch.Policy{Order: dispatch.FewestUnstarted, Choose: dispatch.LeastLoaded}}
 	firstCome := knowing
 	firstCome.Name, firstCome.Policy.Order = "all-knowing, first come", dispatch.FirstCome
-	atRandom := func(w Workload) *Result {
-		f := Fleet{Name: "random, agent queue", Homes: entries, Workers: workers, Slots: slots, AgentQueue: 1_000_000,
-			Delay: oneWay, Policy: dispatch.Policy{Order: dispatch.FirstCome, Choose: chooseAny(w.Seed)}}
-		return f.Run(w)
-	}
-	sampling := Sampling{Name: "sampling, late binding", Workers: workers, Slots: slots, Probes: 2, Delay: oneWay}
 	return []System{
 		{ours.Name, ours.Run}, {knowing.Name, knowing.Run}, {firstCome.Name, firstCome.Run},
-		{sampling.Name, sampling.Run}, {"random, agent queue", atRandom},
-	}
-}
-
-// chooseAny picks any candidate, the same ones for the same seed.
-func chooseAny(seed uint64) dispatch.Choose {
-	rng := rand.New(rand.NewPCG(seed, 5))
-	return func(all []dispatch.Candidate) int {
-		if len(all) == 0 {
-			return -1
-		}
-		return rng.IntN(len(all))
 	}
 }
 
--- a/experiment/workload.go
+++ b/seats/testutil/policy/workload.go
@@ -1,7 +1,7 @@
-// Package experiment measures the decisions about placement and waiting in
+// Package policy measures the decisions about placement and waiting in
 // virtual time: the real state machines of entries and agents against small
 // fakes of targets, beside baselines.
-package experiment
+package policy
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/job"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/job"
 )
 
 // Names of the one service and member.
@@ -95,7 +95,7 @@
 		owner = member
 	}
 	j := &work{id: fmt.Sprintf("%s-%d", owner, k), at: at}
-	spec := beaconpoint.Job{ID: j.id, Member: owner}
+	spec := seats.Job{ID: j.id, Member: owner}
 	for i := range size {
 		d := shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 		if rng.Float64() < longShare {
@@ -103,7 +103,7 @@
 		}
 		j.tasks = append(j.tasks, d)
 		j.ideal = max(j.ideal, d)
-		spec.Tasks = append(spec.Tasks, beaconpoint.Task{ID: fmt.Sprint(i)})
+		spec.Tasks = append(spec.Tasks, seats.Task{ID: fmt.Sprint(i)})
 	}
 	sub, err := job.New(service, spec)
 	if err != nil {
--- a/testutil/world/act.go
+++ b/seats/testutil/world/act.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // Act is a kind of step in a history.
@@ -209,9 +209,9 @@
 		life = shortLife
 	}
 	expiry := w.base.Add(w.now() + life)
-	j := beaconpoint.Job{ID: id, Member: member, ExpiresAt: &expiry}
+	j := seats.Job{ID: id, Member: member, ExpiresAt: &expiry}
 	for i := range 1 + k%4 {
-		j.Tasks = append(j.Tasks, beaconpoint.Task{ID: fmt.Sprint(i)})
+		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(i)})
 	}
 	sub, err := job.New(service, j)
 	if err != nil {
--- a/testutil/world/network.go
+++ b/seats/testutil/world/network.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/guard"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/guard"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // connect tells both processes of a connection, unless they are cut off.
@@ -137,8 +137,8 @@
 	}
 }
 
-func (w *World) notRun(p *process, a beaconpoint.Answer) {
-	if a.Ran != beaconpoint.RanNo || a.State == beaconpoint.Running {
+func (w *World) notRun(p *process, a seats.Answer) {
+	if a.Ran != seats.RanNo || a.State == seats.Running {
 		return
 	}
 	j := w.jobs[a.ID]
--- a/testutil/world/store.go
+++ b/seats/testutil/world/store.go
@@ -4,8 +4,8 @@
 	"errors"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/roster"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
 var errOutage = errors.New("world: outage")
--- a/testutil/world/world.go
+++ b/seats/testutil/world/world.go
@@ -11,15 +11,15 @@
 	"slices"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/clock"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/guard"
-	"github.com/beaconpoint/beaconpoint/home"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
-	"github.com/beaconpoint/beaconpoint/vtime"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/clock"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/guard"
+	"github.com/beaconpoint/beaconpoint/seats/home"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
+	"github.com/beaconpoint/beaconpoint/testutil/vtime"
 )
 
 // Bounds of a world.
@@ -285,7 +285,7 @@
 }
 
 // answerOf checks a final answer that reaches a caller.
-func (w *World) answerOf(t uint64, a beaconpoint.Answer) {
+func (w *World) answerOf(t uint64, a seats.Answer) {
 	q := w.tickets[t]
 	if q == nil || q.done {
 		w.fail("an answer for ticket %d that nobody waits for", t)
@@ -296,20 +296,20 @@
 		w.fail("the caller of %s got the answer of %s", q.job, a.ID)
 	}
 	switch a.State {
-	case beaconpoint.Complete:
+	case seats.Complete:
 		w.counts.Complete++
 		w.checkWhole(w.jobs[q.job], a)
-	case beaconpoint.Refused:
+	case seats.Refused:
 		w.counts.Refused++
 	default:
 		w.counts.Failed++
 	}
-	if a.Ran == beaconpoint.RanNo {
+	if a.Ran == seats.RanNo {
 		w.counts.NotRun++
 	}
 }
 
-func (w *World) checkWhole(j *jobState, a beaconpoint.Answer) {
+func (w *World) checkWhole(j *jobState, a seats.Answer) {
 	if len(a.Results) != len(j.sub.Job.Tasks) {
 		w.fail("job %s: %d of %d results", a.ID, len(a.Results), len(j.sub.Job.Tasks))
 		return
--- a/trials/bench_test.go
+++ b/seats/trials/bench_test.go
@@ -13,16 +13,16 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/agent"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/entry"
-	"github.com/beaconpoint/beaconpoint/operator"
-	"github.com/beaconpoint/beaconpoint/settings"
-	standplatform "github.com/beaconpoint/beaconpoint/standin/platform"
-	standtarget "github.com/beaconpoint/beaconpoint/standin/target"
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
-	"github.com/beaconpoint/beaconpoint/wire"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/agent"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/entry"
+	"github.com/beaconpoint/beaconpoint/seats/operator"
+	"github.com/beaconpoint/beaconpoint/seats/settings"
+	standplatform "github.com/beaconpoint/beaconpoint/seats/standin/store"
+	standtarget "github.com/beaconpoint/beaconpoint/seats/standin/target"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
 // benchTasks is how many tasks a job of the benchmark has.
@@ -32,7 +32,7 @@
 // process, over loopback; all of caller, entry, agent and target counts.
 func BenchmarkJob(b *testing.B) {
 	e := startPair(b)
-	c := beaconpoint.NewClient(e.CallersURL())
+	c := seats.NewClient(e.CallersURL())
 	ctx := context.Background()
 	before := e.Status()
 	b.ReportAllocs()
@@ -41,7 +41,7 @@
 		n++
 		a, err := c.Submit(ctx, cluster.Service, jobOf(fmt.Sprintf("bench-%d-%d", b.N, n), benchTasks, 0))
 		assert.NilError(b, err)
-		assert.Equal(b, a.State, beaconpoint.Complete, a.Message)
+		assert.Equal(b, a.State, seats.Complete, a.Message)
 	}
 	after := e.Status()
 	starts := float64(after.Counts.Starts - before.Counts.Starts)
--- a/trials/capacity_test.go
+++ b/seats/trials/capacity_test.go
@@ -12,8 +12,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/load"
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats/load"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
 var capacity = flag.Bool("capacity", false, "measure the slopes of docs/CAPACITY.md (some minutes) instead of one small size")
--- a/trials/config_test.go
+++ b/seats/trials/config_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/config"
-	standplatform "github.com/beaconpoint/beaconpoint/standin/platform"
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	standplatform "github.com/beaconpoint/beaconpoint/seats/standin/store"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
 // changes is how many configuration changes the spread is measured over.
--- a/trials/failure_test.go
+++ b/seats/trials/failure_test.go
@@ -13,9 +13,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint"
-	standplatform "github.com/beaconpoint/beaconpoint/standin/platform"
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats"
+	standplatform "github.com/beaconpoint/beaconpoint/seats/standin/store"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
 var (
@@ -230,7 +230,7 @@
 
 // untilAnswered submits a job again and again, through any entry and sometimes
 // through two at once, until it has a final answer.
-func (w *watch) untilAnswered(t *testing.T, c *cluster.Cluster, rng *rand.Rand, j beaconpoint.Job) {
+func (w *watch) untilAnswered(t *testing.T, c *cluster.Cluster, rng *rand.Rand, j seats.Job) {
 	began := time.Now()
 	for range attempts {
 		k := rng.IntN(len(c.Entries))
@@ -238,17 +238,17 @@
 			w.besides.Go(func() { w.submit(t, c, (k+1)%len(c.Entries), j) })
 		}
 		a, ok := w.submit(t, c, k, j)
-		final := ok && (a.State != beaconpoint.Refused || a.Ran == beaconpoint.RanYes)
+		final := ok && (a.State != seats.Refused || a.Ran == seats.RanYes)
 		if final || time.Since(began) > lifetime {
 			w.ended(a, ok, time.Since(began))
 			return
 		}
 		time.Sleep(time.Duration(50+rng.IntN(150)) * time.Millisecond)
 	}
-	w.ended(beaconpoint.Answer{}, false, time.Since(began))
+	w.ended(seats.Answer{}, false, time.Since(began))
 }
 
-func (w *watch) submit(t *testing.T, c *cluster.Cluster, k int, j beaconpoint.Job) (beaconpoint.Answer, bool) {
+func (w *watch) submit(t *testing.T, c *cluster.Cluster, k int, j seats.Job) (seats.Answer, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), answerWithin)
 	defer cancel()
 	began := time.Now()
@@ -259,26 +259,26 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case a.Ran == beaconpoint.RanNo:
+	case a.Ran == seats.RanNo:
 		w.notRun[j.ID] = began
 	default:
 		w.ran[j.ID] = true
 	}
-	if a.State == beaconpoint.Complete && !isWhole(j, a) {
+	if a.State == seats.Complete && !isWhole(j, a) {
 		w.wrong++
 		t.Errorf("job %s: not the whole answer: %+v", j.ID, a)
 	}
 	return a, true
 }
 
-func isWhole(j beaconpoint.Job, a beaconpoint.Answer) bool {
-	return a.ID == j.ID && len(a.Results) == len(j.Tasks) && !slices.ContainsFunc(j.Tasks, func(task beaconpoint.Task) bool {
-		k := slices.IndexFunc(a.Results, func(r beaconpoint.Result) bool { return r.ID == task.ID })
+func isWhole(j seats.Job, a seats.Answer) bool {
+	return a.ID == j.ID && len(a.Results) == len(j.Tasks) && !slices.ContainsFunc(j.Tasks, func(task seats.Task) bool {
+		k := slices.IndexFunc(a.Results, func(r seats.Result) bool { return r.ID == task.ID })
 		return k < 0 || string(a.Results[k].Output) != fmt.Sprintf(`{"task":"%s/%s","echo":"%s-%d"}`, j.ID, task.ID, j.ID, k)
 	})
 }
 
-func (w *watch) ended(a beaconpoint.Answer, ok bool, took time.Duration) {
+func (w *watch) ended(a seats.Answer, ok bool, took time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.jobs++
@@ -286,9 +286,9 @@
 	switch {
 	case !ok:
 		w.unanswered++
-	case a.State == beaconpoint.Complete:
+	case a.State == seats.Complete:
 		w.complete++
-	case a.State == beaconpoint.Failed:
+	case a.State == seats.Failed:
 		w.failed++
 	default:
 		w.refused++
--- a/trials/outage_test.go
+++ b/seats/trials/outage_test.go
@@ -10,10 +10,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/load"
-	standplatform "github.com/beaconpoint/beaconpoint/standin/platform"
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/load"
+	standplatform "github.com/beaconpoint/beaconpoint/seats/standin/store"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
 var takeovers = flag.Int("takeovers", 2, "how many takeovers to time")
@@ -52,7 +52,7 @@
 		h := homeOf(t, c, fmt.Sprintf("find-%d", k))
 		other := (h + 1) % len(c.Entries)
 		running := jobOf(fmt.Sprintf("running-%d", k), 30, 300)
-		answered := make(chan beaconpoint.Answer, 1)
+		answered := make(chan seats.Answer, 1)
 		go func() {
 			a, err := c.Client(other).Submit(context.Background(), cluster.Service, running)
 			assert.Check(t, err == nil, "%v", err)
@@ -66,7 +66,7 @@
 		for {
 			a, err := c.Client(other).Submit(context.Background(), cluster.Service, j)
 			assert.NilError(t, err)
-			if a.State == beaconpoint.Complete {
+			if a.State == seats.Complete {
 				break
 			}
 			assert.Assert(t, time.Since(began) < patience, "%+v", a)
@@ -122,7 +122,7 @@
 		c.Store.SetFaults(standplatform.Faults{Outage: outage})
 		r, err := load.Run(context.Background(), cfg)
 		assert.NilError(t, err)
-		assert.Equal(t, r.States[beaconpoint.Complete], cfg.Jobs, r.Text())
+		assert.Equal(t, r.States[seats.Complete], cfg.Jobs, r.Text())
 		t.Logf("store down: %v\n%s", outage, r.Text())
 	}
 	c.Entries[other].Kill()
--- a/trials/path_test.go
+++ b/seats/trials/path_test.go
@@ -18,18 +18,18 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
 func threeByThree() cluster.Config {
 	return cluster.Config{Entries: 3, Agents: 3, Slots: 8, Lease: 3 * time.Second}
 }
 
-func jobOf(id string, tasks, ms int) beaconpoint.Job {
-	j := beaconpoint.Job{ID: id, Member: cluster.Member}
+func jobOf(id string, tasks, ms int) seats.Job {
+	j := seats.Job{ID: id, Member: cluster.Member}
 	for k := range tasks {
-		j.Tasks = append(j.Tasks, beaconpoint.Task{
+		j.Tasks = append(j.Tasks, seats.Task{
 			ID:      fmt.Sprintf("t%d", k),
 			Payload: fmt.Appendf(nil, `{"ms":%d,"echo":"%s-%d"}`, ms, id, k),
 		})
@@ -38,9 +38,9 @@
 }
 
 // assertWhole checks that a is the whole answer to j and to nothing else.
-func assertWhole(t testing.TB, j beaconpoint.Job, a beaconpoint.Answer) {
+func assertWhole(t testing.TB, j seats.Job, a seats.Answer) {
 	t.Helper()
-	assert.Equal(t, a.State, beaconpoint.Complete, "%+v", a)
+	assert.Equal(t, a.State, seats.Complete, "%+v", a)
 	assert.Equal(t, a.ID, j.ID)
 	assert.Equal(t, len(a.Results), len(j.Tasks))
 	for k, r := range a.Results {
@@ -53,7 +53,7 @@
 func TestJobsThroughAllEntriesAtOnce(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	var all sync.WaitGroup
-	answers := make([]beaconpoint.Answer, 60)
+	answers := make([]seats.Answer, 60)
 	for k := range answers {
 		all.Go(func() {
 			// Each job goes in three times, through every entry.
@@ -102,7 +102,7 @@
 		{"1,201 tasks", "POST", jobs, `{"id":"fix-3","member":"port-gate","tasks":[` + many + `]}`, nil},
 		{"a doubled task", "POST", jobs, `{"id":"fix-3","member":"port-gate","tasks":[{"id":"a"},{"id":"a"}]}`, nil},
 		{"an unknown field", "POST", jobs, `{"id":"fix-3","member":"port-gate","task":[]}`, nil},
-		{"an oversize body", "POST", jobs, `{"id":"` + strings.Repeat("x", beaconpoint.MaxBody) + `"}`, nil},
+		{"an oversize body", "POST", jobs, `{"id":"` + strings.Repeat("x", seats.MaxBody) + `"}`, nil},
 		{"an unknown service", "POST", "/v1/services/nothing/jobs", `{"id":"fix-3","member":"port-gate","tasks":[{"id":"a"}]}`, nil},
 		{"an unknown member", "POST", jobs, `{"id":"fix-3","member":"nobody","tasks":[{"id":"a"}]}`, nil},
 		{"an expiry in the past", "POST", jobs, `{"id":"fix-3","member":"port-gate","expires_at":"2020-01-01T00:00:00Z","tasks":[{"id":"a"}]}`, nil},
@@ -140,12 +140,12 @@
 
 func TestTargetThatDropsAConnectionGetsOneStart(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
-	j := beaconpoint.Job{ID: "drop", Member: cluster.Member, Tasks: []beaconpoint.Task{{ID: "a", Payload: json.RawMessage(`{"drop":true}`)}}}
+	j := seats.Job{ID: "drop", Member: cluster.Member, Tasks: []seats.Task{{ID: "a", Payload: json.RawMessage(`{"drop":true}`)}}}
 	a, err := c.Client(0).Submit(context.Background(), cluster.Service, j)
 	assert.NilError(t, err)
-	assert.Equal(t, a.State, beaconpoint.Failed)
+	assert.Equal(t, a.State, seats.Failed)
 	assert.Equal(t, a.Name, "target-lost")
-	assert.Equal(t, a.Ran, beaconpoint.RanMaybe)
+	assert.Equal(t, a.Ran, seats.RanMaybe)
 	doubled, starts := c.Doubled()
 	assert.Equal(t, len(doubled), 0)
 	assert.Equal(t, starts, 1)
--- a/trials/restart_test.go
+++ b/seats/trials/restart_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
 // TestAllEntriesRestartAtOnce kills every entry and begins them again: the old
--- a/trials/stop_test.go
+++ b/seats/trials/stop_test.go
@@ -12,9 +12,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint"
-	"github.com/beaconpoint/beaconpoint/config"
-	"github.com/beaconpoint/beaconpoint/testutil/cluster"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/config"
+	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
 // Sizes of the test of planned stops.
@@ -71,7 +71,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				j := jobOf(fmt.Sprintf("stop-%d-%d", k, n), 1+rng.IntN(30), rng.IntN(20))
 				a, err := c.Client(balancer.choose(rng, 3)).Submit(context.Background(), cluster.Service, j)
-				if err != nil || a.State != beaconpoint.Complete || !isWhole(j, a) {
+				if err != nil || a.State != seats.Complete || !isWhole(j, a) {
 					bad.Add(1)
 					t.Errorf("job %s: %v %+v", j.ID, err, a)
 					continue
--- a/wire/message.go
+++ b/seats/wire/message.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"strings"
 
-	"github.com/beaconpoint/beaconpoint"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
 // Version is the version of the messages; processes of other versions are
@@ -234,7 +234,7 @@
 // Reply answers a Forward with the job's answer.
 type Reply struct {
 	Ticket uint64
-	Answer beaconpoint.Answer
+	Answer seats.Answer
 }
 
 // Moved is a job whose record stays with its old home.
--- a/wire/wire_test.go
+++ b/seats/wire/wire_test.go
@@ -12,17 +12,17 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"github.com/beaconpoint/beaconpoint"
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/job"
-	"github.com/beaconpoint/beaconpoint/roster"
+	"github.com/beaconpoint/beaconpoint/seats"
+	"github.com/beaconpoint/beaconpoint/seats/job"
+	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
 func samples() []Message {
 	id := roster.NewID("entry1", 7)
 	at := time.Unix(1_700_000_000, 0)
-	sub := job.Submission{Service: "trackd", Digest: 9, Deadline: 5, Job: beaconpoint.Job{
-		ID: "a", Member: "m", ExpiresAt: &at, Tasks: []beaconpoint.Task{{ID: "t", Payload: []byte(`{}`), ExpectedMS: 4}},
+	sub := job.Submission{Service: "trackd", Digest: 9, Deadline: 5, Job: seats.Job{
+		ID: "a", Member: "m", ExpiresAt: &at, Tasks: []seats.Task{{ID: "t", Payload: []byte(`{}`), ExpectedMS: 4}},
 	}}
 	return []Message{
 		Hello{Version: 1, Role: RoleAgent, ID: id, Region: "bay"},
@@ -37,7 +37,7 @@
 		Collect{Revision: 3},
 		Records{Revision: 3, Records: []Record{{Key: TaskKey{Job: "trackd/a"}, Digest: 2, Expiry: 3, Starter: id}}},
 		Forward{Ticket: 2, Submission: sub, Pointed: true},
-		Reply{Ticket: 2, Answer: beaconpoint.Answer{ID: "a", State: beaconpoint.Complete, Results: []beaconpoint.Result{{ID: "t", Output: []byte("1")}}}},
+		Reply{Ticket: 2, Answer: seats.Answer{ID: "a", State: seats.Complete, Results: []seats.Result{{ID: "t", Output: []byte("1")}}}},
 		HandOver{Revision: 3, Settled: true, Moved: []Moved{{Job: "trackd/a", Expiry: 1}}, Doubts: []Doubt{{Holder: id, Expiry: 4}}},
 	}
 }
--- /dev/null
+++ b/settings/fault.go
@@ -0,0 +1,33 @@
+package settings
+
+import "fmt"
+
+// Fault is one error in a settings file.
+type Fault struct {
+	// Line is the line in the file, zero where there is none.
+	Line int
+	Text string
+}
+
+// String returns the fault with its line, as the command line prints it.
+func (f Fault) String() string {
+	if f.Line == 0 {
+		return f.Text
+	}
+	return fmt.Sprintf("line %d: %s", f.Line, f.Text)
+}
+
+// Faults are all errors of one settings file.
+type Faults []Fault
+
+// Error implements error.
+func (f Faults) Error() string {
+	text := ""
+	for k, fault := range f {
+		if k > 0 {
+			text += "\n"
+		}
+		text += fault.String()
+	}
+	return text
+}
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -15,9 +15,6 @@
 	node, err := yaml.Marshal(DefaultNode())
 	assert.NilError(t, err)
 	golden.Assert(t, string(node), "node-keys.golden")
-	process, err := yaml.Marshal(Default())
-	assert.NilError(t, err)
-	golden.Assert(t, string(process), "process-keys.golden")
 }
 
 // TestDeployFiles holds the deploy file and its templates, which the platform
--- a/settings/node.go
+++ b/settings/node.go
@@ -1,7 +1,11 @@
+// Package settings reads and checks the YAML settings of a node, the process that
+// the deploy file runs. Decode, StructFaults and LineOf carry no key of their own:
+// the settings of package seats are checked by them too.
 package settings
 
 import (
 	"os"
+	"reflect"
 	"slices"
 	"time"
 
@@ -10,8 +14,9 @@
 
 // Defaults of a node's settings.
 const (
-	DefaultGrace = 6 * time.Second
-	DefaultFar   = 1.5
+	DefaultGrace    = 6 * time.Second
+	DefaultFar      = 1.5
+	DefaultLogLevel = "info"
 )
 
 // Node are the settings of a process that runs on the platform. Addresses are
@@ -64,11 +69,11 @@
 // with its line.
 func ParseNode(raw []byte) (Node, error) {
 	s := DefaultNode()
-	root, err := decode(raw, &s)
+	root, err := Decode(raw, &s, reflect.TypeFor[Node]())
 	if err != nil {
 		return Node{}, err
 	}
-	faults := structFaults(validate.Struct(s), "", root)
+	faults := StructFaults(s, "", root)
 	if len(faults) > 0 {
 		slices.SortStableFunc(faults, func(a, b Fault) int { return a.Line - b.Line })
 		return Node{}, faults
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -7,32 +7,18 @@
 	"io"
 	"reflect"
 	"regexp"
-	"slices"
 	"strconv"
 	"strings"
 
 	"github.com/go-playground/validator/v10"
 	"go.yaml.in/yaml/v3"
-
-	"github.com/beaconpoint/beaconpoint/wire"
 )
 
-// Parse reads and checks settings. The error holds every fault, with its line.
-func Parse(raw []byte) (Settings, error) {
-	s := Default()
-	root, err := decode(raw, &s)
-	if err != nil {
-		return Settings{}, err
-	}
-	if faults := check(s, root); len(faults) > 0 {
-		return Settings{}, faults
-	}
-	return s, nil
-}
-
-// decode reads YAML into a value that has the defaults, and returns the tree for
-// the lines of what is checked later. Its error is of type Faults.
-func decode(raw []byte, into any) (*yaml.Node, error) {
+// Decode reads YAML into a struct that holds the defaults, and returns the tree
+// in which later checks look up line numbers. Keys that the struct does not have
+// are faults; the message suggests a similar key of the given types. The error is
+// of type Faults.
+func Decode(raw []byte, into any, known ...reflect.Type) (*yaml.Node, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(raw))
 	dec.KnownFields(true)
 	err := dec.Decode(into)
@@ -41,7 +27,7 @@
 	case errors.Is(err, io.EOF):
 		return nil, Faults{{Text: "the file is empty"}}
 	case errors.As(err, &types):
-		return nil, typeFaults(types)
+		return nil, typeFaults(types, known)
 	case err != nil:
 		return nil, Faults{lineFault(strings.TrimPrefix(err.Error(), "yaml: "))}
 	}
@@ -54,13 +40,13 @@
 
 var unknownField = regexp.MustCompile(`^line (\d+): field (\S+) not found in type \S+$`)
 
-// typeFaults words the decoder's faults for people.
-func typeFaults(e *yaml.TypeError) Faults {
+// typeFaults rewords the decoder's errors for the person who wrote the file.
+func typeFaults(e *yaml.TypeError, known []reflect.Type) Faults {
 	var faults Faults
 	for _, text := range e.Errors {
 		if m := unknownField.FindStringSubmatch(text); m != nil {
 			line, _ := strconv.Atoi(m[1])
-			faults = append(faults, Fault{line, fmt.Sprintf("unknown key %q%s", m[2], suggestion(m[2]))})
+			faults = append(faults, Fault{line, fmt.Sprintf("unknown key %q%s", m[2], suggestion(m[2], known))})
 			continue
 		}
 		faults = append(faults, lineFault(text))
@@ -78,13 +64,18 @@
 	return Fault{0, text}
 }
 
-// suggestion names the known key that begins like the unknown one.
-func suggestion(key string) string {
-	for _, t := range []reflect.Type{reflect.TypeFor[Settings](), reflect.TypeFor[Entry](), reflect.TypeFor[Agent](), reflect.TypeFor[Node]()} {
+// suggestionPrefix is how many bytes an unknown key must share with a known one
+// for that one to be suggested.
+const suggestionPrefix = 3
+
+// suggestion returns the known key that begins like the unknown one, worded as
+// the end of a message, or nothing.
+func suggestion(key string, known []reflect.Type) string {
+	for _, t := range known {
 		for k := range t.NumField() {
-			known := t.Field(k).Tag.Get("yaml")
-			if len(key) > 2 && strings.HasPrefix(known, key[:3]) {
-				return fmt.Sprintf("; did you mean %q?", known)
+			name := t.Field(k).Tag.Get("yaml")
+			if len(key) >= suggestionPrefix && strings.HasPrefix(name, key[:suggestionPrefix]) {
+				return fmt.Sprintf("; did you mean %q?", name)
 			}
 		}
 	}
@@ -99,32 +90,11 @@
 	return v
 }
 
-// check validates the settings and the part of their role.
-func check(s Settings, root *yaml.Node) Faults {
-	faults := structFaults(validate.Struct(s), "", root)
-	switch s.Role {
-	case wire.RoleEntry:
-		faults = append(faults, structFaults(validate.Struct(s.Entry), "entry", root)...)
-		faults = append(faults, foreignPart("agent", s.Role, root)...)
-	case wire.RoleAgent:
-		faults = append(faults, structFaults(validate.Struct(s.Agent), "agent", root)...)
-		faults = append(faults, foreignPart("entry", s.Role, root)...)
-	}
-	slices.SortStableFunc(faults, func(a, b Fault) int { return a.Line - b.Line })
-	return faults
-}
-
-// foreignPart finds settings of the other role, which would do nothing.
-func foreignPart(key string, role wire.Role, root *yaml.Node) Faults {
-	if line := lineOf(root, key); line > 0 {
-		return Faults{{line, fmt.Sprintf("%q has no meaning for the role %q", key, role)}}
-	}
-	return nil
-}
-
-func structFaults(err error, part string, root *yaml.Node) Faults {
+// StructFaults checks the values of a struct by its validate tags. part is the
+// key under which the struct lies in the file, empty at the top.
+func StructFaults(v any, part string, root *yaml.Node) Faults {
 	var invalid validator.ValidationErrors
-	if !errors.As(err, &invalid) {
+	if !errors.As(validate.Struct(v), &invalid) {
 		return nil
 	}
 	var faults Faults
@@ -133,13 +103,13 @@
 		if part != "" {
 			path = []string{part, e.Field()}
 		}
-		line := lineOf(root, path...)
+		line := LineOf(root, path...)
 		faults = append(faults, Fault{line, strings.Join(path, ".") + " " + wording(e)})
 	}
 	return faults
 }
 
-// wording says what a check wants.
+// wording returns the message for a failed check.
 func wording(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
@@ -162,14 +132,15 @@
 	return fmt.Sprintf("is %v, not a %s", e.Value(), e.Tag())
 }
 
-// article words the role of a condition such as "Role agent".
+// article returns the role of a condition such as "Role agent" with its article.
 func article(condition string) string {
 	_, role, _ := strings.Cut(condition, " ")
 	return "an " + role
 }
 
-// lineOf returns the line of the key at path, or zero.
-func lineOf(n *yaml.Node, path ...string) int {
+// LineOf returns the line of the key at path, zero where the file does not have
+// it.
+func LineOf(n *yaml.Node, path ...string) int {
 	if n.Kind == yaml.DocumentNode {
 		n = n.Content[0]
 	}
--- a/standin/metastore/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package metastore is a stand-in for the platform's metadata store: keys with
+// Package store is a stand-in for the platform's metadata store: keys with
 // revisions, leases, transactions and watches over HTTP. It can be made to fail.
-package metastore
+package store
 
 import (
 	"encoding/json"
--- a/standin/jobworker/worker.go
+++ b/standin/target/worker.go
@@ -1,7 +1,7 @@
-// Package jobworker is a stand-in for a worker of the platform: it starts and
+// Package target is a stand-in for a worker of the platform: it starts and
 // stops runs on orders over HTTP, lists them, and lets them lapse without a
 // lease. A task's spec says how long it takes.
-package jobworker
+package target
 
 import (
 	"bytes"
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -12,7 +12,7 @@
 
 	"github.com/beaconpoint/beaconpoint/owner"
 	"github.com/beaconpoint/beaconpoint/task"
-	"github.com/beaconpoint/beaconpoint/vtime"
+	"github.com/beaconpoint/beaconpoint/testutil/vtime"
 	"github.com/beaconpoint/beaconpoint/worker"
 )
 
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -22,8 +22,8 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 	"github.com/beaconpoint/beaconpoint/platform"
 	"github.com/beaconpoint/beaconpoint/settings"
-	"github.com/beaconpoint/beaconpoint/standin/jobworker"
-	"github.com/beaconpoint/beaconpoint/standin/metastore"
+	"github.com/beaconpoint/beaconpoint/standin/store"
+	"github.com/beaconpoint/beaconpoint/standin/target"
 )
 
 // Names of what a system serves.
@@ -45,9 +45,9 @@
 // System is a set of processes with the stand-ins.
 type System struct {
 	tb      testing.TB
-	Store   *metastore.Store
+	Store   *store.Store
 	store   string
-	Workers []*jobworker.Worker
+	Workers []*target.Worker
 	wrap    func(http.Handler) http.Handler // put around the workers' interface
 	Entries []*Process
 	Agents  []*Process
@@ -84,7 +84,7 @@
 // interface, to see or change what agents ask of it.
 func StartWrapped(tb testing.TB, entries, agents int, wrap func(http.Handler) http.Handler) *System {
 	tb.Helper()
-	s := &System{tb: tb, Store: metastore.NewStore(), wrap: wrap}
+	s := &System{tb: tb, Store: store.NewStore(), wrap: wrap}
 	server := httptest.NewServer(s.Store)
 	tb.Cleanup(server.Close)
 	s.store = strings.TrimPrefix(server.URL, "http://")
@@ -110,7 +110,7 @@
 }
 
 func (s *System) addAgent(k int) {
-	w := jobworker.NewWorker(Service, 4000)
+	w := target.NewWorker(Service, 4000)
 	server := httptest.NewServer(s.wrap(w))
 	s.tb.Cleanup(server.Close)
 	s.Workers = append(s.Workers, w)
