--- a/node/agent.go
+++ b/node/agent.go
@@ -13,7 +13,7 @@
 	"github.com/beaconpoint/beaconpoint/event"
 	"github.com/beaconpoint/beaconpoint/peer"
 	"github.com/beaconpoint/beaconpoint/settings"
-	"github.com/beaconpoint/beaconpoint/worker"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
 // Agent is the process beside a worker.
@@ -30,12 +30,12 @@
 	metrics      *metrics.Set
 	startSeconds *metrics.Histogram
 	holdSeconds  *metrics.Histogram
-	stages       [worker.Stages]*metrics.Histogram
+	stages       [supervisor.Stages]*metrics.Histogram
 
 	mu         sync.Mutex
-	supervisor *worker.Supervisor
-	conns      map[worker.ConnID]*agentConn
-	next       worker.ConnID
+	supervisor *supervisor.Supervisor
+	conns      map[supervisor.ConnID]*agentConn
+	next       supervisor.ConnID
 	entries    map[string]string // addresses by name
 	document   []byte            // the newest configuration that any entry sent
 	config     uint64
@@ -61,23 +61,23 @@
 		calls:      calls,
 		log:        log,
 		clock:      newSteady(),
-		supervisor: worker.NewSupervisor(log),
-		conns:      make(map[worker.ConnID]*agentConn),
+		supervisor: supervisor.NewSupervisor(log),
+		conns:      make(map[supervisor.ConnID]*agentConn),
 		entries:    make(map[string]string),
 		awake:      make(chan struct{}, 1),
 		shaken:     make(chan struct{}, 1),
 		parted:     make(chan struct{}, 1),
 	}
 	a.metrics = newAgentMetrics(a)
-	a.supervisor.Start = func(c worker.StartCall) { go a.start(c) }
-	a.supervisor.Stop = func(c worker.StopCall) { go a.stopRun(c) }
+	a.supervisor.Start = func(c supervisor.StartCall) { go a.start(c) }
+	a.supervisor.Stop = func(c supervisor.StopCall) { go a.stopRun(c) }
 	a.supervisor.Send = a.send
-	a.supervisor.Observe = func(s worker.Stage, took time.Duration) { a.stages[s].Update(took.Seconds()) }
+	a.supervisor.Observe = func(s supervisor.Stage, took time.Duration) { a.stages[s].Update(took.Seconds()) }
 	return a
 }
 
 // Heartbeat takes the worker's report of itself.
-func (a *Agent) Heartbeat(r worker.Report) {
+func (a *Agent) Heartbeat(r supervisor.Report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.supervisor.Heartbeat(a.clock.now(), r)
@@ -141,7 +141,7 @@
 }
 
 // stats returns what the supervisor counts.
-func (a *Agent) stats() worker.Stats {
+func (a *Agent) stats() supervisor.Stats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.supervisor.Stats(a.clock.now())
@@ -175,7 +175,7 @@
 	a.disconnect(id)
 }
 
-func (a *Agent) connect(c *peer.Conn, h *peer.Hello) worker.ConnID {
+func (a *Agent) connect(c *peer.Conn, h *peer.Hello) supervisor.ConnID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.next++
@@ -185,7 +185,7 @@
 	return a.next
 }
 
-func (a *Agent) disconnect(id worker.ConnID) {
+func (a *Agent) disconnect(id supervisor.ConnID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.conns, id)
@@ -194,7 +194,7 @@
 	a.later()
 }
 
-func (a *Agent) heard(id worker.ConnID, f *peer.Frame) {
+func (a *Agent) heard(id supervisor.ConnID, f *peer.Frame) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c := a.conns[id]
@@ -214,7 +214,7 @@
 }
 
 // send sends a frame to an entry. It is called with the lock held.
-func (a *Agent) send(id worker.ConnID, f *peer.Frame) {
+func (a *Agent) send(id supervisor.ConnID, f *peer.Frame) {
 	c := a.conns[id]
 	if c == nil {
 		return
--- a/node/document.go
+++ b/node/document.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/peer"
-	"github.com/beaconpoint/beaconpoint/worker"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
 // How the configuration's document goes from one process to another. It may be
@@ -71,7 +71,7 @@
 }
 
 // passDocument is the same of an agent.
-func (a *Agent) passDocument(now time.Duration, id worker.ConnID, f *peer.Frame) {
+func (a *Agent) passDocument(now time.Duration, id supervisor.ConnID, f *peer.Frame) {
 	if f.Config > a.config && a.asker.due(now, 0) {
 		a.send(id, &peer.Frame{Ask: true})
 	}
--- a/node/document_test.go
+++ b/node/document_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/beaconpoint/beaconpoint/peer"
 	"github.com/beaconpoint/beaconpoint/settings"
-	"github.com/beaconpoint/beaconpoint/worker"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
 // wiretap collects the frames that are sent on a connection.
@@ -71,7 +71,7 @@
 		}
 		tell := func() (asked int) {
 			for k, tap := range taps {
-				a.heard(worker.ConnID(k+1), &peer.Frame{Config: 5, Stamp: a.clock.now()})
+				a.heard(supervisor.ConnID(k+1), &peer.Frame{Config: 5, Stamp: a.clock.now()})
 				asked += tap.count(asks)
 			}
 			return asked
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -13,7 +13,7 @@
 
 	"github.com/beaconpoint/beaconpoint/code"
 	"github.com/beaconpoint/beaconpoint/owner"
-	"github.com/beaconpoint/beaconpoint/worker"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
 // MetricsPath is where a node's counters are served.
@@ -99,7 +99,7 @@
 	set.NewGauge("beaconpoint_worker_speed", func() float64 { return a.stats().Speed })
 	a.startSeconds = set.NewHistogram("beaconpoint_start_call_seconds")
 	a.holdSeconds = set.NewHistogram("beaconpoint_hold_call_seconds")
-	for k := range worker.Stages {
+	for k := range supervisor.Stages {
 		a.stages[k] = set.NewHistogram(fmt.Sprintf("beaconpoint_stage_seconds{stage=%q}", k))
 	}
 	return set
--- a/node/calls.go
+++ b/node/renewal.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/beaconpoint/beaconpoint/worker"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
 // hold keeps the worker's lease and reads its lists.
@@ -75,9 +75,9 @@
 	}
 }
 
-func (a *Agent) start(c worker.StartCall) {
+func (a *Agent) start(c supervisor.StartCall) {
 	began := time.Now()
-	retry := time.AfterFunc(worker.StartRetry+time.Millisecond, a.look)
+	retry := time.AfterFunc(supervisor.StartRetry+time.Millisecond, a.look)
 	reply := a.calls.Start(c)
 	retry.Stop()
 	a.startSeconds.UpdateDuration(began)
@@ -95,7 +95,7 @@
 	a.later()
 }
 
-func (a *Agent) stopRun(c worker.StopCall) {
+func (a *Agent) stopRun(c supervisor.StopCall) {
 	reply := a.calls.Stop(c)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/seams.go
+++ b/node/seams.go
@@ -9,7 +9,7 @@
 
 	"github.com/beaconpoint/beaconpoint/peer"
 	"github.com/beaconpoint/beaconpoint/routing"
-	"github.com/beaconpoint/beaconpoint/worker"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
 // Member is a process that has registered itself.
@@ -46,9 +46,9 @@
 // WorkerCalls carries orders to the worker beside an agent. Each call returns
 // within about a second.
 type WorkerCalls struct {
-	Start func(worker.StartCall) worker.Reply
-	Stop  func(worker.StopCall) worker.Reply
-	Hold  func(worker.HoldCall) (worker.Reply, *worker.HoldAnswer)
+	Start func(supervisor.StartCall) supervisor.Reply
+	Stop  func(supervisor.StopCall) supervisor.Reply
+	Hold  func(supervisor.HoldCall) (supervisor.Reply, *supervisor.HoldAnswer)
 }
 
 // Times of a process.
--- a/worker/call.go
+++ b/supervisor/call.go
@@ -1,4 +1,4 @@
-package worker
+package supervisor
 
 import (
 	"time"
--- a/worker/supervisor.go
+++ b/supervisor/supervisor.go
@@ -1,8 +1,8 @@
-// Package worker is the authority on one worker: it decides what starts there,
+// Package supervisor is the authority on one worker: it decides what starts there,
 // keeps the worker's lease, and stops what has lost its owner. It is a state
 // machine without goroutines, clock or sockets; its process drives it under one
 // lock and carries out its calls.
-package worker
+package supervisor
 
 import (
 	"log/slog"
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/peer"
-	"github.com/beaconpoint/beaconpoint/worker"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
 // watchInterval is how often a silent connection is looked at.
@@ -15,9 +15,9 @@
 	w       *World
 	e       *entryProcess
 	a       *agentProcess
-	id      worker.ConnID // of the present connection
-	openE   bool          // as the entry sees it
-	openA   bool          // as the agent sees it
+	id      supervisor.ConnID // of the present connection
+	openE   bool              // as the entry sees it
+	openA   bool              // as the agent sees it
 	dialing bool
 	cut     time.Duration // until when nothing passes
 	toE     time.Duration // when the last frame to the entry arrives
@@ -65,7 +65,7 @@
 func (l *link) connect() {
 	w := l.w
 	w.conns++
-	id := worker.ConnID(w.conns)
+	id := supervisor.ConnID(w.conns)
 	lifeE, lifeA := l.e.life, l.a.life
 	l.openE = true
 	l.echoE, l.echoA, l.seq = 0, 0, 0
@@ -90,7 +90,7 @@
 }
 
 // watchE gives the connection up when the agent is silent.
-func (l *link) watchE(id worker.ConnID, life int) {
+func (l *link) watchE(id supervisor.ConnID, life int) {
 	l.w.after(watchInterval, func() {
 		l.e.do(life, func() {
 			if !l.openE {
@@ -106,7 +106,7 @@
 	})
 }
 
-func (l *link) watchA(id worker.ConnID, life int) {
+func (l *link) watchA(id supervisor.ConnID, life int) {
 	l.w.after(watchInterval, func() {
 		l.a.do(life, func() {
 			if l.id != id || !l.openA {
@@ -130,7 +130,7 @@
 	l.dial()
 }
 
-func (l *link) closeA(id worker.ConnID) {
+func (l *link) closeA(id supervisor.ConnID) {
 	if l.id != id || !l.openA {
 		return
 	}
@@ -162,10 +162,10 @@
 		return 0
 	}
 	l.seq++
-	l.w.Frames++
 	l.sentAt = l.w.now()
 	sent := *f
 	sent.Seq, sent.Stamp, sent.Echo = l.seq, l.w.now(), l.echoE
+	l.w.sent(l.e.name, &sent)
 	life := l.a.life
 	conn := l.w.conns
 	l.w.after(l.arrival(&l.toA), func() {
@@ -187,9 +187,9 @@
 	if !l.openA {
 		return
 	}
-	l.w.Frames++
 	sent := *f
 	sent.Stamp, sent.Echo = l.w.now(), l.echoA
+	l.w.sent(l.a.name, &sent)
 	life, id := l.e.life, l.id
 	l.w.after(l.arrival(&l.toE), func() {
 		l.e.do(life, func() {
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -8,8 +8,8 @@
 
 	"github.com/beaconpoint/beaconpoint/owner"
 	"github.com/beaconpoint/beaconpoint/peer"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 	"github.com/beaconpoint/beaconpoint/task"
-	"github.com/beaconpoint/beaconpoint/worker"
 )
 
 // process is what entries and agents have in common: lives, and freezes during
@@ -91,7 +91,7 @@
 
 type agentProcess struct {
 	process
-	supervisor *worker.Supervisor
+	supervisor *supervisor.Supervisor
 	flushing   bool
 	beside     bool // a second hold is kept under way
 	worker     *emulated
@@ -124,24 +124,24 @@
 	a.dead = false
 	a.beside = false
 	life := a.life
-	s := worker.NewSupervisor(a.w.cfg.Log.With("node", a.name))
+	s := supervisor.NewSupervisor(a.w.cfg.Log.With("node", a.name))
 	s.Rules = a.w.cfg.Rules
 	a.supervisor = s
-	s.Send = func(id worker.ConnID, f *peer.Frame) {
+	s.Send = func(id supervisor.ConnID, f *peer.Frame) {
 		for _, l := range a.w.links {
 			if l.a == a && l.id == id {
 				l.fromAgent(f)
 			}
 		}
 	}
-	s.Start = func(c worker.StartCall) {
-		a.w.after(worker.StartRetry+time.Millisecond, func() { a.do(life, func() { s.Tick(a.w.now()) }) })
-		a.worker.call(c.Life, orderTimeout, func() worker.Reply { return a.worker.start(c) }, func(r worker.Reply) {
+	s.Start = func(c supervisor.StartCall) {
+		a.w.after(supervisor.StartRetry+time.Millisecond, func() { a.do(life, func() { s.Tick(a.w.now()) }) })
+		a.worker.call(c.Life, orderTimeout, func() supervisor.Reply { return a.worker.start(c) }, func(r supervisor.Reply) {
 			a.do(life, func() { s.StartAnswered(a.w.now(), c, r); a.later() })
 		})
 	}
-	s.Stop = func(c worker.StopCall) {
-		a.worker.call(c.Life, orderTimeout, func() worker.Reply { return a.worker.stop(c) }, func(r worker.Reply) {
+	s.Stop = func(c supervisor.StopCall) {
+		a.worker.call(c.Life, orderTimeout, func() supervisor.Reply { return a.worker.stop(c) }, func(r supervisor.Reply) {
 			a.do(life, func() { s.StopAnswered(a.w.now(), c, r) })
 		})
 	}
@@ -203,7 +203,7 @@
 			next(agentTick)
 			return
 		}
-		a.worker.hold(c, func(r worker.Reply, lists *worker.HoldAnswer) {
+		a.worker.hold(c, func(r supervisor.Reply, lists *supervisor.HoldAnswer) {
 			a.do(life, func() {
 				a.supervisor.HoldAnswered(a.w.now(), c, r, lists)
 				a.later()
--- /dev/null
+++ b/testutil/fleet/same_amd64_test.go
@@ -0,0 +1,69 @@
+package fleet
+
+import (
+	"fmt"
+	"hash/fnv"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"github.com/beaconpoint/beaconpoint/peer"
+)
+
+// fingerprint plays a history and returns its counts with a hash of every frame
+// that was sent, in order: it changes with any decision and any time.
+func fingerprint(t *testing.T, w *World) string {
+	t.Helper()
+	hash := fnv.New64a()
+	w.Sent = func(from string, f *peer.Frame) {
+		buf, err := peer.AppendFrame(nil, f)
+		assert.NilError(t, err)
+		fmt.Fprint(hash, w.now(), from)
+		_, _ = hash.Write(buf) // a hash takes everything
+	}
+	w.Run()
+	assert.Equal(t, w.Broken, "")
+	return fmt.Sprintf("%d jobs, %d completed, %d starts, %d frames, %x", w.Counts.Jobs, w.Counts.Completed, w.Counts.Starts, w.Frames, hash.Sum64())
+}
+
+// TestDecisionsAreTheSame compares histories with those of an earlier version,
+// frame by frame: changes that should leave behaviour as it is are held to it. A
+// change that is meant to decide differently records them anew (-update) and says
+// so. Floating point rounds differently on other processors, hence amd64.
+func TestDecisionsAreTheSame(t *testing.T) {
+	var out strings.Builder
+	for seed := range uint64(16) {
+		cfg := DefaultConfig(1000 + seed)
+		cfg.Faults = int(seed)
+		fmt.Fprintf(&out, "history %d: %s\n", cfg.Seed, fingerprint(t, New(cfg)))
+	}
+	for _, kind := range []Kind{KillAgent, LoseAnswers} {
+		cfg := DefaultConfig(2000)
+		cfg.Kinds, cfg.Faults = []Kind{kind}, 12
+		fmt.Fprintf(&out, "kind %d: %s\n", kind, fingerprint(t, New(cfg)))
+	}
+	for name, scene := range map[string]func(*World){
+		"burst":       surge(1.8),
+		"all killed":  from((*World).KillAll),
+		"late orders": inMood(11, Mood{Late: 0.06}, 8*time.Second),
+		"slow":        inMood(1, Mood{Slow: 6}, 4*time.Second),
+		"hanging":     inMood(1, Mood{Hanging: true}, 4*time.Second),
+		"failing":     inMood(1, Mood{Failing: 1}, 4*time.Second),
+	} {
+		w := New(PolicyConfig(3, 3, 11, Tracking(11, 0.85)))
+		scene(w)
+		fmt.Fprintf(&out, "%s: %s\n", name, fingerprint(t, w))
+	}
+	golden.Assert(t, sortedLines(out.String()), "decisions.golden")
+}
+
+// sortedLines sorts a text's lines.
+func sortedLines(text string) string {
+	lines := strings.Split(strings.TrimSpace(text), "\n")
+	slices.Sort(lines)
+	return strings.Join(lines, "\n") + "\n"
+}
--- a/testutil/fleet/worker.go
+++ b/testutil/fleet/target.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"github.com/beaconpoint/beaconpoint/supervisor"
 	"github.com/beaconpoint/beaconpoint/task"
-	"github.com/beaconpoint/beaconpoint/worker"
 )
 
 // stopTime is how long a stop takes at most.
@@ -51,7 +51,7 @@
 	deadline time.Duration
 	token    uint64
 	runs     map[string]*emulatedRun
-	ended    []worker.EndedRow
+	ended    []supervisor.EndedRow
 	count    uint64
 	highest  map[string]int // runs that were stopped or ended
 	draining time.Duration  // when it was acknowledged; zero: not
@@ -101,19 +101,19 @@
 }
 
 // report returns what a heartbeat says.
-func (e *emulated) report(seq uint64) worker.Report {
-	return worker.Report{ID: e.id, Service: service, Capacity: e.capacity, Draining: e.draining > 0,
+func (e *emulated) report(seq uint64) supervisor.Report {
+	return supervisor.Report{ID: e.id, Service: service, Capacity: e.capacity, Draining: e.draining > 0,
 		Clock: e.clock(), HasClock: true, Seq: seq}
 }
 
 // call runs do as a call with the worker's mood: the answer may be lost, and
 // what is asked may be done later.
-func (e *emulated) call(life string, timeout time.Duration, do func() worker.Reply, answer func(worker.Reply)) {
+func (e *emulated) call(life string, timeout time.Duration, do func() supervisor.Reply, answer func(supervisor.Reply)) {
 	luck := e.w.rng.Float64()
-	none := worker.Reply{Outcome: worker.NoAnswer}
-	run := func() worker.Reply {
+	none := supervisor.Reply{Outcome: supervisor.NoAnswer}
+	run := func() supervisor.Reply {
 		if e.id != life {
-			return worker.Reply{Outcome: worker.OtherLife}
+			return supervisor.Reply{Outcome: supervisor.OtherLife}
 		}
 		reply := do()
 		reply.Clock = e.clock().Truncate(time.Millisecond)
@@ -155,27 +155,27 @@
 }
 
 // start carries out an order to start a run.
-func (e *emulated) start(c worker.StartCall) worker.Reply {
+func (e *emulated) start(c supervisor.StartCall) supervisor.Reply {
 	name := c.Order.Task.String()
 	if c.Token < e.token {
-		return worker.Reply{Outcome: worker.RefusedFence}
+		return supervisor.Reply{Outcome: supervisor.RefusedFence}
 	}
 	e.token = c.Token
 	if r := e.runs[name]; r != nil && r.order.Run == c.Order.Run {
-		return worker.Reply{}
+		return supervisor.Reply{}
 	}
 	if c.Deadline < e.clock() {
-		return worker.Reply{Outcome: worker.RefusedLate}
+		return supervisor.Reply{Outcome: supervisor.RefusedLate}
 	}
 	e.extend(c.Deadline)
 	if c.Order.Run <= e.highest[name] {
-		return worker.Reply{Outcome: worker.RefusedOld}
+		return supervisor.Reply{Outcome: supervisor.RefusedOld}
 	}
 	r := &emulatedRun{order: c.Order, name: name}
 	e.w.checkStart(e, r)
 	e.runs[name] = r
 	e.work(r)
-	return worker.Reply{}
+	return supervisor.Reply{}
 }
 
 // work lets a run end in its time.
@@ -238,7 +238,7 @@
 	delete(e.runs, r.name)
 	e.highest[r.name] = max(e.highest[r.name], r.order.Run)
 	e.count++
-	e.ended = append(e.ended, worker.EndedRow{N: e.count, Name: r.name, Run: r.order.Run, End: end})
+	e.ended = append(e.ended, supervisor.EndedRow{N: e.count, Name: r.name, Run: r.order.Run, End: end})
 	e.w.sawEnd(r, end)
 	polls := e.polls
 	e.polls = nil
@@ -248,9 +248,9 @@
 }
 
 // stop carries out an order to stop a run.
-func (e *emulated) stop(c worker.StopCall) worker.Reply {
+func (e *emulated) stop(c supervisor.StopCall) supervisor.Reply {
 	if c.Token < e.token {
-		return worker.Reply{Outcome: worker.RefusedFence}
+		return supervisor.Reply{Outcome: supervisor.RefusedFence}
 	}
 	e.token = c.Token
 	e.highest[c.Name] = max(e.highest[c.Name], c.Ref.Run)
@@ -259,29 +259,29 @@
 		r.left = true
 		e.w.after(e.w.upTo(stopTime), func() { e.finish(r, task.EndStopped) })
 	}
-	return worker.Reply{}
+	return supervisor.Reply{}
 }
 
 // hold renews the lease and lists.
-func (e *emulated) hold(c worker.HoldCall, answer func(worker.Reply, *worker.HoldAnswer)) {
-	var lists *worker.HoldAnswer
-	e.call(c.Life, c.Wait+holdTimeout, func() worker.Reply {
+func (e *emulated) hold(c supervisor.HoldCall, answer func(supervisor.Reply, *supervisor.HoldAnswer)) {
+	var lists *supervisor.HoldAnswer
+	e.call(c.Life, c.Wait+holdTimeout, func() supervisor.Reply {
 		if c.Token < e.token {
-			return worker.Reply{Outcome: worker.RefusedFence}
+			return supervisor.Reply{Outcome: supervisor.RefusedFence}
 		}
 		e.token = c.Token
 		if c.Deadline > 0 {
 			e.extend(c.Deadline)
 		}
-		e.ended = slices.DeleteFunc(e.ended, func(r worker.EndedRow) bool { return r.N <= c.LastSeen })
+		e.ended = slices.DeleteFunc(e.ended, func(r supervisor.EndedRow) bool { return r.N <= c.LastSeen })
 		lists = e.lists()
-		return worker.Reply{}
-	}, func(reply worker.Reply) {
-		if reply.Outcome != worker.Accepted || len(lists.Ended) > 0 || c.Wait == 0 {
+		return supervisor.Reply{}
+	}, func(reply supervisor.Reply) {
+		if reply.Outcome != supervisor.Accepted || len(lists.Ended) > 0 || c.Wait == 0 {
 			answer(reply, lists)
 			return
 		}
-		e.poll(c.Wait, func() { answer(worker.Reply{Clock: e.clock(), HasClock: true}, e.lists()) })
+		e.poll(c.Wait, func() { answer(supervisor.Reply{Clock: e.clock(), HasClock: true}, e.lists()) })
 	})
 }
 
@@ -307,10 +307,10 @@
 	})
 }
 
-func (e *emulated) lists() *worker.HoldAnswer {
-	a := &worker.HoldAnswer{Ended: slices.Clone(e.ended)}
+func (e *emulated) lists() *supervisor.HoldAnswer {
+	a := &supervisor.HoldAnswer{Ended: slices.Clone(e.ended)}
 	for _, r := range e.sorted() {
-		a.Running = append(a.Running, worker.RunningRow{Name: r.name, Run: r.order.Run})
+		a.Running = append(a.Running, supervisor.RunningRow{Name: r.name, Run: r.order.Run})
 	}
 	return a
 }
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -11,9 +11,10 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/owner"
+	"github.com/beaconpoint/beaconpoint/peer"
+	"github.com/beaconpoint/beaconpoint/supervisor"
 	"github.com/beaconpoint/beaconpoint/task"
 	"github.com/beaconpoint/beaconpoint/testutil/vtime"
-	"github.com/beaconpoint/beaconpoint/worker"
 )
 
 const service = "trackd"
@@ -49,7 +50,7 @@
 	CPU     int
 	Speeds  []float64
 	// Rules and Clear are the mechanisms under test.
-	Rules worker.Rules
+	Rules supervisor.Rules
 	Clear time.Duration
 	// Silence is how long a connection may be silent before either side gives
 	// it up.
@@ -66,7 +67,7 @@
 	return Config{
 		Seed: seed, Entries: 2, Agents: 3,
 		Length: 14 * time.Second, Interval: 180 * time.Millisecond, Calm: 8 * time.Second,
-		CPU: 8000, Faults: 5, Rules: worker.DefaultRules(), Clear: owner.ClearTime,
+		CPU: 8000, Faults: 5, Rules: supervisor.DefaultRules(), Clear: owner.ClearTime,
 		Silence:  800 * time.Millisecond,
 		Patience: 3 * time.Second, Guess: 150 * time.Millisecond, LongGuess: 700 * time.Millisecond,
 		Log: slog.New(slog.DiscardHandler),
@@ -102,8 +103,10 @@
 	// times the usual rate its jobs come, zero meaning once.
 	Credits []Credit
 	Surge   float64
-	Frames  int         // sent between entries and agents
-	ended   owner.Stats // of the entries' earlier lives
+	Frames  int // sent between entries and agents
+	// Sent, where it is set, is given each frame that a process sends.
+	Sent  func(from string, f *peer.Frame)
+	ended owner.Stats // of the entries' earlier lives
 	// Broken is the first rule that was broken, empty while none is.
 	Broken string
 }
@@ -175,6 +178,14 @@
 	}
 }
 
+// sent counts a frame on its way.
+func (w *World) sent(from string, f *peer.Frame) {
+	w.Frames++
+	if w.Sent != nil {
+		w.Sent(from, f)
+	}
+}
+
 // checkStart watches a run that begins on a worker.
 func (w *World) checkStart(e *emulated, r *emulatedRun) {
 	w.Counts.Starts++
