--- a/cmd/beaconpoint/node.go
+++ b/cmd/beaconpoint/node.go
@@ -58,14 +58,14 @@
 func newEntryNode(s settings.Node, log *slog.Logger) *node.Entry {
 	store := platform.NewStore(s.Store)
 	e := node.NewEntry(s, store.Directory(), store.Source(), log)
-	e.Serve = platform.NewFront(e, s.Callers, s.Readiness, log).Serve
+	e.Serve = platform.NewCallerAPI(e, s.Callers, s.Readiness, log).Serve
 	return e
 }
 
 func newAgentNode(s settings.Node, log *slog.Logger) *node.Agent {
 	store := platform.NewStore(s.Store)
-	a := node.NewAgent(s, store.Directory(), platform.NewWorker(s.Worker).Calls(), log)
-	a.Serve = platform.NewReports(a, s.Reports).Serve
+	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.Target).Calls(), log)
+	a.Serve = platform.NewTargetAPI(a, s.Reports).Serve
 	return a
 }
 
--- a/code/code.go
+++ b/code/code.go
@@ -86,24 +86,24 @@
 
 // Reasons why a run of a task did not begin or has ended (7xx).
 const (
-	RunListed        Code = 700
-	RunNoRoom        Code = 701
-	RunStaleOwner    Code = 702
-	RunNotTaking     Code = 703
-	RunPresent       Code = 704
-	RunOld           Code = 705
-	RunLate          Code = 706
-	RunFenced        Code = 707
-	RunWorkerRefuses Code = 708
-	RunBadCall       Code = 709
-	RunAbsent        Code = 710
-	RunWorkerGone    Code = 711
-	RunWorkerSilent  Code = 712
-	RunOwnerStops    Code = 713
-	RunOwnerGone     Code = 714
-	RunOwnerSilent   Code = 715
-	RunOverLimit     Code = 716
-	RunWorkerRoom    Code = 717
+	RunListed          Code = 700
+	RunNoRoom          Code = 701
+	RunStaleOwner      Code = 702
+	RunNotTaking       Code = 703
+	RunPresent         Code = 704
+	RunOld             Code = 705
+	RunLate            Code = 706
+	RunFenced          Code = 707
+	RunTargetUnhealthy Code = 708
+	RunBadCall         Code = 709
+	RunAbsent          Code = 710
+	RunTargetGone      Code = 711
+	RunTargetSilent    Code = 712
+	RunOwnerStops      Code = 713
+	RunOwnerGone       Code = 714
+	RunOwnerSilent     Code = 715
+	RunOverLimit       Code = 716
+	RunTargetRoom      Code = 717
 )
 
 // Reasons of an entry's and an agent's judgements (8xx).
@@ -117,12 +117,12 @@
 	JobUnsupported  Code = 807
 	JobNoConfig     Code = 808
 	JobBehind       Code = 809
-	RunMovedSick    Code = 811
+	RunMovedEjected Code = 811
 	RunMovedOverdue Code = 812
-	WorkerFails     Code = 821
-	WorkerSlow      Code = 822
-	WorkerOverdue   Code = 823
-	WorkerWell      Code = 824
+	TargetFails     Code = 821
+	TargetSlow      Code = 822
+	TargetOverdue   Code = 823
+	TargetRecovered Code = 824
 )
 
 // Entry describes one code for people: the table in docs/result-codes.md is
--- a/estimate/estimator.go
+++ b/estimate/estimator.go
@@ -9,27 +9,27 @@
 
 // What is assumed before anything is learned, as variances of logarithms.
 const (
-	priorSpread = 0.25 // of the work of one queue's jobs
-	priorError  = 0.16 // of the callers' guesses
+	priorWorkVariance  = 0.25 // of the work of one queue's jobs
+	priorGuessVariance = 0.16 // of the callers' guesses
 )
 
 // Bounds of the learning.
 const (
-	// memory is how many jobs the averages look back over.
-	memory = 200
-	// trust is how many jobs must have ended before their average counts in
+	// maxJobs is how many jobs the averages look back over.
+	maxJobs = 200
+	// fullTrustJobs is how many jobs must have ended before their average counts in
 	// full.
-	trust = 8
-	// shortest is the shortest duration that is told apart.
-	shortest = time.Millisecond
+	fullTrustJobs = 8
+	// unit is the shortest duration that is told apart.
+	unit = time.Millisecond
 )
 
 // Estimator learns from the jobs of one queue. Its zero value is not usable; use
 // NewEstimator.
 type Estimator struct {
-	jobs   float64
-	work   average // logarithm of the work
-	excess average // logarithm of the guess over the work
+	seen       float64
+	work       average // logarithm of the work
+	guessError average // logarithm of the guess over the work
 }
 
 // average is a decaying mean and variance.
@@ -46,34 +46,34 @@
 
 // NewEstimator returns an estimator that knows nothing yet.
 func NewEstimator() *Estimator {
-	return &Estimator{work: average{variance: priorSpread}, excess: average{variance: priorError}}
+	return &Estimator{work: average{variance: priorWorkVariance}, guessError: average{variance: priorGuessVariance}}
 }
 
 // Learn takes in that a job with this guess took so long on a worker of
 // speed 1.
 func (e *Estimator) Learn(guess, took time.Duration) {
 	g, w := logarithm(guess), logarithm(took)
-	if e.jobs == 0 {
+	if e.seen == 0 {
 		e.work.mean = w
 	}
-	e.jobs = min(e.jobs+1, memory)
-	weight := 1 / (e.jobs + 1)
+	e.seen = min(e.seen+1, maxJobs)
+	weight := 1 / (e.seen + 1)
 	e.work.add(w, weight)
-	e.excess.add(g-w, weight)
+	e.guessError.add(g-w, weight)
 }
 
 // Likely returns how long a job with this guess likely takes on a worker of
 // speed 1: the guess, corrected by its usual error, and drawn towards what the
 // queue's jobs usually take, each by its certainty.
 func (e *Estimator) Likely(guess time.Duration) time.Duration {
-	corrected := logarithm(guess) - e.excess.mean
-	byGuess := 1 / max(e.excess.variance, 0.001)
-	byQueue := min(1, e.jobs/trust) / max(e.work.variance, 0.001)
+	corrected := logarithm(guess) - e.guessError.mean
+	byGuess := 1 / max(e.guessError.variance, 0.001)
+	byQueue := min(1, e.seen/fullTrustJobs) / max(e.work.variance, 0.001)
 	mean := (corrected*byGuess + e.work.mean*byQueue) / (byGuess + byQueue)
-	return time.Duration(math.Exp(mean) * float64(shortest))
+	return time.Duration(math.Exp(mean) * float64(unit))
 }
 
 // logarithm returns the natural logarithm of d in units of the shortest.
 func logarithm(d time.Duration) float64 {
-	return math.Log(max(1, float64(d)/float64(shortest)))
+	return math.Log(max(1, float64(d)/float64(unit)))
 }
--- a/event/event.go
+++ b/event/event.go
@@ -27,36 +27,36 @@
 
 // Kinds of an entry's decisions.
 const (
-	AgentConnected Kind = "agent-connected"
-	AgentLost      Kind = "agent-lost"
-	AgentMoved     Kind = "agent-moved"
-	AgentForgotten Kind = "agent-forgotten"
-	WorkerSick     Kind = "worker-sick"
-	JobAccepted    Kind = "job-accepted"
-	JobRefused     Kind = "job-refused"
-	TaskPlaced     Kind = "task-placed"
-	TaskMoved      Kind = "task-moved"
-	TaskWaits      Kind = "task-waits"
-	JobAnswered    Kind = "job-answered"
-	JobCancelled   Kind = "job-cancelled"
+	AgentConnected     Kind = "agent-connected"
+	AgentLost          Kind = "agent-lost"
+	AgentMoved         Kind = "agent-moved"
+	AgentForgotten     Kind = "agent-forgotten"
+	AgentTargetEjected Kind = "worker-sick"
+	JobAccepted        Kind = "job-accepted"
+	JobRefused         Kind = "job-refused"
+	TaskPlaced         Kind = "task-placed"
+	TaskMoved          Kind = "task-moved"
+	TaskWaits          Kind = "task-waits"
+	JobAnswered        Kind = "job-answered"
+	JobCancelled       Kind = "job-cancelled"
 )
 
 // Kinds of an agent's decisions.
 const (
-	EntryConnected     Kind = "entry-connected"
-	EntryLost          Kind = "entry-lost"
-	OwnerLeaseOver     Kind = "owner-lease-over"
-	WorkerLife         Kind = "worker-life"
-	WorkerLifeOver     Kind = "worker-life-over"
-	WorkerServing      Kind = "worker-serving"
-	WorkerDraining     Kind = "worker-draining"
-	WorkerDeregistered Kind = "worker-deregistered"
-	WorkerHealth       Kind = "worker-health"
-	StartRefused       Kind = "start-refused"
-	StartUnanswered    Kind = "start-unanswered"
-	StartRejected      Kind = "start-rejected"
-	RunStopping        Kind = "run-stopping"
-	RunEnded           Kind = "run-ended"
+	EntryConnected        Kind = "entry-connected"
+	EntryLost             Kind = "entry-lost"
+	OwnerLeaseOver        Kind = "owner-lease-over"
+	TargetIncarnation     Kind = "worker-life"
+	TargetIncarnationOver Kind = "worker-life-over"
+	TargetServing         Kind = "worker-serving"
+	TargetDraining        Kind = "worker-draining"
+	TargetDeregistered    Kind = "worker-deregistered"
+	TargetHealth          Kind = "worker-health"
+	StartRefused          Kind = "start-refused"
+	StartUnanswered       Kind = "start-unanswered"
+	StartRejected         Kind = "start-rejected"
+	RunStopping           Kind = "run-stopping"
+	RunEnded              Kind = "run-ended"
 )
 
 // Entry describes a kind of line for people: docs/log-events.md is made from
@@ -86,7 +86,7 @@
 	{AgentLost, false, "It has lost it: its runs there are in doubt for the given time."},
 	{AgentMoved, false, "An agent is at another address."},
 	{AgentForgotten, false, "An agent could not be reached for minutes: its address is removed."},
-	{WorkerSick, false, "An agent tells that its worker is sick: runs there are moved."},
+	{AgentTargetEjected, false, "An agent tells that its worker is sick: runs there are moved."},
 	{JobAccepted, true, "A job has come: its objective, the estimate and the caller's guess of its longest chain, how long the caller waits, how many jobs wait."},
 	{JobRefused, false, "A job was turned away at the door."},
 	{TaskPlaced, true, "A task was ordered at an agent: how old the agent's state was, the room it is believed to have left, how long the job had waited."},
@@ -98,12 +98,12 @@
 	{EntryConnected, false, "An agent has a connection of an entry."},
 	{EntryLost, false, "It has lost it: the entry's runs are stopped."},
 	{OwnerLeaseOver, false, "An entry was silent for its lease: its run is stopped."},
-	{WorkerLife, false, "A worker's heartbeat tells of a life that is new here."},
-	{WorkerLifeOver, false, "A call was answered by another life of the worker."},
-	{WorkerServing, false, "Nothing of an earlier agent is left on the worker: it takes work."},
-	{WorkerDraining, false, "The worker leaves: it gets no more work."},
-	{WorkerDeregistered, false, "The worker ends."},
-	{WorkerHealth, false, "The worker is judged sick, or well again."},
+	{TargetIncarnation, false, "A worker's heartbeat tells of a life that is new here."},
+	{TargetIncarnationOver, false, "A call was answered by another life of the worker."},
+	{TargetServing, false, "Nothing of an earlier agent is left on the worker: it takes work."},
+	{TargetDraining, false, "The worker leaves: it gets no more work."},
+	{TargetDeregistered, false, "The worker ends."},
+	{TargetHealth, false, "The worker is judged sick, or well again."},
 	{StartRefused, true, "An order was not taken: what it needs, what is free, the age of the entry's lease."},
 	{StartUnanswered, false, "The worker did not answer a start: it may be done yet."},
 	{StartRejected, false, "The worker rejected a start."},
--- a/event/explain.go
+++ b/event/explain.go
@@ -58,8 +58,8 @@
 
 // causes are the kinds that explain what became of a job's runs.
 var causes = map[Kind]bool{
-	AgentLost: true, EntryLost: true, WorkerSick: true, WorkerHealth: true, WorkerLife: true, WorkerLifeOver: true,
-	WorkerDraining: true, Stopping: true, Start: true, StoreLost: true, LinesDropped: true,
+	AgentLost: true, EntryLost: true, AgentTargetEjected: true, TargetHealth: true, TargetIncarnation: true, TargetIncarnationOver: true,
+	TargetDraining: true, Stopping: true, Start: true, StoreLost: true, LinesDropped: true,
 }
 
 // Explain gathers what the logs tell of a job, by its id or by that of a request
--- a/node/agent.go
+++ b/node/agent.go
@@ -20,30 +20,30 @@
 type Agent struct {
 	settings  settings.Node
 	directory Directory
-	calls     WorkerCalls
+	target    TargetCalls
 	log       *slog.Logger
-	clock     steady
+	clock     steadyClock
 
 	// Serve takes the worker's heartbeats until the context ends.
 	Serve func(ctx context.Context) error
 
 	metrics      *metrics.Set
 	startSeconds *metrics.Histogram
-	holdSeconds  *metrics.Histogram
+	renewSeconds *metrics.Histogram
 	stages       [supervisor.Stages]*metrics.Histogram
 
-	mu         sync.Mutex
-	supervisor *supervisor.Supervisor
-	conns      map[supervisor.ConnID]*agentConn
-	next       supervisor.ConnID
-	entries    map[string]string // addresses by name
-	document   []byte            // the newest configuration that any entry sent
-	config     uint64
-	asker      asker
-	flushing   bool
-	awake      chan struct{} // the worker has sent a heartbeat
-	shaken     chan struct{} // answers of the worker get lost
-	parted     chan struct{} // an entry may be missing
+	mu              sync.Mutex
+	supervisor      *supervisor.Supervisor
+	conns           map[supervisor.ConnID]*agentConn
+	next            supervisor.ConnID
+	entries         map[string]string // addresses by name
+	document        []byte            // the newest configuration that any entry sent
+	configVersion   uint64
+	documentRequest documentRequest
+	flushing        bool
+	heartbeatSeen   chan struct{} // the worker has sent a heartbeat
+	repliesLost     chan struct{} // answers of the worker get lost
+	entryMissing    chan struct{} // an entry may be missing
 }
 
 // agentConn is a connection of an entry.
@@ -54,25 +54,25 @@
 }
 
 // NewAgent returns an agent that is not running yet.
-func NewAgent(s settings.Node, d Directory, calls WorkerCalls, log *slog.Logger) *Agent {
+func NewAgent(s settings.Node, d Directory, calls TargetCalls, log *slog.Logger) *Agent {
 	a := &Agent{
-		settings:   s,
-		directory:  d,
-		calls:      calls,
-		log:        log,
-		clock:      newSteady(),
-		supervisor: supervisor.NewSupervisor(log),
-		conns:      make(map[supervisor.ConnID]*agentConn),
-		entries:    make(map[string]string),
-		awake:      make(chan struct{}, 1),
-		shaken:     make(chan struct{}, 1),
-		parted:     make(chan struct{}, 1),
+		settings:      s,
+		directory:     d,
+		target:        calls,
+		log:           log,
+		clock:         newSteadyClock(),
+		supervisor:    supervisor.NewSupervisor(log),
+		conns:         make(map[supervisor.ConnID]*agentConn),
+		entries:       make(map[string]string),
+		heartbeatSeen: make(chan struct{}, 1),
+		repliesLost:   make(chan struct{}, 1),
+		entryMissing:  make(chan struct{}, 1),
 	}
 	a.metrics = newAgentMetrics(a)
 	a.supervisor.Start = func(c supervisor.StartCall) { go a.start(c) }
 	a.supervisor.Stop = func(c supervisor.StopCall) { go a.stopRun(c) }
 	a.supervisor.Send = a.send
-	a.supervisor.Observe = func(s supervisor.Stage, took time.Duration) { a.stages[s].Update(took.Seconds()) }
+	a.supervisor.ObserveStage = func(s supervisor.Stage, took time.Duration) { a.stages[s].Update(took.Seconds()) }
 	return a
 }
 
@@ -82,10 +82,10 @@
 	defer a.mu.Unlock()
 	a.supervisor.Heartbeat(a.clock.now(), r)
 	select {
-	case a.awake <- struct{}{}:
+	case a.heartbeatSeen <- struct{}{}:
 	default:
 	}
-	a.later()
+	a.scheduleFlush()
 }
 
 // Deregister takes the worker's word that it ends.
@@ -93,18 +93,18 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.supervisor.Deregister(a.clock.now(), id)
-	a.later()
+	a.scheduleFlush()
 }
 
 // Run runs the agent until the context ends, and then until nothing runs or the
 // grace is over.
 func (a *Agent) Run(ctx context.Context) error {
-	a.log.Info(event.Start, "role", "agent", "name", a.settings.Name, "zone", a.settings.Zone)
+	a.log.Info(event.Start, "role", "agent", "name", a.settings.Name, "zone", a.settings.Hall)
 	hard, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var g run.Group
 	g.Add(func() error { return a.stop(ctx, hard) }, func(error) { end() })
-	for _, do := range []func(context.Context) error{a.Serve, a.serveMetrics, a.listen, a.tick, a.hold, a.holdBeside, a.find, a.introduce} {
+	for _, do := range []func(context.Context) error{a.Serve, a.serveMetrics, a.listen, a.tick, a.renewLoop, a.renewBesideLoop, a.find, a.introduce} {
 		g.Add(func() error { return do(hard) }, func(error) { end() })
 	}
 	err := g.Run()
@@ -170,7 +170,7 @@
 			break
 		}
 		watchdog.Reset(peerSilence)
-		a.heard(id, f)
+		a.receive(id, f)
 	}
 	a.disconnect(id)
 }
@@ -189,12 +189,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.conns, id)
-	a.part()
+	a.notifyMissing()
 	a.supervisor.Disconnected(a.clock.now(), id)
-	a.later()
+	a.scheduleFlush()
 }
 
-func (a *Agent) heard(id supervisor.ConnID, f *peer.Frame) {
+func (a *Agent) receive(id supervisor.ConnID, f *peer.Frame) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	c := a.conns[id]
@@ -202,15 +202,15 @@
 		return
 	}
 	c.echo = max(c.echo, f.Stamp)
-	if len(f.Document) > 0 && f.Config > a.config {
-		a.config = f.Config
+	if len(f.Document) > 0 && f.Config > a.configVersion {
+		a.configVersion = f.Config
 		a.document = f.Document
-		a.asker = asker{}
+		a.documentRequest = documentRequest{}
 	}
 	now := a.clock.now()
 	a.passDocument(now, id, f)
-	a.supervisor.Heard(now, id, f)
-	a.later()
+	a.supervisor.Receive(now, id, f)
+	a.scheduleFlush()
 }
 
 // send sends a frame to an entry. It is called with the lock held.
@@ -220,16 +220,16 @@
 		return
 	}
 	f.Echo = c.echo
-	f.Config = a.config
+	f.Config = a.configVersion
 	c.conn.Send(f)
 }
 
-// later has a state that waits to be told sent in time. It is called with the
+// scheduleFlush has a state that waits to be told sent in time. It is called with the
 // lock held.
-func (a *Agent) later() {
-	if a.supervisor.Shaky(a.clock.now()) {
+func (a *Agent) scheduleFlush() {
+	if a.supervisor.LosingReplies(a.clock.now()) {
 		select {
-		case a.shaken <- struct{}{}:
+		case a.repliesLost <- struct{}{}:
 		default:
 		}
 	}
@@ -243,7 +243,7 @@
 		defer a.mu.Unlock()
 		a.flushing = false
 		a.supervisor.Flush(a.clock.now())
-		a.later()
+		a.scheduleFlush()
 	})
 }
 
@@ -254,7 +254,7 @@
 		now := a.clock.now()
 		a.supervisor.Tick(now)
 		a.supervisor.Heartbeats(now, now-heartbeatInterval)
-		a.later()
+		a.scheduleFlush()
 		a.mu.Unlock()
 	}
 	return nil
--- a/node/configure.go
+++ b/node/configure.go
@@ -21,8 +21,8 @@
 	firstConfigTime = 400 * time.Millisecond
 )
 
-// watch takes the configuration from its source as it is and as it changes.
-func (e *Entry) watch(ctx context.Context) {
+// watchConfig takes the configuration from its source as it is and as it changes.
+func (e *Entry) watchConfig(ctx context.Context) {
 	read := &storeCall{name: "config", log: e.log}
 	wait := &storeCall{name: "watch", log: e.log}
 	var at uint64 // the store's revision; zero: read anew
@@ -32,7 +32,7 @@
 			continue
 		}
 		wait.try(ctx, watchWait, func(ctx context.Context) error {
-			next, err := e.source.Watch(ctx, at, watchWait, e.take)
+			next, err := e.source.Watch(ctx, at, watchWait, e.applyDocument)
 			if err == nil {
 				at = next
 			}
@@ -47,7 +47,7 @@
 	var at uint64
 	done := call.try(ctx, 0, func(ctx context.Context) error {
 		var err error
-		at, err = e.source.Read(ctx, e.take)
+		at, err = e.source.Read(ctx, e.applyDocument)
 		return err
 	})
 	if done && at == 0 {
@@ -56,9 +56,9 @@
 	return at
 }
 
-// take takes a configuration document from the store or from an agent, if it
+// applyDocument takes a configuration document from the store or from an agent, if it
 // is newer than the one in force.
-func (e *Entry) take(document []byte) {
+func (e *Entry) applyDocument(document []byte) {
 	table, err := e.source.Parse(document)
 	if err != nil {
 		e.log.Error(event.ConfigRefused, "why", err.Error())
@@ -71,7 +71,7 @@
 		return
 	}
 	e.document = document
-	e.asker = asker{}
+	e.documentRequest = documentRequest{}
 	e.table.Store(table)
 	if old == nil {
 		close(e.configured)
--- a/node/document.go
+++ b/node/document.go
@@ -11,43 +11,43 @@
 // large and the links narrow, so that it is only sent to who asks for it: each
 // frame names the version that its sender knows.
 const (
-	// askTimeout is how long after an ask that brought nothing the next peer is
+	// documentTimeout is how long after an ask that brought nothing the next peer is
 	// asked.
-	askTimeout = 500 * time.Millisecond
-	// watchLead is how long an entry that has a configuration waits for its own
+	documentTimeout = 500 * time.Millisecond
+	// watchHeadStart is how long an entry that has a configuration waits for its own
 	// watch of the store before it asks an agent for a newer one.
-	watchLead = 300 * time.Millisecond
+	watchHeadStart = 300 * time.Millisecond
 	// documentRate is how many bytes of documents an entry sends a second; who
 	// asks beyond that asks another entry, or again.
 	documentRate = 1 << 20
 )
 
-// asker decides when a newer document is asked for.
-type asker struct {
+// documentRequest decides when a newer document is asked for.
+type documentRequest struct {
 	aheadSince time.Duration // since when a newer version is known of; zero: none is
 	askedAt    time.Duration // when the last ask was sent; zero: none is under way
 }
 
 // due reports whether the peer that knows a newer version is to be asked now,
 // and takes note of it. No version is known to be newer for less than the lead.
-func (a *asker) due(now, lead time.Duration) bool {
+func (a *documentRequest) due(now, lead time.Duration) bool {
 	if a.aheadSince == 0 {
 		a.aheadSince = now
 	}
-	if now-a.aheadSince < lead || a.askedAt > 0 && now-a.askedAt < askTimeout {
+	if now-a.aheadSince < lead || a.askedAt > 0 && now-a.askedAt < documentTimeout {
 		return false
 	}
 	a.askedAt = now
 	return true
 }
 
-// pacer bounds how much is sent a second.
-type pacer struct {
+// documentPacer bounds how much is sent a second.
+type documentPacer struct {
 	freeAt time.Duration
 }
 
 // take reports whether so many bytes may be sent now, and takes note of them.
-func (p *pacer) take(now time.Duration, bytes int) bool {
+func (p *documentPacer) take(now time.Duration, bytes int) bool {
 	if now < p.freeAt {
 		return false
 	}
@@ -58,24 +58,24 @@
 // passDocument asks the agent for its document where it knows a newer one, and
 // sends it this entry's where it asks. It is called with the lock held.
 func (e *Entry) passDocument(now time.Duration, agent string, f *peer.Frame) {
-	lead := watchLead
+	lead := watchHeadStart
 	if e.document == nil {
 		lead = 0
 	}
-	if f.Config > e.version() && e.asker.due(now, lead) {
-		e.send(agent, &peer.Frame{Ask: true})
+	if f.Config > e.version() && e.documentRequest.due(now, lead) {
+		e.send(agent, &peer.Frame{AskDocument: true})
 	}
-	if f.Ask && e.document != nil && e.pacer.take(now, len(e.document)) {
+	if f.AskDocument && e.document != nil && e.documentPacer.take(now, len(e.document)) {
 		e.send(agent, &peer.Frame{Document: e.document})
 	}
 }
 
 // passDocument is the same of an agent.
 func (a *Agent) passDocument(now time.Duration, id supervisor.ConnID, f *peer.Frame) {
-	if f.Config > a.config && a.asker.due(now, 0) {
-		a.send(id, &peer.Frame{Ask: true})
+	if f.Config > a.configVersion && a.documentRequest.due(now, 0) {
+		a.send(id, &peer.Frame{AskDocument: true})
 	}
-	if f.Ask && a.document != nil {
+	if f.AskDocument && a.document != nil {
 		a.send(id, &peer.Frame{Document: a.document})
 	}
 }
--- a/node/document_test.go
+++ b/node/document_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func asks(f *peer.Frame) bool      { return f.Ask }
+func asks(f *peer.Frame) bool      { return f.AskDocument }
 func documents(f *peer.Frame) bool { return len(f.Document) > 0 }
 
 // TestAnAgentAsksOneEntryForANewConfiguration: sent by all entries to all agents
@@ -64,26 +64,26 @@
 // anew with the same document.
 func TestAnAgentAsksOneEntryForANewConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := NewAgent(settings.DefaultNode(), Directory{}, WorkerCalls{}, slog.New(slog.DiscardHandler))
+		a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
 		taps := []*wiretap{newWiretap(t), newWiretap(t), newWiretap(t)}
 		for k, tap := range taps {
 			assert.Equal(t, int(a.connect(tap.conn, &peer.Hello{Role: peer.RoleEntry, Name: string(rune('a' + k))})), k+1)
 		}
 		tell := func() (asked int) {
 			for k, tap := range taps {
-				a.heard(supervisor.ConnID(k+1), &peer.Frame{Config: 5, Stamp: a.clock.now()})
+				a.receive(supervisor.ConnID(k+1), &peer.Frame{Config: 5, Stamp: a.clock.now()})
 				asked += tap.count(asks)
 			}
 			return asked
 		}
 		assert.Equal(t, tell(), 1)
 		assert.Equal(t, tell(), 0) // its answer is under way
-		time.Sleep(askTimeout)
+		time.Sleep(documentTimeout)
 		assert.Equal(t, tell(), 1) // it was lost
-		a.heard(1, &peer.Frame{Config: 5, Document: []byte("{}")})
-		time.Sleep(askTimeout)
+		a.receive(1, &peer.Frame{Config: 5, Document: []byte("{}")})
+		time.Sleep(documentTimeout)
 		assert.Equal(t, tell(), 0)
-		a.heard(2, &peer.Frame{Ask: true}) // an entry that has begun anew
+		a.receive(2, &peer.Frame{AskDocument: true}) // an entry that has begun anew
 		assert.Equal(t, taps[1].count(documents), 1)
 		assert.Equal(t, taps[0].count(documents), 0)
 	})
@@ -93,17 +93,17 @@
 func TestAnEntryPacesItsDocuments(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEntry(&store{})
-		e.take(make([]byte, documentRate/4))
+		e.applyDocument(make([]byte, documentRate/4))
 		const agents = 20
 		taps := make([]*wiretap, agents)
 		for k := range taps {
 			taps[k] = newWiretap(t)
 			name := string(rune('a' + k))
-			e.links[name] = &link{member: Member{Name: name}, conn: taps[k].conn}
+			e.links[name] = &link{registration: Registration{Name: name}, conn: taps[k].conn}
 		}
 		ask := func() (sent int) {
 			for k, tap := range taps {
-				e.heard(e.links[string(rune('a'+k))], tap.conn, &peer.Frame{Ask: true})
+				e.receive(e.links[string(rune('a'+k))], tap.conn, &peer.Frame{AskDocument: true})
 				sent += tap.count(documents)
 			}
 			return sent
@@ -121,18 +121,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEntry(&store{})
 		tap := newWiretap(t)
-		l := &link{member: Member{Name: "a"}, conn: tap.conn}
+		l := &link{registration: Registration{Name: "a"}, conn: tap.conn}
 		e.links["a"] = l
 		hear := func() int {
-			e.heard(l, tap.conn, &peer.Frame{Config: 7})
+			e.receive(l, tap.conn, &peer.Frame{Config: 7})
 			return tap.count(asks)
 		}
 		assert.Equal(t, hear(), 1)
-		e.take([]byte("12345")) // version 5
+		e.applyDocument([]byte("12345")) // version 5
 		assert.Equal(t, hear(), 0)
-		time.Sleep(watchLead)
+		time.Sleep(watchHeadStart)
 		assert.Equal(t, hear(), 1)
-		e.take([]byte("1234567"))
+		e.applyDocument([]byte("1234567"))
 		time.Sleep(time.Second)
 		assert.Equal(t, hear(), 0)
 	})
--- a/node/entry.go
+++ b/node/entry.go
@@ -20,9 +20,9 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// serveOn is how long an entry that was told to stop still takes requests: so
+// serveAfterStop is how long an entry that was told to stop still takes requests: so
 // long others may go on sending them here.
-const serveOn = 2600 * time.Millisecond
+const serveAfterStop = 2600 * time.Millisecond
 
 // graceMargin is how long before the end of the grace everything is closed.
 const graceMargin = 300 * time.Millisecond
@@ -33,7 +33,7 @@
 	directory Directory
 	source    ConfigSource
 	log       *slog.Logger
-	clock     steady
+	clock     steadyClock
 
 	// Serve runs the callers' interface until the context ends, and closes
 	// it then without cutting a request off, as long as the second context
@@ -49,12 +49,12 @@
 	startedAt  time.Duration
 	configured chan struct{}
 
-	mu       sync.Mutex
-	owner    *owner.Owner
-	links    map[string]*link
-	document []byte
-	asker    asker
-	pacer    pacer
+	mu              sync.Mutex
+	owner           *owner.Owner
+	links           map[string]*link
+	document        []byte
+	documentRequest documentRequest
+	documentPacer   documentPacer
 
 	metrics   *metrics.Set
 	submitted *metrics.Histogram
@@ -73,7 +73,7 @@
 		directory: d,
 		source:    c,
 		log:       log,
-		clock:     newSteady(),
+		clock:     newSteadyClock(),
 
 		ForgetAfter: forgetTime,
 
@@ -85,9 +85,9 @@
 	e.startedAt = e.clock.now()
 	e.metrics = newEntryMetrics(e)
 	e.owner.Send = e.send
-	e.owner.Observe = func(s owner.Stage, took time.Duration) { e.stages[s].Update(took.Seconds()) }
-	e.owner.Answered = e.CountAnswer
-	e.owner.Far = s.Far
+	e.owner.ObserveStage = func(s owner.Stage, took time.Duration) { e.stages[s].Update(took.Seconds()) }
+	e.owner.CountAnswer = e.CountAnswer
+	e.owner.FarFactor = s.Far
 	return e
 }
 
@@ -130,14 +130,14 @@
 func (e *Entry) Cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.owner.CancelAll(e.clock.now(), id)
+	return e.owner.CancelJob(e.clock.now(), id)
 }
 
-// Waiting returns how many jobs of a queue wait for their first start.
-func (e *Entry) Waiting(queue string) int {
+// WaitingJobs returns how many jobs of a queue wait for their first start.
+func (e *Entry) WaitingJobs(queue string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.owner.Waiting(queue)
+	return e.owner.WaitingJobs(queue)
 }
 
 // Stats returns the entry's counts.
@@ -150,7 +150,7 @@
 // Run runs the entry until the context ends, and then until its jobs are
 // answered or the grace is over.
 func (e *Entry) Run(ctx context.Context) error {
-	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "zone", e.settings.Zone)
+	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "zone", e.settings.Hall)
 	hard, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	soft, close := context.WithCancel(hard)
@@ -160,7 +160,7 @@
 	e.add(&g, func() error { return e.Serve(soft, hard) })
 	e.add(&g, func() error { return serveMetrics(hard, e.settings.Metrics, e.metrics) })
 	e.add(&g, func() error { e.tick(hard); return nil })
-	e.add(&g, func() error { e.watch(hard); return nil })
+	e.add(&g, func() error { e.watchConfig(hard); return nil })
 	e.add(&g, func() error { e.find(hard); return nil })
 	e.add(&g, func() error { return listen(hard, e.settings.Peers, e.accept) })
 	g.Add(func() error { <-hard.Done(); return nil }, func(error) { end() })
@@ -187,7 +187,7 @@
 	began := e.clock.now()
 	e.leaving.Store(true)
 	e.log.Info(event.Stopping, "jobs", e.jobs())
-	time.Sleep(min(serveOn, e.settings.Grace/2))
+	time.Sleep(min(serveAfterStop, e.settings.Grace/2))
 	closeFront()
 	for e.jobs() > 0 && e.clock.now()-began < e.settings.Grace-graceMargin {
 		time.Sleep(entryTick)
@@ -217,12 +217,12 @@
 // find calls the agents that the directory names, and registers the entry. The
 // list comes first: an entry that calls an agent is known to it.
 func (e *Entry) find(ctx context.Context) {
-	own := Member{Name: e.settings.Name, Addr: e.settings.Peers}
+	own := Registration{Name: e.settings.Name, Addr: e.settings.Peers}
 	for registered := false; ; {
 		untilDone(ctx, e.log, "list", func(try context.Context) error {
 			agents, err := e.directory.List(try, peer.RoleAgent)
 			for _, m := range agents {
-				e.know(ctx, m)
+				e.addAgent(ctx, m)
 			}
 			return err
 		})
--- a/node/introduce.go
+++ b/node/introduce.go
@@ -12,15 +12,15 @@
 // been without any entry for a while. The list comes first: an agent that knows
 // the entries makes itself known to them.
 func (a *Agent) find(ctx context.Context) error {
-	own := Member{Name: a.settings.Name, Addr: a.settings.Peers}
+	own := Registration{Name: a.settings.Name, Addr: a.settings.Peers}
 	for ctx.Err() == nil {
 		untilDone(ctx, a.log, "list", func(try context.Context) error {
 			entries, err := a.directory.List(try, peer.RoleEntry)
-			a.learn(entries)
+			a.addEntries(entries)
 			return err
 		})
 		untilDone(ctx, a.log, "register", func(try context.Context) error { return a.directory.Register(try, peer.RoleAgent, own) })
-		for alone := time.Duration(0); alone < loneTime && sleep(ctx, lonePoll); alone += lonePoll {
+		for alone := time.Duration(0); alone < aloneTime && sleep(ctx, alonePoll); alone += alonePoll {
 			if a.connected() > 0 {
 				alone = 0
 			}
@@ -29,13 +29,13 @@
 	return nil
 }
 
-func (a *Agent) learn(entries []Member) {
+func (a *Agent) addEntries(entries []Registration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range entries {
 		a.entries[m.Name] = m.Addr
 	}
-	a.part()
+	a.notifyMissing()
 }
 
 func (a *Agent) connected() int {
@@ -53,7 +53,7 @@
 		if len(a.missing()) == 0 {
 			clear(waits)
 			clear(due)
-			a.awaitParted(ctx)
+			a.awaitMissing(ctx)
 			continue
 		}
 		now := a.clock.now()
@@ -75,18 +75,18 @@
 	return nil
 }
 
-// awaitParted waits until an entry may be missing.
-func (a *Agent) awaitParted(ctx context.Context) {
+// awaitMissing waits until an entry may be missing.
+func (a *Agent) awaitMissing(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-a.parted:
+	case <-a.entryMissing:
 	}
 }
 
-// part ends the wait of awaitParted. It is called with the lock held.
-func (a *Agent) part() {
+// notifyMissing ends the wait of awaitParted. It is called with the lock held.
+func (a *Agent) notifyMissing() {
 	select {
-	case a.parted <- struct{}{}:
+	case a.entryMissing <- struct{}{}:
 	default:
 	}
 }
--- a/node/link.go
+++ b/node/link.go
@@ -11,53 +11,53 @@
 
 // link is an entry's connection to one agent, which it keeps calling.
 type link struct {
-	member Member
-	conn   *peer.Conn    // nil while there is none
-	echo   time.Duration // the agent's latest stamp
-	sentAt time.Duration // when the last frame was sent
-	poke   chan struct{} // asks for a try at once
+	registration Registration
+	conn         *peer.Conn    // nil while there is none
+	echo         time.Duration // the agent's latest stamp
+	sentAt       time.Duration // when the last frame was sent
+	retryNow     chan struct{} // asks for a try at once
 }
 
-// know makes the entry call an agent, if it does not yet.
-func (e *Entry) know(ctx context.Context, m Member) {
+// addAgent makes the entry call an agent, if it does not yet.
+func (e *Entry) addAgent(ctx context.Context, m Registration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.links[m.Name]
 	if l != nil {
-		if l.member != m {
+		if l.registration != m {
 			e.log.Info(event.AgentMoved, "agent", m.Name, "addr", m.Addr)
-			l.member = m
+			l.registration = m
 		}
 		select {
-		case l.poke <- struct{}{}:
+		case l.retryNow <- struct{}{}:
 		default:
 		}
 		return
 	}
-	l = &link{member: m, poke: make(chan struct{}, 1)}
+	l = &link{registration: m, retryNow: make(chan struct{}, 1)}
 	e.links[m.Name] = l
-	go e.keep(ctx, l)
+	go e.keepConnected(ctx, l)
 }
 
-// keep connects to an agent again and again.
-func (e *Entry) keep(ctx context.Context, l *link) {
+// keepConnected connects to an agent again and again.
+func (e *Entry) keepConnected(ctx context.Context, l *link) {
 	wait := dialRetry
 	reached := e.clock.now()
 	for ctx.Err() == nil && (e.clock.now()-reached < e.ForgetAfter || !e.forget(ctx, l)) {
 		e.mu.Lock()
-		addr := l.member.Addr
+		addr := l.registration.Addr
 		e.mu.Unlock()
 		raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 		if err == nil {
 			wait = dialRetry
-			e.converse(ctx, l, peer.NewConn(raw))
+			e.serveConnection(ctx, l, peer.NewConn(raw))
 			reached = e.clock.now()
 		} else {
 			wait = min(2*wait, dialRetryMax)
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.poke:
+		case <-l.retryNow:
 			wait = dialRetry
 		case <-time.After(wait):
 		}
@@ -69,14 +69,14 @@
 // not.
 func (e *Entry) forget(ctx context.Context, l *link) bool {
 	e.mu.Lock()
-	m := l.member
+	m := l.registration
 	e.mu.Unlock()
 	if err := e.directory.Forget(ctx, peer.RoleAgent, m); err != nil {
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if l.member != m {
+	if l.registration != m {
 		return false // it has made itself known at another address
 	}
 	delete(e.links, m.Name)
@@ -84,8 +84,8 @@
 	return true
 }
 
-// converse runs one connection to an agent until it ends.
-func (e *Entry) converse(ctx context.Context, l *link, c *peer.Conn) {
+// serveConnection runs one connection to an agent until it ends.
+func (e *Entry) serveConnection(ctx context.Context, l *link, c *peer.Conn) {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
 	go c.Run()
@@ -98,7 +98,7 @@
 			break
 		}
 		watchdog.Reset(peerSilence)
-		e.heard(l, c, f)
+		e.receive(l, c, f)
 	}
 	c.Close()
 	e.disconnect(l)
@@ -113,7 +113,7 @@
 	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers}
 	l.sentAt = e.clock.now()
 	c.Send(&peer.Frame{Hello: hello, Stamp: l.sentAt})
-	e.owner.Connected(l.sentAt, l.member.Name)
+	e.owner.Connected(l.sentAt, l.registration.Name)
 }
 
 func (e *Entry) disconnect(l *link) {
@@ -121,12 +121,12 @@
 	defer e.mu.Unlock()
 	l.conn = nil
 	e.linked.Add(-1)
-	e.owner.Disconnected(e.clock.now(), l.sentAt, l.member.Name)
+	e.owner.Disconnected(e.clock.now(), l.sentAt, l.registration.Name)
 }
 
-func (e *Entry) heard(l *link, c *peer.Conn, f *peer.Frame) {
+func (e *Entry) receive(l *link, c *peer.Conn, f *peer.Frame) {
 	if len(f.Document) > 0 {
-		e.take(f.Document)
+		e.applyDocument(f.Document)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,8 +135,8 @@
 	}
 	l.echo = max(l.echo, f.Stamp)
 	now := e.clock.now()
-	e.passDocument(now, l.member.Name, f)
-	e.owner.Heard(now, l.member.Name, f)
+	e.passDocument(now, l.registration.Name, f)
+	e.owner.Receive(now, l.registration.Name, f)
 }
 
 // send sends the owner's frame to an agent. It is called with the lock held.
@@ -160,7 +160,7 @@
 	if err != nil || f.Hello == nil || f.Hello.Role != peer.RoleAgent {
 		return
 	}
-	e.know(ctx, Member{Name: f.Hello.Name, Addr: f.Hello.Addr})
+	e.addAgent(ctx, Registration{Name: f.Hello.Name, Addr: f.Hello.Addr})
 }
 
 // listen takes connections of peers until the context ends.
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -58,7 +58,7 @@
 	count(`beaconpoint_jobs_total{outcome="refused"}`, func() uint64 { return e.Stats().Refused })
 	count(`beaconpoint_jobs_total{outcome="cancelled"}`, func() uint64 { return e.Stats().Cancelled })
 	count("beaconpoint_starts_total", func() uint64 { return e.Stats().Starts })
-	count("beaconpoint_bounced_total", func() uint64 { return e.Stats().Bounced })
+	count("beaconpoint_bounced_total", func() uint64 { return e.Stats().Rejected })
 	count("beaconpoint_moved_total", func() uint64 { return e.Stats().Moved })
 	count("beaconpoint_jobs", func() uint64 { return uint64(e.jobs()) })
 	count("beaconpoint_agents", func() uint64 { return uint64(e.linked.Load()) })
@@ -95,10 +95,10 @@
 	set.NewGauge("beaconpoint_entries", func() float64 { return float64(a.connected()) })
 	set.NewGauge("beaconpoint_runs", func() float64 { return float64(a.stats().Runs) })
 	set.NewGauge("beaconpoint_room_cpu", func() float64 { return float64(a.stats().FreeCPU) })
-	set.NewGauge("beaconpoint_worker_sick", func() float64 { return float64(a.stats().Sick) })
+	set.NewGauge("beaconpoint_worker_sick", func() float64 { return float64(a.stats().Ejected) })
 	set.NewGauge("beaconpoint_worker_speed", func() float64 { return a.stats().Speed })
 	a.startSeconds = set.NewHistogram("beaconpoint_start_call_seconds")
-	a.holdSeconds = set.NewHistogram("beaconpoint_hold_call_seconds")
+	a.renewSeconds = set.NewHistogram("beaconpoint_hold_call_seconds")
 	for k := range supervisor.Stages {
 		a.stages[k] = set.NewHistogram(fmt.Sprintf("beaconpoint_stage_seconds{stage=%q}", k))
 	}
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -51,9 +51,9 @@
 	log := slog.New(slog.DiscardHandler)
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, log)
 	e.submitted.UpdateDuration(time.Now())
-	a := NewAgent(settings.DefaultNode(), Directory{}, WorkerCalls{}, log)
+	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, log)
 	a.startSeconds.UpdateDuration(time.Now())
-	a.holdSeconds.UpdateDuration(time.Now())
+	a.renewSeconds.UpdateDuration(time.Now())
 	for _, h := range slices.Concat(e.stages[:], a.stages[:]) {
 		h.Update(1)
 	}
--- a/node/renewal.go
+++ b/node/renewal.go
@@ -7,55 +7,55 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// hold keeps the worker's lease and reads its lists.
-func (a *Agent) hold(ctx context.Context) error {
+// renewLoop keeps the worker's lease and reads its lists.
+func (a *Agent) renewLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !a.holdOnce(ctx) {
+		if !a.renewOnce(ctx) {
 			select {
 			case <-ctx.Done():
-			case <-a.awake:
+			case <-a.heartbeatSeen:
 			}
 		}
 	}
 	return nil
 }
 
-// holdBeside keeps a second hold under way while answers get lost.
-func (a *Agent) holdBeside(ctx context.Context) error {
+// renewBesideLoop keeps a second hold under way while answers get lost.
+func (a *Agent) renewBesideLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-a.shaken:
+		case <-a.repliesLost:
 		}
-		for a.shaky() && a.holdOnce(ctx) {
+		for a.losingReplies() && a.renewOnce(ctx) {
 		}
 	}
 }
 
-// shaky reports whether answers of the worker get lost.
-func (a *Agent) shaky() bool {
+// losingReplies reports whether answers of the worker get lost.
+func (a *Agent) losingReplies() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.supervisor.Shaky(a.clock.now())
+	return a.supervisor.LosingReplies(a.clock.now())
 }
 
-// holdOnce makes one hold, and the pause after one that failed. It reports
+// renewOnce makes one hold, and the pause after one that failed. It reports
 // whether there is a worker.
-func (a *Agent) holdOnce(ctx context.Context) bool {
+func (a *Agent) renewOnce(ctx context.Context) bool {
 	a.mu.Lock()
-	c, ok := a.supervisor.NextHold(a.clock.now())
+	c, ok := a.supervisor.NextRenewal(a.clock.now())
 	a.mu.Unlock()
 	if !ok || ctx.Err() != nil {
 		return false
 	}
 	began := time.Now()
-	reply, answer := a.calls.Hold(c)
-	a.holdSeconds.UpdateDuration(began)
+	reply, answer := a.target.Renew(c)
+	a.renewSeconds.UpdateDuration(began)
 	a.mu.Lock()
-	a.supervisor.HoldAnswered(a.clock.now(), c, reply, answer)
-	pause := a.supervisor.HoldPause() - time.Since(began)
-	a.later()
+	a.supervisor.RenewalAnswered(a.clock.now(), c, reply, answer)
+	pause := a.supervisor.RenewalBackoff() - time.Since(began)
+	a.scheduleFlush()
 	a.mu.Unlock()
 	a.pause(ctx, pause)
 	return true
@@ -70,35 +70,35 @@
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-a.awake:
+	case <-a.heartbeatSeen:
 	case <-timer.C:
 	}
 }
 
 func (a *Agent) start(c supervisor.StartCall) {
 	began := time.Now()
-	retry := time.AfterFunc(supervisor.StartRetry+time.Millisecond, a.look)
-	reply := a.calls.Start(c)
+	retry := time.AfterFunc(supervisor.StartRetry+time.Millisecond, a.checkTimeouts)
+	reply := a.target.Start(c)
 	retry.Stop()
 	a.startSeconds.UpdateDuration(began)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.supervisor.StartAnswered(a.clock.now(), c, reply)
-	a.later()
+	a.scheduleFlush()
 }
 
-// look has the state machine look at what has run out of time.
-func (a *Agent) look() {
+// checkTimeouts has the state machine look at what has run out of time.
+func (a *Agent) checkTimeouts() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.supervisor.Tick(a.clock.now())
-	a.later()
+	a.scheduleFlush()
 }
 
 func (a *Agent) stopRun(c supervisor.StopCall) {
-	reply := a.calls.Stop(c)
+	reply := a.target.Stop(c)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.supervisor.StopAnswered(a.clock.now(), c, reply)
-	a.later()
+	a.scheduleFlush()
 }
--- a/node/retry.go
+++ b/node/retry.go
@@ -8,10 +8,10 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// tryTimes are how long the calls of a row of tries to the store may take, over
+// tryTimeouts are how long the calls of a row of tries to the store may take, over
 // and over. A store that was silent has lost the call that waits: the next must
 // come soon after it is back. One that is slow needs a long try now and then.
-var tryTimes = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 900 * time.Millisecond}
+var tryTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 900 * time.Millisecond}
 
 // Intervals between the tries of a row.
 const (
@@ -34,7 +34,7 @@
 // It reports whether it succeeded; after a fault it has paused.
 func (c *storeCall) try(ctx context.Context, extra time.Duration, do func(context.Context) error) bool {
 	began := time.Now()
-	bounded, cancel := context.WithTimeout(ctx, extra+tryTimes[c.tries%len(tryTimes)])
+	bounded, cancel := context.WithTimeout(ctx, extra+tryTimeouts[c.tries%len(tryTimeouts)])
 	err := do(bounded)
 	cancel()
 	if err == nil {
--- a/node/retry_test.go
+++ b/node/retry_test.go
@@ -100,8 +100,8 @@
 		},
 	}
 	directory := Directory{
-		Register: func(ctx context.Context, _ peer.Role, _ Member) error { return s.call(ctx) },
-		List:     func(ctx context.Context, _ peer.Role) ([]Member, error) { return nil, s.call(ctx) },
+		Register: func(ctx context.Context, _ peer.Role, _ Registration) error { return s.call(ctx) },
+		List:     func(ctx context.Context, _ peer.Role) ([]Registration, error) { return nil, s.call(ctx) },
 	}
 	return NewEntry(settings.DefaultNode(), directory, source, slog.New(slog.DiscardHandler))
 }
@@ -115,7 +115,7 @@
 		s := &store{backAt: time.Now().Add(30 * time.Millisecond)}
 		e := newTestEntry(s)
 		began := time.Now()
-		go e.watch(ctx)
+		go e.watchConfig(ctx)
 		assert.Assert(t, e.AwaitTable(ctx) != nil)
 		assert.Assert(t, time.Since(began) < firstConfigTime)
 		end()
@@ -130,7 +130,7 @@
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
 		e := newTestEntry(&store{backAt: time.Now().Add(time.Hour)})
-		go e.watch(ctx)
+		go e.watchConfig(ctx)
 		began := time.Now()
 		assert.Assert(t, e.AwaitTable(ctx) == nil)
 		assert.Equal(t, time.Since(began), firstConfigTime)
--- a/node/seams.go
+++ b/node/seams.go
@@ -12,8 +12,8 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// Member is a process that has registered itself.
-type Member struct {
+// Registration is a process that has registered itself.
+type Registration struct {
 	Name string
 	Addr string
 }
@@ -22,12 +22,12 @@
 // they are gone.
 type Directory struct {
 	// Register makes a process known.
-	Register func(ctx context.Context, role peer.Role, m Member) error
+	Register func(ctx context.Context, role peer.Role, m Registration) error
 	// Forget removes a process, unless it has registered another address
 	// meanwhile.
-	Forget func(ctx context.Context, role peer.Role, m Member) error
+	Forget func(ctx context.Context, role peer.Role, m Registration) error
 	// List returns the processes of a role; it may be some seconds old.
-	List func(ctx context.Context, role peer.Role) ([]Member, error)
+	List func(ctx context.Context, role peer.Role) ([]Registration, error)
 }
 
 // ConfigSource is where the operators' configuration comes from.
@@ -43,12 +43,12 @@
 	Parse func(document []byte) (*routing.Table, error)
 }
 
-// WorkerCalls carries orders to the worker beside an agent. Each call returns
+// TargetCalls carries orders to the worker beside an agent. Each call returns
 // within about a second.
-type WorkerCalls struct {
+type TargetCalls struct {
 	Start func(supervisor.StartCall) supervisor.Reply
 	Stop  func(supervisor.StopCall) supervisor.Reply
-	Hold  func(supervisor.HoldCall) (supervisor.Reply, *supervisor.HoldAnswer)
+	Renew func(supervisor.RenewCall) (supervisor.Reply, *supervisor.RunLists)
 }
 
 // Times of a process.
@@ -72,21 +72,21 @@
 	// forgetTime is how long an agent can't be reached before it is taken to
 	// be gone for good; one that lives registers anew.
 	forgetTime = 2 * time.Minute
-	// loneTime is how long an agent is without an entry before it registers
+	// aloneTime is how long an agent is without an entry before it registers
 	// anew; lonePoll is how often it looks.
-	loneTime = 3 * time.Second
-	lonePoll = 500 * time.Millisecond
+	aloneTime = 3 * time.Second
+	alonePoll = 500 * time.Millisecond
 )
 
-// steady is a process's own clock. It begins at one second, so that zero never
+// steadyClock is a process's own clock. It begins at one second, so that zero never
 // counts as a time.
-type steady struct{ began time.Time }
+type steadyClock struct{ began time.Time }
 
-func newSteady() steady {
-	return steady{began: time.Now().Add(-time.Second)}
+func newSteadyClock() steadyClock {
+	return steadyClock{began: time.Now().Add(-time.Second)}
 }
 
-func (s steady) now() time.Duration {
+func (s steadyClock) now() time.Duration {
 	return time.Since(s.began)
 }
 
--- a/owner/agent.go
+++ b/owner/agent.go
@@ -9,21 +9,21 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// freshness is how long after its last frame an agent is still given work.
-const freshness = 300 * time.Millisecond
+// maxStateAge is how long after its last frame an agent is still given work.
+const maxStateAge = 300 * time.Millisecond
 
 // agent is what the entry believes of one agent and its worker.
 type agent struct {
-	name      string
-	connected bool
-	heardAt   time.Duration
-	sentAt    time.Duration // when the last frame was sent
-	profile   peer.Profile
-	state     peer.State
-	sent      []sent // orders that the state does not take account of yet
-	tasks     map[task.ID]*job
-	wanted    bool // a want is with it
-	wantBy    time.Duration
+	name          string
+	connected     bool
+	heardAt       time.Duration
+	sentAt        time.Duration // when the last frame was sent
+	profile       peer.Profile
+	state         peer.State
+	pending       []pendingOrder // orders that the state does not take account of yet
+	tasks         map[task.ID]*job
+	roomRequested bool // a want is with it
+	requestRank   time.Duration
 	// clearAt is when runs of an earlier connection are surely over.
 	clearAt time.Duration
 	out     peer.Frame
@@ -31,33 +31,33 @@
 	labels  map[string]bool
 }
 
-// sent is room that was taken by the orders of one frame.
-type sent struct {
+// pendingOrder is room that was taken by the orders of one frame.
+type pendingOrder struct {
 	seq   uint64
 	needs task.Needs
 }
 
-// free returns the room that the agent is believed to have for this entry.
-func (a *agent) free() task.Needs {
+// freeRoom returns the room that the agent is believed to have for this entry.
+func (a *agent) freeRoom() task.Needs {
 	free := a.state.Free
-	for _, s := range a.sent {
+	for _, s := range a.pending {
 		free = free.Minus(s.needs)
 	}
 	return free
 }
 
-// ids returns the tasks that are here, in the order of their names.
-func (a *agent) ids() []task.ID {
+// taskIDs returns the tasks that are here, in the order of their names.
+func (a *agent) taskIDs() []task.ID {
 	return slices.SortedFunc(maps.Keys(a.tasks), task.ID.Compare)
 }
 
 // usable reports whether the agent may be given work at now.
 func (a *agent) usable(now time.Duration, service string) bool {
-	return a.connected && a.state.Taking && a.state.Cleared && a.profile.Service == service && now-a.heardAt <= freshness
+	return a.connected && a.state.Accepting && a.state.Cleared && a.profile.Service == service && now-a.heardAt <= maxStateAge
 }
 
-// take replaces the state and forgets the orders that it takes account of.
-func (a *agent) take(st *peer.State) {
+// applyState replaces the state and forgets the orders that it takes account of.
+func (a *agent) applyState(st *peer.State) {
 	if st.Profile != nil {
 		a.profile = *st.Profile
 		a.labels = make(map[string]bool, len(a.profile.Labels))
@@ -66,7 +66,7 @@
 		}
 	}
 	a.state = *st
-	for len(a.sent) > 0 && a.sent[0].seq <= st.Seen {
-		a.sent = a.sent[1:]
+	for len(a.pending) > 0 && a.pending[0].seq <= st.SeenSeq {
+		a.pending = a.pending[1:]
 	}
 }
--- a/owner/job.go
+++ b/owner/job.go
@@ -10,10 +10,10 @@
 type phase uint8
 
 const (
-	waiting phase = iota // to be started
-	placed               // ordered at an agent
-	doubted              // ordered at an agent that was lost: it may run yet
-	done                 // ended well
+	waiting   phase = iota // to be started
+	placed                 // ordered at an agent
+	uncertain              // ordered at an agent that was lost: it may run yet
+	done                   // ended well
 )
 
 // taskState is one task of a job.
@@ -23,10 +23,10 @@
 	agent    string
 	sentAt   time.Duration
 	failures int // runs that failed
-	// ownFailures are those that were not the worker's fault.
-	ownFailures int
-	tries       int
-	stopped     bool // its stop was asked for
+	// taskFailures are those that were not the worker's fault.
+	taskFailures int
+	tries        int
+	stopSent     bool // its stop was asked for
 	// avoid is the agent that a new run should not go to until avoidUntil.
 	avoid      string
 	avoidUntil time.Duration
@@ -34,49 +34,49 @@
 
 // stepState is one step of a job.
 type stepState struct {
-	tasks   []taskState
-	waiting int  // tasks in the phase waiting
-	undone  int  // tasks that are not done
-	known   bool // a task has ended: the estimate is sure
+	tasks    []taskState
+	waiting  int  // tasks in the phase waiting
+	undone   int  // tasks that are not done
+	measured bool // a task has ended: the estimate is sure
 }
 
 // job is a submission that the entry owns.
 type job struct {
-	spec    task.Job
-	arrived time.Duration
-	aimBy   time.Duration // when it stops counting in full
-	lateBy  time.Duration // when it stops counting
-	dieBy   time.Duration // when the caller stops waiting; zero: never
+	spec            task.Job
+	arrived         time.Duration
+	objectiveAt     time.Duration // when it stops counting in full
+	lateObjectiveAt time.Duration // when it stops counting
+	callerDeadline  time.Duration // when the caller stops waiting; zero: never
 	// firstOrder and lastOrder are when the first and the latest order to start
 	// a task was sent; zero: none yet.
 	firstOrder, lastOrder time.Duration
-	// notBefore is when runs of an earlier submission are surely over.
-	notBefore time.Duration
-	steps     []stepState
-	undone    int
-	failedAt  []string // the agents at which a run of it has failed
-	orders    int      // orders to start a task of it that no agent has turned down
-	waiters   map[uint64]func(Answer)
-	size      float64 // its work against its queue's usual, less one
-	rank      time.Duration
-	queue     *queue        // that it waits in
-	spread    time.Duration // from the first to the last start of its waiting tasks
-	index     int           // in the queue's heap, -1 when not in it
+	// clearAt is when runs of an earlier submission are surely over.
+	clearAt      time.Duration
+	steps        []stepState
+	undone       int
+	failedAt     []string // the agents at which a run of it has failed
+	orders       int      // orders to start a task of it that no agent has turned down
+	callers      map[uint64]func(Answer)
+	relativeSize float64 // its work against its queue's usual, less one
+	rank         time.Duration
+	queue        *queue        // that it waits in
+	startSpan    time.Duration // from the first to the last start of its waiting tasks
+	index        int           // in the queue's heap, -1 when not in it
 }
 
 func newJob(now time.Duration, spec task.Job) *job {
 	j := &job{
-		spec:    spec,
-		arrived: now,
-		aimBy:   now + spec.Objective(),
-		lateBy:  now + spec.LateObjective(),
-		steps:   make([]stepState, len(spec.Steps)),
-		undone:  spec.Tasks(),
-		waiters: make(map[uint64]func(Answer)),
-		index:   -1,
+		spec:            spec,
+		arrived:         now,
+		objectiveAt:     now + spec.Objective(),
+		lateObjectiveAt: now + spec.LateObjective(),
+		steps:           make([]stepState, len(spec.Steps)),
+		undone:          spec.Tasks(),
+		callers:         make(map[uint64]func(Answer)),
+		index:           -1,
 	}
-	if spec.Patience > 0 {
-		j.dieBy = now + spec.Patience
+	if spec.CallerTimeout > 0 {
+		j.callerDeadline = now + spec.CallerTimeout
 	}
 	for k, s := range spec.Steps {
 		j.steps[k] = stepState{tasks: make([]taskState, s.Count), waiting: s.Count, undone: s.Count}
@@ -101,7 +101,7 @@
 
 // ready reports whether the step's tasks may be started.
 func (j *job) ready(step int) bool {
-	for _, earlier := range j.spec.Steps[step].After {
+	for _, earlier := range j.spec.Steps[step].DependsOn {
 		if j.steps[earlier].undone > 0 {
 			return false
 		}
@@ -119,8 +119,8 @@
 	return false
 }
 
-// next returns the step and the index of a task to be started, or false.
-func (j *job) next() (step, index int, ok bool) {
+// nextTask returns the step and the index of a task to be started, or false.
+func (j *job) nextTask() (step, index int, ok bool) {
 	for k := range j.steps {
 		s := &j.steps[k]
 		if s.waiting == 0 || !j.ready(k) {
@@ -135,8 +135,8 @@
 	return 0, 0, false
 }
 
-// set moves a task to another phase and keeps the counts.
-func (j *job) set(step, index int, to phase) {
+// setPhase moves a task to another phase and keeps the counts.
+func (j *job) setPhase(step, index int, to phase) {
 	s := &j.steps[step]
 	t := &s.tasks[index]
 	if t.phase == waiting {
--- a/owner/order.go
+++ b/owner/order.go
@@ -9,23 +9,23 @@
 
 // Weights of the order.
 const (
-	// urgentPenalty is how much later the start of a job counts that is not of
+	// lowerPriorityDelay is how much later the start of a job counts that is not of
 	// the most urgent priority, and priorityPenalty for each further step.
 	// Large steps would starve the last priority whenever there is too much
 	// work of the one before: its jobs' turn would come when it is too late.
-	urgentPenalty   = 25 * time.Millisecond
-	priorityPenalty = 2 * time.Millisecond
-	// sizePenalty is how much later it counts for each time that its work is
+	lowerPriorityDelay = 25 * time.Millisecond
+	priorityDelay      = 2 * time.Millisecond
+	// sizeDelay is how much later it counts for each time that its work is
 	// its queue's usual again: where not all can be served, more small jobs
 	// are; sizeMost bounds how many times.
-	sizePenalty = 15 * time.Millisecond
-	sizeMost    = 4
-	// begunBonus is how much earlier a job counts that has begun: what it has
+	sizeDelay       = 15 * time.Millisecond
+	maxRelativeSize = 4
+	// startedAdvance is how much earlier a job counts that has begun: what it has
 	// is lost if the rest does not come in time.
-	begunBonus = 40 * time.Millisecond
-	// prudence is how many times the estimate the work is taken to need when
+	startedAdvance = 40 * time.Millisecond
+	// estimateMargin is how many times the estimate the work is taken to need when
 	// its latest start is reckoned: workers differ, and estimates err.
-	prudence = 1.4
+	estimateMargin = 1.4
 )
 
 // lateBand is added to the key of a job that can't meet its objective any more:
@@ -34,45 +34,45 @@
 
 // queue holds the jobs of one service that have tasks to start.
 type queue struct {
-	service string
-	jobs    jobHeap
-	pace    pace
+	service   string
+	waiting   jobHeap
+	startRate startRate
 	// backlogSince is since when jobs have been waiting, zero while none is.
 	backlogSince time.Duration
 }
 
-// key returns the place of j in the queue at now; the least goes first. Within
+// rankAt returns the place of j in the queue at now; the least goes first. Within
 // a band it is the latest moment at which the work may begin.
-func (j *job) key(now time.Duration) time.Duration {
-	j.spread = j.queue.spread(now, j.tasksWaiting())
-	shift := time.Duration(j.size * float64(sizePenalty))
+func (j *job) rankAt(now time.Duration) time.Duration {
+	j.startSpan = j.queue.startSpan(now, j.waitingTasks())
+	shift := time.Duration(j.relativeSize * float64(sizeDelay))
 	if j.spec.Priority > 0 {
-		shift += urgentPenalty + time.Duration(j.spec.Priority)*priorityPenalty
+		shift += lowerPriorityDelay + time.Duration(j.spec.Priority)*priorityDelay
 	}
 	if j.begun() {
-		shift -= begunBonus
+		shift -= startedAdvance
 	}
-	if latest := j.latest(); now <= latest {
+	if latest := j.latestStart(); now <= latest {
 		return latest + shift
 	}
-	return lateBand + j.lateBy - j.left() + shift
+	return lateBand + j.lateObjectiveAt - j.remaining() + shift
 }
 
-// spread returns how long it takes until room comes for so many tasks beyond the
+// startSpan returns how long it takes until room comes for so many tasks beyond the
 // first, while jobs wait.
-func (q *queue) spread(now time.Duration, tasks int) time.Duration {
+func (q *queue) startSpan(now time.Duration, tasks int) time.Duration {
 	if tasks < 2 || q.backlogSince == 0 {
 		return 0
 	}
-	_, rate := q.pace.rates(now, q.backlogSince)
+	_, rate := q.startRate.rates(now, q.backlogSince)
 	if rate <= 0 {
 		return 0
 	}
 	return time.Duration(float64(tasks-1) / rate * float64(time.Second))
 }
 
-// tasksWaiting returns how many tasks of j are to be started.
-func (j *job) tasksWaiting() int {
+// waitingTasks returns how many tasks of j are to be started.
+func (j *job) waitingTasks() int {
 	count := 0
 	for k := range j.steps {
 		count += j.steps[k].waiting
@@ -80,18 +80,18 @@
 	return count
 }
 
-// latest returns until when j should begin to meet its objective.
-func (j *job) latest() time.Duration {
-	return j.aimBy - time.Duration(prudence*float64(j.left())) - j.spread
+// latestStart returns until when j should begin to meet its objective.
+func (j *job) latestStart() time.Duration {
+	return j.objectiveAt - time.Duration(estimateMargin*float64(j.remaining())) - j.startSpan
 }
 
-// late reports whether j's rank is that of a job that misses its objective.
-func (j *job) late() bool {
+// missesObjective reports whether j's rank is that of a job that misses its objective.
+func (j *job) missesObjective() bool {
 	return j.rank >= lateBand
 }
 
-// left returns the estimate of the longest chain that is not done.
-func (j *job) left() time.Duration {
+// remaining returns the estimate of the longest chain that is not done.
+func (j *job) remaining() time.Duration {
 	ends := make([]time.Duration, len(j.spec.Steps))
 	var longest time.Duration
 	for k, s := range j.spec.Steps {
@@ -99,7 +99,7 @@
 			continue
 		}
 		var begin time.Duration
-		for _, earlier := range s.After {
+		for _, earlier := range s.DependsOn {
 			begin = max(begin, ends[earlier])
 		}
 		ends[k] = begin + s.Estimate
@@ -108,10 +108,10 @@
 	return longest
 }
 
-// note takes note of whether jobs wait.
-func (q *queue) note(now time.Duration) {
+// trackBacklog takes note of whether jobs wait.
+func (q *queue) trackBacklog(now time.Duration) {
 	switch {
-	case len(q.jobs) == 0:
+	case len(q.waiting) == 0:
 		q.backlogSince = 0
 	case q.backlogSince == 0:
 		q.backlogSince = now
@@ -120,33 +120,33 @@
 
 // add puts j into the queue, or into its right place there.
 func (q *queue) add(now time.Duration, j *job) {
-	j.rank = j.key(now)
+	j.rank = j.rankAt(now)
 	if j.index >= 0 {
-		heap.Fix(&q.jobs, j.index)
+		heap.Fix(&q.waiting, j.index)
 		return
 	}
-	heap.Push(&q.jobs, j)
+	heap.Push(&q.waiting, j)
 }
 
-// restore puts the heap in order after ranks have changed.
-func (q *queue) restore() {
-	heap.Init(&q.jobs)
+// reorder puts the heap in order after ranks have changed.
+func (q *queue) reorder() {
+	heap.Init(&q.waiting)
 }
 
 // remove takes j out, if it is in.
 func (q *queue) remove(j *job) {
 	if j.index >= 0 {
-		heap.Remove(&q.jobs, j.index)
+		heap.Remove(&q.waiting, j.index)
 	}
 }
 
-// first returns the job that goes first, or nil.
-func (q *queue) first(now time.Duration) *job {
-	for len(q.jobs) > 0 {
-		j := q.jobs[0]
-		if rank := j.key(now); rank > j.rank {
+// peek returns the job that goes first, or nil.
+func (q *queue) peek(now time.Duration) *job {
+	for len(q.waiting) > 0 {
+		j := q.waiting[0]
+		if rank := j.rankAt(now); rank > j.rank {
 			j.rank = rank
-			heap.Fix(&q.jobs, 0)
+			heap.Fix(&q.waiting, 0)
 			continue
 		}
 		return j
@@ -154,11 +154,11 @@
 	return nil
 }
 
-// total returns the room that the waiting tasks take, each part at most the
+// demand returns the room that the waiting tasks take, each part at most the
 // given bound.
-func (q *queue) total(bound task.Needs) task.Needs {
+func (q *queue) demand(bound task.Needs) task.Needs {
 	var sum task.Needs
-	for _, j := range q.jobs {
+	for _, j := range q.waiting {
 		for k := range j.steps {
 			s := &j.steps[k]
 			needs := j.spec.Steps[k].Needs
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -35,52 +35,52 @@
 	Send func(agent string, f *peer.Frame) uint64
 	// Random returns a number from 0 up to but not including 1.
 	Random func() float64
-	// Observe, where it is set, is told how long each stage of a job took, and
+	// ObserveStage, where it is set, is told how long each stage of a job took, and
 	// Answered why each job was answered as it was.
-	Observe  func(Stage, time.Duration)
-	Answered func(code.Code)
+	ObserveStage func(Stage, time.Duration)
+	CountAnswer  func(code.Code)
 	// Log takes a line for each decision.
 	Log *slog.Logger
-	// Clear is ClearTime, but in tests.
-	Clear time.Duration
-	// Far is how many times as long a task takes away from its data.
-	Far float64
+	// ClearTime is ClearTime, but in tests.
+	ClearTime time.Duration
+	// FarFactor is how many times as long a task takes away from its data.
+	FarFactor float64
 
 	agents map[string]*agent
-	order  []*agent // by name
+	byName []*agent // by name
 	jobs   map[string]*job
 	queues map[string]*queue
 	// estimators learn how long each queue's work takes.
 	estimators map[string]*estimate.Estimator
-	// sizes are the usual work of each queue's jobs, in seconds of a core.
-	sizes map[string]*mean
-	// ghosts holds until when runs of a job that was dropped may be left at
+	// usualWork are the usual work of each queue's jobs, in seconds of a core.
+	usualWork map[string]*movingAverage
+	// uncertainUntil holds until when runs of a job that was dropped may be left at
 	// an agent that was lost.
-	ghosts  map[string]time.Duration
-	waiters uint64
-	stats   Stats
+	uncertainUntil map[string]time.Duration
+	callers        uint64
+	stats          Stats
 }
 
 // Stats counts outcomes since the start.
 type Stats struct {
 	Submitted, Completed, Failed, GivenUp, Refused, Cancelled uint64
-	Starts, Bounced, Moved                                    uint64
+	Starts, Rejected, Moved                                   uint64
 }
 
 // NewOwner returns an owner without jobs and agents.
 func NewOwner(log *slog.Logger, random func() float64) *Owner {
 	return &Owner{
-		Log:    log,
-		Random: random,
-		Far:    1,
-		Clear:  ClearTime,
-		agents: make(map[string]*agent),
-		jobs:   make(map[string]*job),
-		queues: make(map[string]*queue),
-		ghosts: make(map[string]time.Duration),
+		Log:            log,
+		Random:         random,
+		FarFactor:      1,
+		ClearTime:      ClearTime,
+		agents:         make(map[string]*agent),
+		jobs:           make(map[string]*job),
+		queues:         make(map[string]*queue),
+		uncertainUntil: make(map[string]time.Duration),
 
 		estimators: make(map[string]*estimate.Estimator),
-		sizes:      make(map[string]*mean),
+		usualWork:  make(map[string]*movingAverage),
 	}
 }
 
@@ -93,33 +93,33 @@
 // number names that caller's interest. A job that is owned already is joined.
 func (o *Owner) Submit(now time.Duration, spec task.Job, answer func(Answer)) uint64 {
 	defer o.flush(now)
-	o.waiters++
+	o.callers++
 	j := o.jobs[spec.ID]
 	if j == nil && len(o.jobs) >= maxJobs {
 		o.stats.Refused++
 		o.Log.Info(event.JobRefused, "job", spec.ID, "request", spec.Request, "jobs", len(o.jobs), "why", code.QueueFull.String())
-		o.count(code.QueueFull)
+		o.countAnswer(code.QueueFull)
 		answer(Answer{Kind: Refused, Why: code.QueueFull, Retry: retryAfter})
-		return o.waiters
+		return o.callers
 	}
 	if j == nil {
 		j = newJob(now, o.estimated(spec))
-		j.size = o.sizeOf(j.spec)
+		j.relativeSize = o.sizeOf(j.spec)
 		j.queue = o.queue(spec.Service)
 		o.jobs[spec.ID] = j
 		o.stats.Submitted++
 		o.Log.Info(event.JobAccepted, "job", spec.ID, "request", spec.Request, "queue", spec.Queue, "tasks", spec.Tasks(),
-			"objective_ms", j.spec.Objective().Milliseconds(), "chain_ms", j.spec.Chain().Milliseconds(), "guess_ms", spec.Chain().Milliseconds(), "patience_ms", spec.Patience.Milliseconds(),
-			"waiting", len(o.queue(spec.Service).jobs))
-		j.notBefore = o.ghosts[spec.ID]
-		if now >= j.notBefore {
+			"objective_ms", j.spec.Objective().Milliseconds(), "chain_ms", j.spec.Chain().Milliseconds(), "guess_ms", spec.Chain().Milliseconds(), "patience_ms", spec.CallerTimeout.Milliseconds(),
+			"waiting", len(o.queue(spec.Service).waiting))
+		j.clearAt = o.uncertainUntil[spec.ID]
+		if now >= j.clearAt {
 			o.queue(spec.Service).add(now, j)
 		}
 	}
-	j.waiters[o.waiters] = answer
-	o.judge(now, j)
+	j.callers[o.callers] = answer
+	o.checkDeadlines(now, j)
 	o.schedule(now, o.queue(spec.Service))
-	return o.waiters
+	return o.callers
 }
 
 // estimator returns the estimator of a queue.
@@ -149,10 +149,10 @@
 // of its step, which are much alike.
 func (o *Owner) learn(j *job, step int, a *agent, took time.Duration) {
 	s := &j.steps[step]
-	if s.known {
+	if s.measured {
 		return
 	}
-	s.known = true
+	s.measured = true
 	work := time.Duration(float64(took) * max(a.state.Speed, minSpeed))
 	o.estimator(j.spec.Queue).Learn(j.spec.Steps[step].Guess, work)
 	j.spec.Steps[step].Estimate = work
@@ -165,11 +165,11 @@
 func (o *Owner) Cancel(now time.Duration, id string, waiter uint64) {
 	defer o.flush(now)
 	j := o.jobs[id]
-	if j == nil || j.waiters[waiter] == nil {
+	if j == nil || j.callers[waiter] == nil {
 		return
 	}
-	delete(j.waiters, waiter)
-	if len(j.waiters) > 0 {
+	delete(j.callers, waiter)
+	if len(j.callers) > 0 {
 		return
 	}
 	o.stats.Cancelled++
@@ -177,9 +177,9 @@
 	o.drop(now, j)
 }
 
-// CancelAll ends a job on the caller's order. It reports whether the job was
+// CancelJob ends a job on the caller's order. It reports whether the job was
 // owned here.
-func (o *Owner) CancelAll(now time.Duration, id string) bool {
+func (o *Owner) CancelJob(now time.Duration, id string) bool {
 	defer o.flush(now)
 	j := o.jobs[id]
 	if j == nil {
@@ -189,8 +189,8 @@
 	return true
 }
 
-// Waiting returns how many jobs of the queue have no task begun.
-func (o *Owner) Waiting(queue string) int {
+// WaitingJobs returns how many jobs of the queue have no task begun.
+func (o *Owner) WaitingJobs(queue string) int {
 	count := 0
 	for _, j := range o.jobs {
 		if j.spec.Queue == queue && !j.begun() {
@@ -233,19 +233,19 @@
 	if a.Kind == Completed {
 		o.observe(StagePlacing, j.lastOrder-j.firstOrder)
 	}
-	o.count(a.Why)
-	waiters := j.waiters
-	j.waiters = nil
+	o.countAnswer(a.Why)
+	waiters := j.callers
+	j.callers = nil
 	o.drop(now, j)
 	for _, give := range waiters {
 		give(a)
 	}
 }
 
-// count tells why a job was answered.
-func (o *Owner) count(why code.Code) {
-	if o.Answered != nil {
-		o.Answered(why)
+// countAnswer tells why a job was answered.
+func (o *Owner) countAnswer(why code.Code) {
+	if o.CountAnswer != nil {
+		o.CountAnswer(why)
 	}
 }
 
@@ -256,13 +256,13 @@
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
 			t := &j.steps[k].tasks[n]
-			o.leave(task.ID{Job: j.spec.ID, Step: k, Index: n}, t)
+			o.release(task.ID{Job: j.spec.ID, Step: k, Index: n}, t)
 		}
 	}
 }
 
-// leave takes the task from its agent's books, and has it stopped there.
-func (o *Owner) leave(id task.ID, t *taskState) {
+// release takes the task from its agent's books, and has it stopped there.
+func (o *Owner) release(id task.ID, t *taskState) {
 	a := o.agents[t.agent]
 	if a == nil {
 		return
@@ -270,34 +270,34 @@
 	switch t.phase {
 	case placed:
 		delete(a.tasks, id)
-		if !t.stopped {
+		if !t.stopSent {
 			a.out.Stops = append(a.out.Stops, task.Ref{Task: id, Run: t.run})
 			a.dirty = true
 		}
-	case doubted:
+	case uncertain:
 		delete(a.tasks, id)
-		o.ghosts[id.Job] = max(o.ghosts[id.Job], a.clearAt)
+		o.uncertainUntil[id.Job] = max(o.uncertainUntil[id.Job], a.clearAt)
 	}
 }
 
 // Tick looks at what has run out of time. It should be called each 20 ms.
 func (o *Owner) Tick(now time.Duration) {
 	defer o.flush(now)
-	for _, a := range o.order {
+	for _, a := range o.byName {
 		if !a.connected && a.clearAt > 0 && now >= a.clearAt {
-			o.clear(now, a)
+			o.clearAgent(now, a)
 		}
 	}
-	for id, until := range o.ghosts {
+	for id, until := range o.uncertainUntil {
 		if now >= until {
-			delete(o.ghosts, id)
+			delete(o.uncertainUntil, id)
 		}
 	}
 	for _, j := range o.sortedJobs() {
-		o.judge(now, j)
+		o.checkDeadlines(now, j)
 	}
 	for _, service := range slices.Sorted(maps.Keys(o.queues)) {
-		o.shed(now, o.queues[service])
+		o.refuseHopeless(now, o.queues[service])
 	}
 	for _, service := range slices.Sorted(maps.Keys(o.queues)) {
 		o.schedule(now, o.queues[service])
@@ -315,7 +315,7 @@
 
 // flush sends what is due to the agents.
 func (o *Owner) flush(now time.Duration) {
-	for _, a := range o.order {
+	for _, a := range o.byName {
 		if !a.dirty {
 			continue
 		}
@@ -324,9 +324,9 @@
 		a.dirty = false
 		a.sentAt = now
 		seq := o.Send(a.name, &f)
-		for k := range a.sent {
-			if a.sent[k].seq == 0 {
-				a.sent[k].seq = seq
+		for k := range a.pending {
+			if a.pending[k].seq == 0 {
+				a.pending[k].seq = seq
 			}
 		}
 	}
@@ -335,7 +335,7 @@
 // Heartbeats sends each agent a frame that has got none since the given time, so
 // that the lease of this entry goes on there.
 func (o *Owner) Heartbeats(now, since time.Duration) {
-	for _, a := range o.order {
+	for _, a := range o.byName {
 		a.dirty = a.dirty || a.connected && a.sentAt <= since
 	}
 	o.flush(now)
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -38,20 +38,20 @@
 	}
 	for _, name := range agents {
 		b.Connected(b.now, name)
-		b.state(name, 4000, 1, peer.Well)
+		b.state(name, 4000, 1, peer.Healthy)
 	}
 	return b
 }
 
 // state has an agent tell its worker's state, with all orders so far in it.
 func (b *bench) state(agent string, cpu int, speed float64, health peer.Health) {
-	b.Heard(b.now, agent, &peer.Frame{State: &peer.State{
-		Profile: &peer.Profile{Worker: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Taking: true, Cleared: true, Seen: b.seq}})
+	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
+		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
+		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
 func jobOf(id string, tasks int) task.Job {
-	return task.Job{ID: id, Queue: "q", Service: "trackd", Attempts: 2, Stretch: 1.6, Latency: 60 * ms,
+	return task.Job{ID: id, Queue: "q", Service: "trackd", Attempts: 2, ObjectiveFactor: 1.6, ObjectiveSlack: 60 * ms,
 		Steps: []task.Step{{Count: tasks, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}}}
 }
 
@@ -70,7 +70,7 @@
 
 // ended has an agent tell how a run ended.
 func (b *bench) ended(agent string, o task.Order, end task.End, why code.Code) {
-	b.Heard(b.now, agent, &peer.Frame{Ended: []peer.Ended{{
+	b.Receive(b.now, agent, &peer.Frame{Ended: []peer.Ended{{
 		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: end, Reason: why, Took: 100 * ms}}})
 }
 
@@ -78,8 +78,8 @@
 func (b *bench) wait(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += 20 * ms
-		for _, a := range b.order {
-			b.Heard(b.now, a.name, &peer.Frame{})
+		for _, a := range b.byName {
+			b.Receive(b.now, a.name, &peer.Frame{})
 		}
 		b.Tick(b.now)
 	}
@@ -104,11 +104,11 @@
 
 func TestTheFasterWorkerIsPreferred(t *testing.T) {
 	b := newBench(t, "a", "b")
-	b.state("a", 4000, 0.8, peer.Well)
-	b.state("b", 4000, 1.25, peer.Well)
+	b.state("a", 4000, 0.8, peer.Healthy)
+	b.state("b", 4000, 1.25, peer.Healthy)
 	b.submit(jobOf("1", 1))
 	assert.Equal(t, len(b.starts("b")), 1)
-	b.state("b", 3000, 1.25, peer.Sick)
+	b.state("b", 3000, 1.25, peer.Ejected)
 	b.submit(jobOf("2", 1))
 	assert.Equal(t, len(b.starts("a")), 1) // slow goes before sick
 }
@@ -119,13 +119,13 @@
 	b.submit(jobOf("2", 2))
 	assert.Equal(t, len(b.starts("a")), 4)
 	last := b.frames["a"][len(b.frames["a"])-1]
-	assert.Assert(t, last.Want != nil)
-	assert.Equal(t, last.Want.Total.CPU, 2000)
-	b.Heard(b.now, "a", &peer.Frame{Room: &peer.Offer{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
+	assert.Assert(t, last.RoomRequest != nil)
+	assert.Equal(t, last.RoomRequest.Total.CPU, 2000)
+	b.Receive(b.now, "a", &peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
 	last = b.frames["a"][len(b.frames["a"])-1]
-	assert.Equal(t, last.Offer, uint64(7))
-	assert.Equal(t, len(last.Starts), 1) // the second does not fit
-	assert.Assert(t, last.Want != nil)   // and is wanted on
+	assert.Equal(t, last.UsedReservation, uint64(7))
+	assert.Equal(t, len(last.Starts), 1)      // the second does not fit
+	assert.Assert(t, last.RoomRequest != nil) // and is wanted on
 }
 
 func TestTheMostUrgentGoesFirst(t *testing.T) {
@@ -136,7 +136,7 @@
 	long.Steps[0].Estimate = time.Second
 	b.submit(long)
 	b.submit(jobOf("short", 1))
-	b.Heard(b.now, "a", &peer.Frame{Room: &peer.Offer{ID: 1, Room: task.Needs{CPU: 1000, MemoryMB: 100}}})
+	b.Receive(b.now, "a", &peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 1000, MemoryMB: 100}}})
 	orders := b.starts("a")
 	assert.Equal(t, orders[len(orders)-1].Task.Job, "short")
 }
@@ -144,7 +144,7 @@
 func TestALaterStepWaits(t *testing.T) {
 	b := newBench(t, "a")
 	j := jobOf("1", 2)
-	j.Steps = append(j.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, After: []int{0}})
+	j.Steps = append(j.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
 	b.submit(j)
 	assert.Equal(t, len(b.starts("a")), 2)
 	b.ended("a", b.starts("a")[0], task.EndDone, code.RunListed)
@@ -165,7 +165,7 @@
 	b.ended(first, b.starts(first)[0], task.EndFailed, code.RunListed)
 	assert.Equal(t, len(b.starts(second)), 1)
 	assert.Equal(t, b.starts(second)[0].Run, 2)
-	assert.Assert(t, b.starts(second)[0].Doubtful) // it has failed elsewhere
+	assert.Assert(t, b.starts(second)[0].FailedElsewhere) // it has failed elsewhere
 	b.ended(second, b.starts(second)[0], task.EndFailed, code.RunListed)
 	assert.Equal(t, b.answers["1"].Kind, Failed)
 	assert.Equal(t, b.answers["1"].Why, code.JobAttempts)
@@ -173,16 +173,16 @@
 
 func TestARefusedOrderGoesElsewhere(t *testing.T) {
 	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Well)
+	b.state("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
 	b.ended("a", b.starts("a")[0], task.EndRejected, code.RunNoRoom)
 	assert.Equal(t, len(b.starts("b")), 1)
-	assert.Equal(t, b.Stats().Bounced, uint64(1))
+	assert.Equal(t, b.Stats().Rejected, uint64(1))
 }
 
 func TestAnOldRunGetsAHigherNumber(t *testing.T) {
 	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Well)
+	b.state("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
 	b.ended("a", b.starts("a")[0], task.EndRejected, code.RunOld)
 	assert.Equal(t, b.starts("b")[0].Run, 3)
@@ -192,9 +192,9 @@
 // running at two workers.
 func TestALostAgentsTasksWaitUntilTheyAreSurelyOver(t *testing.T) {
 	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Well)
+	b.state("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
-	j.Stretch = 100
+	j.ObjectiveFactor = 100
 	b.submit(j)
 	lost := b.now
 	b.Disconnected(b.now, b.now, "a")
@@ -208,25 +208,25 @@
 
 func TestAnAgentsWordThatAllIsOverFreesAtOnce(t *testing.T) {
 	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Well)
+	b.state("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
 	b.Disconnected(b.now, b.now, "a")
 	b.now += 50 * ms
 	b.Connected(b.now, "a")
 	assert.Equal(t, len(b.starts("a"))+len(b.starts("b")), 1)
-	b.state("a", 4000, 1, peer.Well)
+	b.state("a", 4000, 1, peer.Healthy)
 	assert.Equal(t, len(b.starts("a"))+len(b.starts("b")), 2)
 }
 
 func TestAResubmissionWaitsForTheRunsOfALostAgent(t *testing.T) {
 	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Well)
+	b.state("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
 	waiter := b.submit(j)
 	b.Disconnected(b.now, b.now, "a")
 	b.Cancel(b.now, "1", waiter)
 	b.wait(500 * ms)
-	j.Stretch = 100
+	j.ObjectiveFactor = 100
 	b.submit(j)
 	assert.Equal(t, len(b.starts("b")), 0)
 	b.wait(ClearTime)
@@ -259,9 +259,9 @@
 
 func TestAnOverdueRunIsStoppedAndTriedElsewhere(t *testing.T) {
 	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Well)
+	b.state("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
-	j.Stretch = 100
+	j.ObjectiveFactor = 100
 	b.submit(j)
 	b.wait(2 * time.Second)
 	o := b.starts("a")[0]
@@ -273,10 +273,10 @@
 
 func TestASickWorkersRunsAreMoved(t *testing.T) {
 	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Well)
+	b.state("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 2))
 	before := len(b.frames["a"])
-	b.state("a", 0, 1, peer.Sick)
+	b.state("a", 0, 1, peer.Ejected)
 	stops := 0
 	for _, f := range b.frames["a"][before:] {
 		stops += len(f.Stops)
@@ -300,11 +300,11 @@
 func TestACancelledJobIsStopped(t *testing.T) {
 	b := newBench(t, "a")
 	b.submit(jobOf("1", 2))
-	assert.Assert(t, b.CancelAll(b.now, "1"))
+	assert.Assert(t, b.CancelJob(b.now, "1"))
 	assert.Equal(t, b.answers["1"].Kind, Cancelled)
 	last := b.frames["a"][len(b.frames["a"])-1]
 	assert.Equal(t, len(last.Stops), 2)
-	assert.Assert(t, !b.CancelAll(b.now, "1"))
+	assert.Assert(t, !b.CancelJob(b.now, "1"))
 }
 
 // TestAJobWhoseCallerLeavesTooSoonIsNotBegun: nobody would take its answer, and a
@@ -312,13 +312,13 @@
 func TestAJobWhoseCallerLeavesTooSoonIsNotBegun(t *testing.T) {
 	b := newBench(t, "a")
 	j := jobOf("1", 2)
-	j.Patience = 50 * ms // its tasks take 100
+	j.CallerTimeout = 50 * ms // its tasks take 100
 	b.submit(j)
 	assert.Equal(t, b.answers["1"].Kind, Refused)
 	assert.Equal(t, b.answers["1"].Why, code.JobCallerLeaves)
 	assert.Equal(t, len(b.starts("a")), 0)
 	j = jobOf("2", 2)
-	j.Patience = 150 * ms
+	j.CallerTimeout = 150 * ms
 	b.submit(j)
 	assert.Equal(t, len(b.starts("a")), 2)
 }
@@ -332,7 +332,7 @@
 	} {
 		b := newBench(t, "a")
 		b.submit(jobOf("1", 1))
-		b.state("a", 0, 1, peer.Well)
+		b.state("a", 0, 1, peer.Healthy)
 		b.ended("a", b.starts("a")[0], task.EndRejected, why)
 		assert.Equal(t, len(b.answers), 0)
 		b.wait(3 * time.Second)
@@ -344,13 +344,13 @@
 	b := newBench(t, "a")
 	took := make(map[Stage][]time.Duration)
 	var causes []code.Code
-	b.Observe = func(s Stage, d time.Duration) { took[s] = append(took[s], d) }
-	b.Answered = func(why code.Code) { causes = append(causes, why) }
-	b.state("a", 1000, 1, peer.Well)
+	b.ObserveStage = func(s Stage, d time.Duration) { took[s] = append(took[s], d) }
+	b.CountAnswer = func(why code.Code) { causes = append(causes, why) }
+	b.state("a", 1000, 1, peer.Healthy)
 	b.submit(jobOf("1", 2)) // there is room for one of its tasks
 	first := b.starts("a")[0]
 	b.now += 30 * ms
-	b.state("a", 1000, 1, peer.Well)
+	b.state("a", 1000, 1, peer.Healthy)
 	second := b.starts("a")[1]
 	b.now += 70 * ms
 	b.ended("a", first, task.EndDone, code.RunListed)
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -12,23 +12,23 @@
 const (
 	// loadWeight is how much a full worker counts as slower than an empty one.
 	loadWeight = 0.5
-	// marginWeight is how much a worker counts as slower whose last room the
+	// lastRoomWeight is how much a worker counts as slower whose last room the
 	// task would take: by then another entry may have taken it.
-	marginWeight = 1.0
-	// luckWeight spreads the choices of several entries that know the same.
-	luckWeight = 0.1
-	// sickPenalty puts sick workers last.
-	sickPenalty = 10 * time.Second
-	// wantStep is by how much a want must be more urgent than the one that
+	lastRoomWeight = 1.0
+	// jitterWeight spreads the choices of several entries that know the same.
+	jitterWeight = 0.1
+	// ejectedPenalty puts sick workers last.
+	ejectedPenalty = 10 * time.Second
+	// requestStep is by how much a want must be more urgent than the one that
 	// an agent has to be told anew.
-	wantStep = 10 * time.Millisecond
+	requestStep = 10 * time.Millisecond
 )
 
 // schedule starts what can be started, and says what is wanted.
 func (o *Owner) schedule(now time.Duration, q *queue) {
-	q.note(now)
+	q.trackBacklog(now)
 	for {
-		j := q.first(now)
+		j := q.peek(now)
 		if j == nil {
 			return
 		}
@@ -37,15 +37,15 @@
 		}
 		q.remove(j)
 	}
-	q.note(now)
-	o.wantAll(now, q)
+	q.trackBacklog(now)
+	o.requestRoom(now, q)
 }
 
 // placeAll starts tasks of j as long as there is room, and reports whether none
 // is left to start.
 func (o *Owner) placeAll(now time.Duration, j *job) bool {
 	for {
-		step, index, ok := j.next()
+		step, index, ok := j.nextTask()
 		if !ok {
 			return true
 		}
@@ -64,8 +64,8 @@
 	t := &j.steps[step].tasks[index]
 	var best *agent
 	var least float64
-	for _, a := range o.order {
-		if !a.usable(now, j.spec.Service) || !s.Needs.Fits(a.free()) || !o.allowed(now, j, step, t, a) {
+	for _, a := range o.byName {
+		if !a.usable(now, j.spec.Service) || !s.Needs.Fits(a.freeRoom()) || !o.allowed(now, j, step, t, a) {
 			continue
 		}
 		if cost := o.cost(s, a); best == nil || cost < least {
@@ -84,15 +84,15 @@
 	if s.Label != "" && !a.labels[s.Label] {
 		return false
 	}
-	return s.Spread == 0 || o.together(j, step, a) < s.Spread
+	return s.MaxPerTarget == 0 || o.tasksAt(j, step, a) < s.MaxPerTarget
 }
 
-// together returns how many tasks of the step are at a.
-func (o *Owner) together(j *job, step int, a *agent) int {
+// tasksAt returns how many tasks of the step are at a.
+func (o *Owner) tasksAt(j *job, step int, a *agent) int {
 	count := 0
 	for n := range j.steps[step].tasks {
 		t := &j.steps[step].tasks[n]
-		if t.agent == a.name && (t.phase == placed || t.phase == doubted) {
+		if t.agent == a.name && (t.phase == placed || t.phase == uncertain) {
 			count++
 		}
 	}
@@ -104,22 +104,22 @@
 func (o *Owner) cost(s task.Step, a *agent) float64 {
 	likely := s.Estimate.Seconds() / max(a.state.Speed, minSpeed)
 	if s.Rack != "" && !a.labels[s.Rack] {
-		likely *= o.Far
+		likely *= o.FarFactor
 	}
 	load := 0.0
 	if a.profile.Capacity.CPU > 0 {
-		load = 1 - float64(a.free().CPU)/float64(a.profile.Capacity.CPU)
+		load = 1 - float64(a.freeRoom().CPU)/float64(a.profile.Capacity.CPU)
 	}
-	cost := likely * (1 + loadWeight*load + marginWeight*margin(s.Needs, a.free()) + luckWeight*o.Random())
-	if a.state.Health == peer.Sick {
-		cost += sickPenalty.Seconds()
+	cost := likely * (1 + loadWeight*load + lastRoomWeight*lastRoomShare(s.Needs, a.freeRoom()) + jitterWeight*o.Random())
+	if a.state.Health == peer.Ejected {
+		cost += ejectedPenalty.Seconds()
 	}
 	return cost
 }
 
-// margin returns one where the task would take the last room, and less the more
+// lastRoomShare returns one where the task would take the last room, and less the more
 // tasks like it there is room for.
-func margin(needs, room task.Needs) float64 {
+func lastRoomShare(needs, room task.Needs) float64 {
 	if needs.CPU <= 0 {
 		return 0
 	}
@@ -130,7 +130,7 @@
 func (o *Owner) start(now time.Duration, j *job, step, index int, a *agent) {
 	s := j.spec.Steps[step]
 	t := &j.steps[step].tasks[index]
-	j.set(step, index, placed)
+	j.setPhase(step, index, placed)
 	j.orders++
 	if j.firstOrder == 0 {
 		j.firstOrder = now
@@ -141,59 +141,59 @@
 	t.tries++
 	t.agent = a.name
 	t.sentAt = now
-	t.stopped = false
+	t.stopSent = false
 	id := task.ID{Job: j.spec.ID, Step: step, Index: index}
 	a.tasks[id] = j
-	order := task.Order{Task: id, Run: t.run, Spec: j.spec.Spec, Needs: s.Needs, Estimate: s.Estimate, Guess: s.Guess, Doubtful: j.failedElsewhere(a.name)}
+	order := task.Order{Task: id, Run: t.run, Spec: j.spec.Spec, Needs: s.Needs, Estimate: s.Estimate, Guess: s.Guess, FailedElsewhere: j.failedElsewhere(a.name)}
 	if s.Rack != "" && !a.labels[s.Rack] {
-		order.Estimate = time.Duration(o.Far * float64(order.Estimate))
-		order.Guess = time.Duration(o.Far * float64(order.Guess))
+		order.Estimate = time.Duration(o.FarFactor * float64(order.Estimate))
+		order.Guess = time.Duration(o.FarFactor * float64(order.Guess))
 	}
-	if j.dieBy > 0 {
-		order.Limit = j.dieBy - now
+	if j.callerDeadline > 0 {
+		order.TimeLeft = j.callerDeadline - now
 	}
 	a.out.Starts = append(a.out.Starts, order)
 	a.dirty = true
 	o.stats.Starts++
-	o.queue(j.spec.Service).pace.add(now, work(s, 1))
-	a.sent = append(a.sent, sent{needs: s.Needs}) // flush adds the frame's number
-	o.Log.Info(event.TaskPlaced, "task", id.String(), "run", t.run, "agent", a.name, "worker", a.profile.Worker,
-		"state_age_ms", (now - a.heardAt).Milliseconds(), "free_cpu", a.free().CPU, "waited_ms", (now - j.arrived).Milliseconds())
+	o.queue(j.spec.Service).startRate.add(now, work(s, 1))
+	a.pending = append(a.pending, pendingOrder{needs: s.Needs}) // flush adds the frame's number
+	o.Log.Info(event.TaskPlaced, "task", id.String(), "run", t.run, "agent", a.name, "worker", a.profile.Target,
+		"state_age_ms", (now - a.heardAt).Milliseconds(), "free_cpu", a.freeRoom().CPU, "waited_ms", (now - j.arrived).Milliseconds())
 }
 
-// wantAll tells the agents that tasks wait here.
-func (o *Owner) wantAll(now time.Duration, q *queue) {
-	j := q.first(now)
+// requestRoom tells the agents that tasks wait here.
+func (o *Owner) requestRoom(now time.Duration, q *queue) {
+	j := q.peek(now)
 	if j == nil {
 		return
 	}
-	step, _, ok := j.next()
+	step, _, ok := j.nextTask()
 	if !ok {
 		return
 	}
-	for _, a := range o.order {
-		if !a.usable(now, q.service) || a.state.Health == peer.Sick {
+	for _, a := range o.byName {
+		if !a.usable(now, q.service) || a.state.Health == peer.Ejected {
 			continue
 		}
-		if a.wanted && j.rank >= a.wantBy-wantStep {
+		if a.roomRequested && j.rank >= a.requestRank-requestStep {
 			continue
 		}
-		a.out.Want = o.want(now, q, j, step, a)
+		a.out.RoomRequest = o.roomRequest(now, q, j, step, a)
 		a.dirty = true
 	}
 }
 
-// want returns what a is told of the queue.
-func (o *Owner) want(now time.Duration, q *queue, j *job, step int, a *agent) *peer.Want {
-	a.wanted = true
-	a.wantBy = j.rank
-	return &peer.Want{Slack: j.rank - now, Needs: j.spec.Steps[step].Needs, Total: q.total(a.profile.Capacity)}
+// roomRequest returns what a is told of the queue.
+func (o *Owner) roomRequest(now time.Duration, q *queue, j *job, step int, a *agent) *peer.RoomRequest {
+	a.roomRequested = true
+	a.requestRank = j.rank
+	return &peer.RoomRequest{Slack: j.rank - now, Needs: j.spec.Steps[step].Needs, Total: q.demand(a.profile.Capacity)}
 }
 
-// offered fills room that a holds for this entry.
-func (o *Owner) offered(now time.Duration, a *agent, offer *peer.Offer) {
-	a.wanted = false
-	a.out.Offer = offer.ID
+// useReservation fills room that a holds for this entry.
+func (o *Owner) useReservation(now time.Duration, a *agent, offer *peer.Reservation) {
+	a.roomRequested = false
+	a.out.UsedReservation = offer.ID
 	a.dirty = true
 	q := o.queue(a.profile.Service)
 	room := offer.Room
@@ -201,18 +201,18 @@
 		return
 	}
 	for {
-		j := q.first(now)
+		j := q.peek(now)
 		if j == nil {
 			return
 		}
-		step, index, ok := j.next()
+		step, index, ok := j.nextTask()
 		if !ok {
 			q.remove(j)
 			continue
 		}
 		needs := j.spec.Steps[step].Needs
 		if !needs.Fits(room) || !o.allowed(now, j, step, &j.steps[step].tasks[index], a) {
-			a.out.Want = o.want(now, q, j, step, a)
+			a.out.RoomRequest = o.roomRequest(now, q, j, step, a)
 			return
 		}
 		o.start(now, j, step, index, a)
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -11,45 +11,45 @@
 
 // When a waiting job is refused because of the jobs before it.
 const (
-	// shedShare is the share of its objective after which a job that will
+	// refuseAfterShare is the share of its objective after which a job that will
 	// not be served in time is refused: until then it costs its caller
 	// little, and the load may turn.
-	shedShare = 0.10
-	// shedMargin is how many times as long as is left before its latest
+	refuseAfterShare = 0.10
+	// refuseMargin is how many times as long as is left before its latest
 	// start a job must have to wait to be refused.
-	shedMargin = 1.0
-	// paceTime is what the pace of starts looks back over; paceLeast is how
+	refuseMargin = 1.0
+	// rateWindow is what the pace of starts looks back over; paceLeast is how
 	// long jobs must have been waiting for it to tell when room comes.
-	paceTime  = 400 * time.Millisecond
-	paceLeast = 120 * time.Millisecond
-	// meanShare is the weight of one job in its queue's usual work.
-	meanShare = 0.02
+	rateWindow  = 400 * time.Millisecond
+	rateMinTime = 120 * time.Millisecond
+	// averageWeight is the weight of one job in its queue's usual work.
+	averageWeight = 0.02
 )
 
-// mean is a decaying average.
-type mean struct {
+// movingAverage is a decaying average.
+type movingAverage struct {
 	value float64
 	count int
 }
 
-func (m *mean) add(x float64) {
+func (m *movingAverage) add(x float64) {
 	m.count++
-	m.value += (x - m.value) * max(meanShare, 1/float64(m.count))
+	m.value += (x - m.value) * max(averageWeight, 1/float64(m.count))
 }
 
 // sizeOf returns a job's work against its queue's usual, less one, and takes
 // the job into account.
 func (o *Owner) sizeOf(spec task.Job) float64 {
-	m := o.sizes[spec.Queue]
+	m := o.usualWork[spec.Queue]
 	if m == nil {
-		m = &mean{}
-		o.sizes[spec.Queue] = m
+		m = &movingAverage{}
+		o.usualWork[spec.Queue] = m
 	}
 	m.add(spec.Work())
 	if m.value <= 0 {
 		return 0
 	}
-	return min(spec.Work()/m.value, sizeMost) - 1
+	return min(spec.Work()/m.value, maxRelativeSize) - 1
 }
 
 // work returns the work of so many tasks of a step, in seconds of a core.
@@ -57,23 +57,23 @@
 	return task.Job{Steps: []task.Step{{Count: tasks, Needs: s.Needs, Estimate: s.Estimate}}}.Work()
 }
 
-// pace is how much work was started of late.
-type pace struct {
-	starts []started
+// startRate is how much work was started of late.
+type startRate struct {
+	starts []startedWork
 }
 
-type started struct {
+type startedWork struct {
 	at   time.Duration
 	work float64
 }
 
-func (p *pace) add(now time.Duration, work float64) {
-	p.starts = append(p.starts, started{now, work})
+func (p *startRate) add(now time.Duration, work float64) {
+	p.starts = append(p.starts, startedWork{now, work})
 	p.trim(now)
 }
 
-func (p *pace) trim(now time.Duration) {
-	for len(p.starts) > 0 && now-p.starts[0].at > paceTime {
+func (p *startRate) trim(now time.Duration) {
+	for len(p.starts) > 0 && now-p.starts[0].at > rateWindow {
 		p.starts = p.starts[1:]
 	}
 }
@@ -81,9 +81,9 @@
 // rates returns how much work and how many tasks were started a second while jobs
 // have been waiting, since the given time, or zeros where that is too short a time
 // to tell.
-func (p *pace) rates(now, since time.Duration) (work, tasks float64) {
+func (p *startRate) rates(now, since time.Duration) (work, tasks float64) {
 	p.trim(now)
-	if now-since < paceLeast {
+	if now-since < rateMinTime {
 		return 0, 0
 	}
 	for _, s := range p.starts {
@@ -92,7 +92,7 @@
 			tasks++
 		}
 	}
-	seconds := min(now-since, paceTime).Seconds()
+	seconds := min(now-since, rateWindow).Seconds()
 	return work / seconds, tasks / seconds
 }
 
@@ -105,51 +105,51 @@
 	return sum
 }
 
-// shed refuses waiting jobs that can't begin in time because of those before
+// refuseHopeless refuses waiting jobs that can't begin in time because of those before
 // them. Nothing of them has been started, so that the refusal is true.
-func (o *Owner) shed(now time.Duration, q *queue) {
-	q.note(now)
-	if len(q.jobs) == 0 {
+func (o *Owner) refuseHopeless(now time.Duration, q *queue) {
+	q.trackBacklog(now)
+	if len(q.waiting) == 0 {
 		return
 	}
-	rate, _ := q.pace.rates(now, q.backlogSince)
+	rate, _ := q.startRate.rates(now, q.backlogSince)
 	if rate <= 0 {
 		return // nothing is known of when room comes
 	}
-	for _, j := range q.jobs {
-		j.rank = j.key(now)
+	for _, j := range q.waiting {
+		j.rank = j.rankAt(now)
 	}
-	order := slices.Clone(q.jobs)
+	order := slices.Clone(q.waiting)
 	slices.SortFunc(order, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
 	ahead := 0.0
 	aimed := false
 	for _, j := range order {
 		wait := time.Duration(ahead / rate * float64(time.Second))
 		if !j.begun() && o.hopelesslyBehind(now, j, wait, aimed) {
-			o.answer(now, j, Answer{Kind: Refused, Why: code.JobBehind, Retry: o.retryAfter(wait)})
+			o.answer(now, j, Answer{Kind: Refused, Why: code.JobBehind, Retry: o.retryAfterWait(wait)})
 			continue
 		}
-		aimed = aimed || !j.late()
+		aimed = aimed || !j.missesObjective()
 		ahead += j.waitingWork()
 	}
-	q.restore()
+	q.reorder()
 }
 
 // hopelesslyBehind reports whether j should be refused now: it has missed its
 // objective while others that still can meet theirs wait, or will have by the
 // time that is its turn.
 func (o *Owner) hopelesslyBehind(now time.Duration, j *job, wait time.Duration, aimed bool) bool {
-	if now-j.arrived < time.Duration(shedShare*float64(j.spec.Objective())) {
+	if now-j.arrived < time.Duration(refuseAfterShare*float64(j.spec.Objective())) {
 		return false
 	}
-	if j.late() {
+	if j.missesObjective() {
 		return aimed
 	}
-	return wait > time.Duration(shedMargin*float64(j.latest()-now))
+	return wait > time.Duration(refuseMargin*float64(j.latestStart()-now))
 }
 
-// retryAfter returns when a caller should come back that would have to wait so
+// retryAfterWait returns when a caller should come back that would have to wait so
 // long now.
-func (o *Owner) retryAfter(wait time.Duration) time.Duration {
+func (o *Owner) retryAfterWait(wait time.Duration) time.Duration {
 	return max(retryAfter, wait)
 }
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -12,27 +12,27 @@
 
 // When a run or a job is given up.
 const (
-	// moveRatio and moveSlack say how far past its likely time a run is
+	// overdueFactor and moveSlack say how far past its likely time a run is
 	// stopped and tried elsewhere.
-	moveRatio = 3.5
-	moveSlack = 100 * time.Millisecond
-	// sureRatio is how much more than the late objective a job with started
+	overdueFactor = 3.5
+	overdueSlack  = 100 * time.Millisecond
+	// waitingLateFactor is how much more than the late objective a job with started
 	// tasks may take before it is given up, and runRatio where none of its
 	// tasks waits for a start: estimates are off.
-	sureRatio = 1.2
-	runRatio  = 1.6
-	// hopeful is the share of the estimate that a waiting job is taken to
+	waitingLateFactor = 1.2
+	runningLateFactor = 1.6
+	// optimism is the share of the estimate that a waiting job is taken to
 	// need at least.
-	hopeful = 0.7
-	// dieMargin is how long before the caller stops waiting it gets the
+	optimism = 0.7
+	// answerMargin is how long before the caller stops waiting it gets the
 	// final word.
-	dieMargin = 20 * time.Millisecond
-	// avoidTime is how long an agent that failed a task is not tried again
+	answerMargin = 20 * time.Millisecond
+	// failureBackoff is how long an agent that failed a task is not tried again
 	// with it; bounceTime how long one that refused it.
-	avoidTime  = 3 * time.Second
-	bounceTime = 30 * time.Millisecond
-	// moreTries bounds the runs of a task whose failures are the workers'.
-	moreTries = 5
+	failureBackoff   = 3 * time.Second
+	rejectionBackoff = 30 * time.Millisecond
+	// maxTargetFailures bounds the runs of a task whose failures are the workers'.
+	maxTargetFailures = 5
 	// retryAfter is when a refused caller should come back.
 	retryAfter = time.Second
 )
@@ -44,14 +44,14 @@
 	if a == nil {
 		a = &agent{name: name, tasks: make(map[task.ID]*job)}
 		o.agents[name] = a
-		o.order = insert(o.order, a)
+		o.byName = insert(o.byName, a)
 	}
 	a.connected = true
 	a.heardAt = now
 	a.profile = peer.Profile{}
 	a.state = peer.State{}
-	a.sent = nil
-	a.wanted = false
+	a.pending = nil
+	a.roomRequested = false
 	a.out = peer.Frame{}
 	a.dirty = true
 	o.Log.Info(event.AgentConnected, "agent", name)
@@ -79,25 +79,25 @@
 	a.connected = false
 	a.out = peer.Frame{}
 	a.dirty = false
-	a.clearAt = max(a.clearAt, lastSent+o.Clear)
-	for _, id := range a.ids() {
+	a.clearAt = max(a.clearAt, lastSent+o.ClearTime)
+	for _, id := range a.taskIDs() {
 		j := a.tasks[id]
-		j.set(id.Step, id.Index, doubted)
+		j.setPhase(id.Step, id.Index, uncertain)
 	}
 	o.Log.Info(event.AgentLost, "agent", name, "runs", len(a.tasks), "clear_in_ms", (a.clearAt - now).Milliseconds())
 }
 
-// clear frees the tasks that were in doubt at a: nothing of them is left there.
-func (o *Owner) clear(now time.Duration, a *agent) {
+// clearAgent frees the tasks that were in doubt at a: nothing of them is left there.
+func (o *Owner) clearAgent(now time.Duration, a *agent) {
 	a.clearAt = 0
-	for _, id := range a.ids() {
+	for _, id := range a.taskIDs() {
 		j := a.tasks[id]
 		t := j.find(id)
-		if t.phase != doubted {
+		if t.phase != uncertain {
 			continue
 		}
 		delete(a.tasks, id)
-		j.set(id.Step, id.Index, waiting)
+		j.setPhase(id.Step, id.Index, waiting)
 		o.requeue(now, j)
 	}
 }
@@ -109,8 +109,8 @@
 	}
 }
 
-// Heard takes an agent's frame.
-func (o *Owner) Heard(now time.Duration, name string, f *peer.Frame) {
+// Receive takes an agent's frame.
+func (o *Owner) Receive(now time.Duration, name string, f *peer.Frame) {
 	defer o.flush(now)
 	a := o.agents[name]
 	if a == nil || !a.connected {
@@ -118,59 +118,59 @@
 	}
 	a.heardAt = now
 	if f.State != nil {
-		o.told(now, a, f.State)
+		o.updateState(now, a, f.State)
 	}
 	for _, e := range f.Ended {
-		o.ended(now, a, e)
+		o.runEnded(now, a, e)
 	}
-	if f.Room != nil {
-		o.offered(now, a, f.Room)
+	if f.Reservation != nil {
+		o.useReservation(now, a, f.Reservation)
 	}
 	if f.State != nil || len(f.Ended) > 0 {
 		o.schedule(now, o.queue(a.profile.Service))
 	}
 }
 
-// told takes an agent's state.
-func (o *Owner) told(now time.Duration, a *agent, st *peer.State) {
-	turned := st.Health == peer.Sick && a.state.Health != peer.Sick
-	a.take(st)
+// updateState takes an agent's state.
+func (o *Owner) updateState(now time.Duration, a *agent, st *peer.State) {
+	turned := st.Health == peer.Ejected && a.state.Health != peer.Ejected
+	a.applyState(st)
 	if st.Cleared && a.clearAt > 0 {
-		o.clear(now, a)
+		o.clearAgent(now, a)
 	}
 	if turned {
-		o.Log.Info(event.WorkerSick, "agent", a.name, "worker", a.profile.Worker, "runs", len(a.tasks))
-		o.move(now, a)
+		o.Log.Info(event.AgentTargetEjected, "agent", a.name, "worker", a.profile.Target, "runs", len(a.tasks))
+		o.moveRuns(now, a)
 	}
 }
 
-// move stops all runs at a sick worker, so that they are tried elsewhere.
-func (o *Owner) move(now time.Duration, a *agent) {
-	for _, id := range a.ids() {
+// moveRuns stops all runs at a sick worker, so that they are tried elsewhere.
+func (o *Owner) moveRuns(now time.Duration, a *agent) {
+	for _, id := range a.taskIDs() {
 		j := a.tasks[id]
 		t := j.find(id)
 		if t.phase == placed {
-			o.stopRun(now, a, id, t, code.RunMovedSick)
+			o.stopRun(now, a, id, t, code.RunMovedEjected)
 		}
 	}
 }
 
 // stopRun has a run stopped; its task waits for the word that it has ended.
 func (o *Owner) stopRun(now time.Duration, a *agent, id task.ID, t *taskState, why code.Code) {
-	if t.stopped {
+	if t.stopSent {
 		return
 	}
-	t.stopped = true
+	t.stopSent = true
 	t.avoid = a.name
-	t.avoidUntil = now + avoidTime
+	t.avoidUntil = now + failureBackoff
 	a.out.Stops = append(a.out.Stops, task.Ref{Task: id, Run: t.run})
 	a.dirty = true
 	o.stats.Moved++
 	o.Log.Info(event.TaskMoved, "task", id.String(), "run", t.run, "agent", a.name, "why", why.String(), "age_ms", (now - t.sentAt).Milliseconds())
 }
 
-// ended takes the end of a run.
-func (o *Owner) ended(now time.Duration, a *agent, e peer.Ended) {
+// runEnded takes the end of a run.
+func (o *Owner) runEnded(now time.Duration, a *agent, e peer.Ended) {
 	id := e.Ref.Task
 	j := a.tasks[id]
 	if j == nil {
@@ -192,12 +192,12 @@
 			return
 		}
 	case task.EndRejected:
-		o.bounced(now, a, j, t, e)
+		o.startRejected(now, a, j, t, e)
 	default:
 		t.avoid = a.name
-		t.avoidUntil = now + bounceTime
+		t.avoidUntil = now + rejectionBackoff
 	}
-	j.set(id.Step, id.Index, waiting)
+	j.setPhase(id.Step, id.Index, waiting)
 	o.Log.Info(event.TaskWaits, "task", id.String(), "run", e.Ref.Run, "agent", a.name, "end", e.End.String(), "why", e.Reason.String(),
 		"failures", t.failures, "tries", t.tries)
 	o.requeue(now, j)
@@ -205,7 +205,7 @@
 
 // taskDone takes note of a task that ended well.
 func (o *Owner) taskDone(now time.Duration, j *job, id task.ID) {
-	j.set(id.Step, id.Index, done)
+	j.setPhase(id.Step, id.Index, done)
 	if j.undone == 0 {
 		o.answer(now, j, Answer{Kind: Completed, Why: code.JobAllDone})
 		return
@@ -219,15 +219,15 @@
 // with it.
 func (o *Owner) taskFailed(now time.Duration, a *agent, j *job, t *taskState, e peer.Ended) bool {
 	t.avoid = a.name
-	t.avoidUntil = now + avoidTime
+	t.avoidUntil = now + failureBackoff
 	t.failures++
 	if !slices.Contains(j.failedAt, a.name) {
 		j.failedAt = append(j.failedAt, a.name)
 	}
-	if !e.Blameless {
-		t.ownFailures++
+	if !e.TargetFault {
+		t.taskFailures++
 	}
-	if t.ownFailures < j.spec.Attempts && t.failures < j.spec.Attempts+moreTries {
+	if t.taskFailures < j.spec.Attempts && t.failures < j.spec.Attempts+maxTargetFailures {
 		return false
 	}
 	o.answer(now, j, Answer{Kind: Failed, Why: code.JobAttempts})
@@ -239,69 +239,69 @@
 	return why == code.RunNoRoom || why == code.RunNotTaking || why == code.RunStaleOwner
 }
 
-// bounced takes note of a run that did not begin.
-func (o *Owner) bounced(now time.Duration, a *agent, j *job, t *taskState, e peer.Ended) {
-	o.stats.Bounced++
+// startRejected takes note of a run that did not begin.
+func (o *Owner) startRejected(now time.Duration, a *agent, j *job, t *taskState, e peer.Ended) {
+	o.stats.Rejected++
 	if turnedDown(e.Reason) {
 		j.orders--
 	}
 	t.tries--
 	t.avoid = a.name
-	t.avoidUntil = now + bounceTime
+	t.avoidUntil = now + rejectionBackoff
 	if e.Reason == code.RunOld {
 		t.run *= 2 // the worker has seen a run as high as this one
 	}
 }
 
-// judge looks whether j is to be given up, or a run of it to be moved.
-func (o *Owner) judge(now time.Duration, j *job) {
-	if j.notBefore > 0 && now >= j.notBefore {
-		j.notBefore = 0
+// checkDeadlines looks whether j is to be given up, or a run of it to be moved.
+func (o *Owner) checkDeadlines(now time.Duration, j *job) {
+	if j.clearAt > 0 && now >= j.clearAt {
+		j.clearAt = 0
 		o.requeue(now, j)
 	}
 	switch {
-	case j.dieBy > 0 && now >= j.dieBy-dieMargin:
+	case j.callerDeadline > 0 && now >= j.callerDeadline-answerMargin:
 		o.giveUp(now, j, code.JobCallerLeaves)
 		return
-	case !j.begun() && now+j.least() > j.lateBy:
+	case !j.begun() && now+j.minRemaining() > j.lateObjectiveAt:
 		o.giveUp(now, j, code.JobHopeless)
 		return
-	case !j.begun() && j.dieBy > 0 && now+j.least() > j.dieBy:
+	case !j.begun() && j.callerDeadline > 0 && now+j.minRemaining() > j.callerDeadline:
 		o.giveUp(now, j, code.JobCallerLeaves)
 		return
-	case j.begun() && now > j.arrived+time.Duration(j.sure()*float64(j.lateBy-j.arrived)):
+	case j.begun() && now > j.arrived+time.Duration(j.lateAllowance()*float64(j.lateObjectiveAt-j.arrived)):
 		o.giveUp(now, j, code.JobTooLate)
 		return
 	}
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
-			o.judgeRun(now, j, k, n)
+			o.checkOverdue(now, j, k, n)
 		}
 	}
 }
 
-// least returns how long the rest of j takes at the least.
-func (j *job) least() time.Duration {
-	return time.Duration(hopeful * float64(j.left()))
+// minRemaining returns how long the rest of j takes at the least.
+func (j *job) minRemaining() time.Duration {
+	return time.Duration(optimism * float64(j.remaining()))
 }
 
-// sure returns how many times its late objective j may take.
-func (j *job) sure() float64 {
+// lateAllowance returns how many times its late objective j may take.
+func (j *job) lateAllowance() float64 {
 	if j.startable() {
-		return sureRatio
+		return waitingLateFactor
 	}
-	return runRatio
+	return runningLateFactor
 }
 
-// judgeRun moves a run that is far past its likely time.
-func (o *Owner) judgeRun(now time.Duration, j *job, step, index int) {
+// checkOverdue moves a run that is far past its likely time.
+func (o *Owner) checkOverdue(now time.Duration, j *job, step, index int) {
 	t := &j.steps[step].tasks[index]
 	a := o.agents[t.agent]
-	if t.phase != placed || t.stopped || a == nil || !a.connected {
+	if t.phase != placed || t.stopSent || a == nil || !a.connected {
 		return
 	}
 	likely := float64(j.spec.Steps[step].Estimate) / max(a.state.Speed, minSpeed)
-	if now-t.sentAt > time.Duration(moveRatio*likely)+moveSlack {
+	if now-t.sentAt > time.Duration(overdueFactor*likely)+overdueSlack {
 		o.stopRun(now, a, task.ID{Job: j.spec.ID, Step: step, Index: index}, t, code.RunMovedOverdue)
 	}
 }
--- a/owner/stage.go
+++ b/owner/stage.go
@@ -30,7 +30,7 @@
 
 // observe tells how long a stage of a job took.
 func (o *Owner) observe(s Stage, took time.Duration) {
-	if o.Observe != nil {
-		o.Observe(s, took)
+	if o.ObserveStage != nil {
+		o.ObserveStage(s, took)
 	}
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -43,21 +43,21 @@
 	Hello *Hello
 	// Document hands over the configuration to a peer that has asked for it.
 	Document []byte
-	// Ask asks the receiver for its document.
-	Ask bool
+	// AskDocument asks the receiver for its document.
+	AskDocument bool
 
 	// Of an entry: runs to start and to stop, the offer that this answers,
 	// and what more is wanted.
-	Starts []task.Order
-	Stops  []task.Ref
-	Offer  uint64
-	Want   *Want
+	Starts          []task.Order
+	Stops           []task.Ref
+	UsedReservation uint64
+	RoomRequest     *RoomRequest
 
 	// Of an agent: the state of its worker, how runs ended, and room that is
 	// held for the receiver.
-	State *State
-	Ended []Ended
-	Room  *Offer
+	State       *State
+	Ended       []Ended
+	Reservation *Reservation
 }
 
 // Role tells what a process is.
@@ -80,8 +80,8 @@
 	Introduce bool
 }
 
-// Want tells an agent that tasks wait at the sender.
-type Want struct {
+// RoomRequest tells an agent that tasks wait at the sender.
+type RoomRequest struct {
 	// Slack is how long the most urgent of them can wait; it orders the
 	// wants of several entries.
 	Slack time.Duration
@@ -91,18 +91,18 @@
 	Total task.Needs
 }
 
-// Offer is room that an agent holds for the receiver for a short time.
-type Offer struct {
+// Reservation is room that an agent holds for the receiver for a short time.
+type Reservation struct {
 	ID   uint64
 	Room task.Needs
 }
 
 // Profile is what seldom changes about a worker.
 type Profile struct {
-	// Worker is the id of the worker's life, empty where none is known.
-	Worker  string
+	// Target is the id of the worker's life, empty where none is known.
+	Target  string
 	Service string
-	Zone    string
+	Hall    string
 	Labels  []string
 	// Capacity is the worker's whole room.
 	Capacity task.Needs
@@ -110,7 +110,7 @@
 
 // Equal reports whether p and o say the same.
 func (p Profile) Equal(o Profile) bool {
-	return p.Worker == o.Worker && p.Service == o.Service && p.Zone == o.Zone &&
+	return p.Target == o.Target && p.Service == o.Service && p.Hall == o.Hall &&
 		p.Capacity == o.Capacity && slices.Equal(p.Labels, o.Labels)
 }
 
@@ -124,14 +124,14 @@
 	Speed float64
 	// Health is how far the worker is trusted.
 	Health Health
-	// Taking says that the worker may be given work.
-	Taking bool
+	// Accepting says that the worker may be given work.
+	Accepting bool
 	// Cleared says that no run of an earlier connection of the receiver is
 	// left here.
 	Cleared bool
-	// Seen is the sequence number of the receiver's last frame that this
+	// SeenSeq is the sequence number of the receiver's last frame that this
 	// state takes account of.
-	Seen uint64
+	SeenSeq uint64
 }
 
 // Health is how far a worker is trusted.
@@ -139,10 +139,10 @@
 
 // Healths.
 const (
-	// Well is the usual health.
-	Well Health = iota
-	// Sick workers get single trial tasks only.
-	Sick
+	// Healthy is the usual health.
+	Healthy Health = iota
+	// Ejected workers get single trial tasks only.
+	Ejected
 )
 
 // Ended tells how a run ended.
@@ -153,8 +153,8 @@
 	Reason code.Code
 	// Took is how long the run was at work, on the agent's clock.
 	Took time.Duration
-	// Blameless says that the worker, not the task, is taken to be at fault.
-	Blameless bool
+	// TargetFault says that the worker, not the task, is taken to be at fault.
+	TargetFault bool
 }
 
 // AppendFrame appends f with its length prefix to buf.
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -17,12 +17,12 @@
 	id := task.ID{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}
 	return &Frame{
 		Stamp: time.Second, Echo: 2 * time.Second, Seq: 3, Config: 4,
-		Hello: &Hello{Role: RoleEntry, Name: "edge-1", Addr: "127.0.0.1:1"}, Document: []byte("{}"), Ask: true,
+		Hello: &Hello{Role: RoleEntry, Name: "edge-1", Addr: "127.0.0.1:1"}, Document: []byte("{}"), AskDocument: true,
 		Starts: []task.Order{{Task: id, Run: 2, Spec: "text", Needs: task.Needs{CPU: 1, MemoryMB: 2, GPU: 3}, Estimate: 4, Guess: 5}},
-		Stops:  []task.Ref{{Task: id, Run: 1}}, Offer: 9, Want: &Want{Slack: -time.Second},
-		State: &State{Profile: &Profile{Worker: "i-1", Labels: []string{"a"}}, Speed: 1.25, Health: Sick, Taking: true, Seen: 8},
-		Ended: []Ended{{Ref: task.Ref{Task: id, Run: 2}, End: task.EndDone, Reason: code.RunListed, Took: time.Second}},
-		Room:  &Offer{ID: 1},
+		Stops:  []task.Ref{{Task: id, Run: 1}}, UsedReservation: 9, RoomRequest: &RoomRequest{Slack: -time.Second},
+		State:       &State{Profile: &Profile{Target: "i-1", Labels: []string{"a"}}, Speed: 1.25, Health: Ejected, Accepting: true, SeenSeq: 8},
+		Ended:       []Ended{{Ref: task.Ref{Task: id, Run: 2}, End: task.EndDone, Reason: code.RunListed, Took: time.Second}},
+		Reservation: &Reservation{ID: 1},
 	}
 }
 
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -35,33 +35,33 @@
 		{"agent: introduces itself", with(func(f *Frame) {
 			f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Addr: "10.1.0.30:7720", Introduce: true}
 		})},
-		{"either: asks for the configuration", with(func(f *Frame) { f.Ask = true })},
+		{"either: asks for the configuration", with(func(f *Frame) { f.AskDocument = true })},
 		{"either: hands over the configuration", with(func(f *Frame) { f.Document = []byte(`{"version":12}`) })},
 		{"entry: starts", with(func(f *Frame) {
 			f.Starts = []task.Order{
 				{Task: id, Run: 2, Spec: "60ms", Needs: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}, Estimate: 61 * time.Millisecond,
-					Guess: 60 * time.Millisecond, Doubtful: true, Limit: 1480 * time.Millisecond},
+					Guess: 60 * time.Millisecond, FailedElsewhere: true, TimeLeft: 1480 * time.Millisecond},
 				{Task: task.ID{Job: "5c0e7a21d94b36f8"}, Run: 1},
 			}
 		})},
 		{"entry: stops", with(func(f *Frame) { f.Stops = []task.Ref{{Task: id, Run: 2}} })},
 		{"entry: answers an offer and wants more", with(func(f *Frame) {
-			f.Offer = 9
-			f.Want = &Want{Slack: -30 * time.Millisecond, Needs: task.Needs{CPU: 1600}, Total: task.Needs{CPU: 12800, MemoryMB: 512, GPU: 2}}
+			f.UsedReservation = 9
+			f.RoomRequest = &RoomRequest{Slack: -30 * time.Millisecond, Needs: task.Needs{CPU: 1600}, Total: task.Needs{CPU: 12800, MemoryMB: 512, GPU: 2}}
 		})},
 		{"agent: state", with(func(f *Frame) {
-			f.State = &State{Free: task.Needs{CPU: 3200, MemoryMB: 1024}, Speed: 0.75, Taking: true, Cleared: true, Seen: 69999}
+			f.State = &State{Free: task.Needs{CPU: 3200, MemoryMB: 1024}, Speed: 0.75, Accepting: true, Cleared: true, SeenSeq: 69999}
 		})},
 		{"agent: state of an ejected target, with its profile", with(func(f *Frame) {
-			f.State = &State{Speed: 1, Health: Sick, Profile: &Profile{Worker: "i-7", Service: "trackd", Zone: "mtm",
+			f.State = &State{Speed: 1, Health: Ejected, Profile: &Profile{Target: "i-7", Service: "trackd", Hall: "mtm",
 				Labels: []string{"rack-1", "gpu"}, Capacity: task.Needs{CPU: 16000, MemoryMB: 65536, GPU: 8}}}
 		})},
 		{"agent: ends of runs", with(func(f *Frame) {
 			for _, e := range []task.End{task.EndNone, task.EndDone, task.EndFailed, task.EndStopped, task.EndLapsed, task.EndLost, task.EndRejected} {
-				f.Ended = append(f.Ended, Ended{Ref: task.Ref{Task: id, Run: 2}, End: e, Reason: code.RunListed, Took: 59 * time.Millisecond, Blameless: true})
+				f.Ended = append(f.Ended, Ended{Ref: task.Ref{Task: id, Run: 2}, End: e, Reason: code.RunListed, Took: 59 * time.Millisecond, TargetFault: true})
 			}
 		})},
-		{"agent: an offer", with(func(f *Frame) { f.Room = &Offer{ID: 9, Room: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}} })},
+		{"agent: an offer", with(func(f *Frame) { f.Reservation = &Reservation{ID: 9, Room: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}} })},
 	}
 }
 
--- a/routing/table.go
+++ b/routing/table.go
@@ -19,13 +19,13 @@
 	Priority int
 	// Attempts is how many runs of a task may fail before its job has.
 	Attempts int
-	// Stretch and Latency make the objective of a job.
-	Stretch float64
-	Latency time.Duration
+	// ObjectiveFactor and Latency make the objective of a job.
+	ObjectiveFactor float64
+	ObjectiveSlack  time.Duration
 	// Timeout bounds a request that is not a job.
 	Timeout time.Duration
-	// Advised queues may place a step only where an outside service says.
-	Advised bool
+	// NeedsAdvice queues may place a step only where an outside service says.
+	NeedsAdvice bool
 }
 
 // Limits bound what callers send.
--- a/settings/node.go
+++ b/settings/node.go
@@ -26,8 +26,8 @@
 	Role peer.Role `yaml:"role" validate:"required,oneof=entry agent"`
 	// Name is the machine's name, unique in the system.
 	Name string `yaml:"name" validate:"required,max=64"`
-	// Zone says where the machine stands.
-	Zone string `yaml:"zone" validate:"required,max=64"`
+	// Hall says where the machine stands.
+	Hall string `yaml:"zone" validate:"required,max=64"`
 	// Peers is where other processes of the system reach this one.
 	Peers string `yaml:"peers" validate:"required,tcp_addr"`
 	// Store is the platform's key-value store.
@@ -47,7 +47,7 @@
 	// Reports and Worker are an agent's: its address for its worker's
 	// heartbeats, and the worker's own.
 	Reports string `yaml:"reports" validate:"required_if=Role agent,omitempty,tcp_addr"`
-	Worker  string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
+	Target  string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
 }
 
 // DefaultNode returns the settings that a node's file starts from.
--- a/settings/node_test.go
+++ b/settings/node_test.go
@@ -35,7 +35,7 @@
 	agent, err := ParseNode(filled(t, "../deploy/agent.yaml"))
 	assert.NilError(t, err)
 	assert.Equal(t, agent.Role, peer.RoleAgent)
-	assert.Equal(t, agent.Worker, "10.1.0.13:8165")
+	assert.Equal(t, agent.Target, "10.1.0.13:8165")
 }
 
 func TestFaultsOfANodeNameTheirLines(t *testing.T) {
--- a/standin/target/worker.go
+++ b/standin/target/worker.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Worker is one worker through all of its lives. It implements http.Handler.
-type Worker struct {
+// Target is one worker through all of its lives. It implements http.Handler.
+type Target struct {
 	mux     *http.ServeMux
 	service string
 	cpu     int
@@ -41,10 +41,10 @@
 	timer  *time.Timer
 }
 
-// NewWorker returns a worker of a service with so much processor, in
+// NewTarget returns a worker of a service with so much processor, in
 // thousandths of a core.
-func NewWorker(service string, cpu int) *Worker {
-	w := &Worker{mux: http.NewServeMux(), service: service, cpu: cpu}
+func NewTarget(service string, cpu int) *Target {
+	w := &Target{mux: http.NewServeMux(), service: service, cpu: cpu}
 	w.mux.HandleFunc("POST /beaconpoint/run-start", w.start)
 	w.mux.HandleFunc("POST /beaconpoint/run-stop", w.stop)
 	w.mux.HandleFunc("POST /beaconpoint/hold", w.hold)
@@ -53,7 +53,7 @@
 }
 
 // Restart begins a new life in which nothing runs.
-func (w *Worker) Restart() {
+func (w *Target) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.runs {
@@ -70,21 +70,21 @@
 }
 
 // SetFailing makes all runs that begin from now on fail.
-func (w *Worker) SetFailing(failing bool) {
+func (w *Target) SetFailing(failing bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failing = failing
 }
 
 // Starts returns the names of all runs that were ever started.
-func (w *Worker) Starts() []string {
+func (w *Target) Starts() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.starts...)
 }
 
 // Report sends one heartbeat to the agent at addr.
-func (w *Worker) Report(addr string, seq int) error {
+func (w *Target) Report(addr string, seq int) error {
 	w.mu.Lock()
 	state := "ready"
 	if w.draining {
@@ -106,7 +106,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (w *Target) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
 	expected := r.Header.Get("Beaconpoint-Expect-Instance")
 	other := expected != "" && expected != w.id()
@@ -118,15 +118,15 @@
 	w.mux.ServeHTTP(rw, r)
 }
 
-func (w *Worker) id() string {
+func (w *Target) id() string {
 	return fmt.Sprintf("i-%p-%d", w, w.lives)
 }
 
-func (w *Worker) clock() int64 {
+func (w *Target) clock() int64 {
 	return time.Since(w.began).Milliseconds() + 1000
 }
 
-func (w *Worker) wake() {
+func (w *Target) wake() {
 	if w.changed != nil {
 		close(w.changed)
 	}
@@ -144,7 +144,7 @@
 }
 
 // take reads an order and checks its token. It returns with the lock held.
-func (w *Worker) take(rw http.ResponseWriter, r *http.Request) (order, bool) {
+func (w *Target) take(rw http.ResponseWriter, r *http.Request) (order, bool) {
 	var o order
 	err := json.NewDecoder(r.Body).Decode(&o)
 	w.mu.Lock()
@@ -160,14 +160,14 @@
 	return o, true
 }
 
-func (w *Worker) reply(rw http.ResponseWriter, status int, body map[string]any) {
+func (w *Target) reply(rw http.ResponseWriter, status int, body map[string]any) {
 	body["clock_ms"] = w.clock()
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
 	_ = json.NewEncoder(rw).Encode(body) // the caller may have gone
 }
 
-func (w *Worker) start(rw http.ResponseWriter, r *http.Request) {
+func (w *Target) start(rw http.ResponseWriter, r *http.Request) {
 	o, ok := w.take(rw, r)
 	defer w.mu.Unlock()
 	switch present := w.runs[o.Task]; {
@@ -184,7 +184,7 @@
 	}
 }
 
-func (w *Worker) begin(o order) {
+func (w *Target) begin(o order) {
 	w.deadline = max(w.deadline, o.Deadline)
 	if w.runs[o.Task] != nil {
 		w.twice = append(w.twice, o.Task)
@@ -208,7 +208,7 @@
 }
 
 // finish lists the end of a run. It is called with the lock held.
-func (w *Worker) finish(r *run, how string) {
+func (w *Target) finish(r *run, how string) {
 	if w.runs[r.name] != r || r.life != w.lives {
 		return
 	}
@@ -223,7 +223,7 @@
 	w.wake()
 }
 
-func (w *Worker) stop(rw http.ResponseWriter, r *http.Request) {
+func (w *Target) stop(rw http.ResponseWriter, r *http.Request) {
 	o, ok := w.take(rw, r)
 	defer w.mu.Unlock()
 	if !ok {
@@ -236,7 +236,7 @@
 	w.reply(rw, http.StatusOK, map[string]any{})
 }
 
-func (w *Worker) hold(rw http.ResponseWriter, r *http.Request) {
+func (w *Target) hold(rw http.ResponseWriter, r *http.Request) {
 	o, ok := w.take(rw, r)
 	defer w.mu.Unlock()
 	if !ok {
@@ -257,7 +257,7 @@
 }
 
 // wait waits for an end, without the lock.
-func (w *Worker) wait(r *http.Request, d time.Duration) {
+func (w *Target) wait(r *http.Request, d time.Duration) {
 	changed := w.changed
 	w.mu.Unlock()
 	defer w.mu.Lock()
--- a/supervisor/call.go
+++ b/supervisor/call.go
@@ -10,32 +10,32 @@
 
 // StartCall orders the worker to start a run.
 type StartCall struct {
-	Life     string // the worker's life that is meant
-	Order    task.Order
-	Deadline time.Duration // of the lease, on the worker's clock
-	Token    uint64        // fencing token
+	Incarnation string // the worker's life that is meant
+	Order       task.Order
+	Deadline    time.Duration // of the lease, on the worker's clock
+	Token       uint64        // fencing token
 }
 
 // StopCall orders the worker to stop a run.
 type StopCall struct {
-	Life  string
-	Ref   task.Ref
-	Name  string // as the worker knows the task
-	Token uint64
+	Incarnation string
+	Ref         task.Ref
+	Name        string // as the worker knows the task
+	Token       uint64
 }
 
-// HoldCall renews the worker's lease and asks what runs and what has ended.
-type HoldCall struct {
-	Life     string
-	Token    uint64
-	Deadline time.Duration // on the worker's clock; zero renews nothing
-	LastSeen uint64        // the last end that was taken note of
-	Wait     time.Duration // how long the answer may wait for an end
-	sent     time.Duration // on the agent's clock
+// RenewCall renews the worker's lease and asks what runs and what has ended.
+type RenewCall struct {
+	Incarnation string
+	Token       uint64
+	Deadline    time.Duration // on the worker's clock; zero renews nothing
+	LastSeen    uint64        // the last end that was taken note of
+	Wait        time.Duration // how long the answer may wait for an end
+	sent        time.Duration // on the agent's clock
 }
 
-// HoldAnswer is the worker's answer to a HoldCall.
-type HoldAnswer struct {
+// RunLists is the worker's answer to a HoldCall.
+type RunLists struct {
 	Running []RunningRow
 	Ended   []EndedRow
 }
@@ -63,24 +63,24 @@
 	Accepted Outcome = iota
 	// NoAnswer means that the call may have been done or may be done yet.
 	NoAnswer
-	// RefusedFence means that the worker has seen a higher fencing token.
-	RefusedFence
+	// RefusedToken means that the worker has seen a higher fencing token.
+	RefusedToken
 	// RefusedOld means that the worker has stopped or ended such a run.
 	RefusedOld
 	// RefusedLate means that the call came after its deadline.
 	RefusedLate
 	// RefusedRoom means that the run does not fit.
 	RefusedRoom
-	// RefusedSick means that the worker does nothing at the moment.
-	RefusedSick
-	// RefusedBad means that the worker does not understand the call.
-	RefusedBad
-	// OtherLife means that another life of the worker answered.
-	OtherLife
+	// RefusedUnhealthy means that the worker does nothing at the moment.
+	RefusedUnhealthy
+	// RefusedMalformed means that the worker does not understand the call.
+	RefusedMalformed
+	// WrongIncarnation means that another life of the worker answered.
+	WrongIncarnation
 )
 
-var outcomeCodes = [...]code.Code{code.OK, code.RunAbsent, code.RunFenced, code.RunOld, code.RunLate, code.RunWorkerRoom,
-	code.RunWorkerRefuses, code.RunBadCall, code.RunWorkerGone}
+var outcomeCodes = [...]code.Code{code.OK, code.RunAbsent, code.RunFenced, code.RunOld, code.RunLate, code.RunTargetRoom,
+	code.RunTargetUnhealthy, code.RunBadCall, code.RunTargetGone}
 
 // Code returns the numbered reason that the outcome is for a run not to begin.
 func (o Outcome) Code() code.Code {
@@ -102,7 +102,7 @@
 type Report struct {
 	ID       string // of this life
 	Service  string
-	Zone     string
+	Hall     string
 	Labels   []string
 	Capacity task.Needs
 	Draining bool
@@ -113,5 +113,5 @@
 
 // profile returns what entries are told of the worker.
 func (r Report) profile() peer.Profile {
-	return peer.Profile{Worker: r.ID, Service: r.Service, Zone: r.Zone, Labels: r.Labels, Capacity: r.Capacity}
+	return peer.Profile{Target: r.ID, Service: r.Service, Hall: r.Hall, Labels: r.Labels, Capacity: r.Capacity}
 }
--- a/supervisor/health_test.go
+++ b/supervisor/health_test.go
@@ -13,9 +13,9 @@
 
 // end has a run of a job end after so many times its estimate.
 func end(h *health, job string, how task.End, times float64, trial bool) bool {
-	r := &run{order: task.Order{Task: task.ID{Job: job}, Estimate: 100 * ms, Guess: 100 * ms}, trial: trial}
+	r := &run{order: task.Order{Task: task.ID{Job: job}, Estimate: 100 * ms, Guess: 100 * ms}, probe: trial}
 	took := time.Duration(times * float64(100*ms))
-	return h.ended(r, how, took, took)
+	return h.recordEnd(r, how, took, took)
 }
 
 func TestFailuresOfOneJobMakeNobodySick(t *testing.T) {
@@ -23,25 +23,25 @@
 	for range 10 {
 		assert.Assert(t, !end(&h, "one", task.EndFailed, 1, false))
 	}
-	assert.Assert(t, !h.sick)
+	assert.Assert(t, !h.ejected)
 }
 
 func TestFailuresOfSeveralJobsMakeSick(t *testing.T) {
 	h := newHealth()
-	for k := range failedJobs {
+	for k := range ejectFailedJobs {
 		end(&h, fmt.Sprint(k), task.EndFailed, 0.1, false)
 	}
-	assert.Assert(t, h.sick)
-	assert.Equal(t, h.why, code.WorkerFails)
+	assert.Assert(t, h.ejected)
+	assert.Equal(t, h.why, code.TargetFails)
 }
 
 func TestADoubtfulFailureSaysNothing(t *testing.T) {
 	h := newHealth()
-	for k := range 3 * failedJobs {
-		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, Doubtful: true}}
-		h.ended(r, task.EndFailed, 0, 0)
+	for k := range 3 * ejectFailedJobs {
+		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, FailedElsewhere: true}}
+		h.recordEnd(r, task.EndFailed, 0, 0)
 	}
-	assert.Assert(t, !h.sick)
+	assert.Assert(t, !h.ejected)
 }
 
 func TestSlowJobsMakeSick(t *testing.T) {
@@ -49,12 +49,12 @@
 	for range 5 {
 		end(&h, "one", task.EndDone, 6, false) // one job: its guess may be wrong
 	}
-	assert.Assert(t, !h.sick)
-	for k := range slowJobs {
+	assert.Assert(t, !h.ejected)
+	for k := range slowWindowJobs {
 		end(&h, fmt.Sprint(k), task.EndDone, 6, false)
 	}
-	assert.Assert(t, h.sick)
-	assert.Equal(t, h.why, code.WorkerSlow)
+	assert.Assert(t, h.ejected)
+	assert.Equal(t, h.why, code.TargetSlow)
 }
 
 // TestAnUnansweredListIsNoSlowWorker: runs whose ends were listed late may have
@@ -63,48 +63,48 @@
 	h := newHealth()
 	for k := range 20 {
 		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, Estimate: 40 * ms, Guess: 40 * ms}}
-		h.ended(r, task.EndDone, 30*ms, 160*ms)
+		h.recordEnd(r, task.EndDone, 30*ms, 160*ms)
 	}
-	assert.Assert(t, !h.sick)
+	assert.Assert(t, !h.ejected)
 	assert.Equal(t, h.speed(), 1.0) // nothing is learned from them either
 }
 
 func TestOverdueRunsOfSeveralJobsMakeSick(t *testing.T) {
 	h := newHealth()
 	var running []*run
-	for k := range overdueJobs {
+	for k := range ejectOverdueJobs {
 		running = append(running, &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, Estimate: 100 * ms}})
-		assert.Assert(t, !h.tick(240*ms, running))
+		assert.Assert(t, !h.checkOverdue(240*ms, running))
 	}
-	assert.Assert(t, h.tick(260*ms, running))
-	assert.Equal(t, h.why, code.WorkerOverdue)
+	assert.Assert(t, h.checkOverdue(260*ms, running))
+	assert.Equal(t, h.why, code.TargetOverdue)
 }
 
 func TestTrialsDoubleUntilTheWorkerIsWell(t *testing.T) {
 	h := newHealth()
-	h.become(code.WorkerSlow)
+	h.eject(code.TargetSlow)
 	now := time.Minute
 	for _, most := range []int{1, 2, 4} {
-		assert.Assert(t, h.mayTry(now, most-1))
-		assert.Assert(t, !h.mayTry(now, most))
-		assert.Assert(t, h.began(now))
+		assert.Assert(t, h.admits(now, most-1))
+		assert.Assert(t, !h.admits(now, most))
+		assert.Assert(t, h.recordStart(now))
 		assert.Equal(t, end(&h, "x", task.EndDone, 1, true), most == 4)
 	}
-	assert.Assert(t, !h.sick)
-	assert.Assert(t, h.mayTry(now, 100))
+	assert.Assert(t, !h.ejected)
+	assert.Assert(t, h.admits(now, 100))
 }
 
 func TestAFailedTrialBeginsAnew(t *testing.T) {
 	h := newHealth()
-	h.become(code.WorkerSlow)
-	h.began(time.Minute)
+	h.eject(code.TargetSlow)
+	h.recordStart(time.Minute)
 	end(&h, "x", task.EndDone, 1, true)
-	h.began(time.Minute)
+	h.recordStart(time.Minute)
 	end(&h, "y", task.EndFailed, 1, true)
-	assert.Assert(t, h.sick)
-	assert.Assert(t, !h.mayTry(time.Minute+trialInterval/2, 0))
-	assert.Assert(t, h.mayTry(time.Minute+trialInterval, 0))
-	assert.Assert(t, !h.mayTry(time.Minute+trialInterval, 1))
+	assert.Assert(t, h.ejected)
+	assert.Assert(t, !h.admits(time.Minute+probeInterval/2, 0))
+	assert.Assert(t, h.admits(time.Minute+probeInterval, 0))
+	assert.Assert(t, !h.admits(time.Minute+probeInterval, 1))
 }
 
 func TestSpeedIsLearned(t *testing.T) {
--- a/supervisor/incarnation.go
+++ b/supervisor/incarnation.go
@@ -15,13 +15,13 @@
 		return // passed by a later one
 	}
 	if s.report == nil || s.report.ID != r.ID {
-		s.newLife(now, r)
+		s.beginIncarnation(now, r)
 	}
 	if !s.report.Draining && r.Draining {
-		s.Log.Info(event.WorkerDraining, "worker", r.ID)
+		s.Log.Info(event.TargetDraining, "worker", r.ID)
 	}
 	if r.HasClock && !s.clock.known {
-		s.clock.told(r.Clock, now)
+		s.clock.update(r.Clock, now)
 	}
 	r.Draining = r.Draining || s.report.Draining
 	s.report = &r
@@ -29,41 +29,41 @@
 	if p := r.profile(); s.profile == nil || !s.profile.Equal(p) {
 		s.profile = &p
 	}
-	s.changed()
+	s.markChanged()
 }
 
-// newLife begins anew with a worker that runs nothing of ours.
-func (s *Supervisor) newLife(now time.Duration, r Report) {
-	s.Log.Info(event.WorkerLife, "worker", r.ID, "before", s.life(), "runs", len(s.runs))
-	s.endLife(now)
+// beginIncarnation begins anew with a worker that runs nothing of ours.
+func (s *Supervisor) beginIncarnation(now time.Duration, r Report) {
+	s.Log.Info(event.TargetIncarnation, "worker", r.ID, "before", s.incarnation(), "runs", len(s.runs))
+	s.endIncarnation(now)
 	s.report = &r
-	s.answeredAt = now
-	s.holdFaults = 0
-	s.shakyUntil = 0
+	s.lastReplyAt = now
+	s.failedRenewals = 0
+	s.losingRepliesUntil = 0
 }
 
-// endLife ends all that the worker's present life ran.
-func (s *Supervisor) endLife(now time.Duration) {
+// endIncarnation ends all that the worker's present life ran.
+func (s *Supervisor) endIncarnation(now time.Duration) {
 	for _, r := range s.sortedRuns() {
-		s.finish(now, r, task.EndLost, code.RunWorkerGone)
+		s.finish(now, r, task.EndLost, code.RunTargetGone)
 	}
 	s.report = nil
-	s.empty = false
+	s.cleared = false
 	s.token = 0
 	s.lastSeen = 0
 	s.clock = clock{}
-	s.promised = 0
+	s.maxDeadline = 0
 	s.health = newHealth()
-	s.changed()
+	s.markChanged()
 }
 
 // Deregister takes a worker's word that it ends now.
 func (s *Supervisor) Deregister(now time.Duration, id string) {
 	defer s.flush(now)
-	if s.life() == id {
-		s.Log.Info(event.WorkerDeregistered, "worker", id, "runs", len(s.runs))
+	if s.incarnation() == id {
+		s.Log.Info(event.TargetDeregistered, "worker", id, "runs", len(s.runs))
 		s.report.Draining = true
-		s.changed()
+		s.markChanged()
 	}
 }
 
@@ -71,18 +71,18 @@
 func (s *Supervisor) Leave(now time.Duration) {
 	defer s.flush(now)
 	s.leaving = true
-	s.changed()
+	s.markChanged()
 }
 
-// life returns the id of the worker's life, empty where none is known.
-func (s *Supervisor) life() string {
+// incarnation returns the id of the worker's life, empty where none is known.
+func (s *Supervisor) incarnation() string {
 	if s.report == nil {
 		return ""
 	}
 	return s.report.ID
 }
 
-// taking reports whether the worker may be given work.
-func (s *Supervisor) taking(now time.Duration) bool {
-	return s.report != nil && s.empty && !s.report.Draining && !s.leaving && now-s.reportAt < staleReport && !s.silent(now)
+// accepting reports whether the worker may be given work.
+func (s *Supervisor) accepting(now time.Duration) bool {
+	return s.report != nil && s.cleared && !s.report.Draining && !s.leaving && now-s.reportAt < maxHeartbeatAge && !s.silent(now)
 }
--- a/supervisor/reservation.go
+++ b/supervisor/reservation.go
@@ -7,79 +7,79 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// want is what an entry last said it has waiting.
-type want struct {
-	by    time.Duration // on the agent's clock: the most urgent start
-	needs task.Needs
-	total task.Needs
+// roomRequest is what an entry last said it has waiting.
+type roomRequest struct {
+	deadline time.Duration // on the agent's clock: the most urgent start
+	needs    task.Needs
+	total    task.Needs
 }
 
-// offer is room held for one entry.
-type offer struct {
-	id    uint64
-	owner *owner
-	room  task.Needs
-	until time.Duration
+// reservation is room held for one entry.
+type reservation struct {
+	id      uint64
+	session *session
+	room    task.Needs
+	until   time.Duration
 }
 
-// take replaces what o wants.
-func (o *owner) take(now time.Duration, w *peer.Want) {
+// setRoomRequest replaces what o wants.
+func (o *session) setRoomRequest(now time.Duration, w *peer.RoomRequest) {
 	if w == nil {
-		o.want = nil
+		o.roomRequest = nil
 		return
 	}
-	o.want = &want{by: now + w.Slack, needs: w.Needs, total: w.Total}
+	o.roomRequest = &roomRequest{deadline: now + w.Slack, needs: w.Needs, total: w.Total}
 }
 
-// free returns the room that o may use now: what neither runs nor is held for
+// freeRoom returns the room that o may use now: what neither runs nor is held for
 // another entry.
-func (s *Supervisor) free(now time.Duration, o *owner) task.Needs {
-	if !s.taking(now) || !s.health.mayTry(now, s.trials()) {
+func (s *Supervisor) freeRoom(now time.Duration, o *session) task.Needs {
+	if !s.accepting(now) || !s.health.admits(now, s.probes()) {
 		return task.Needs{}
 	}
 	free := s.report.Capacity.Minus(s.used)
-	for _, f := range s.offers {
-		if f.owner != o {
+	for _, f := range s.reservations {
+		if f.session != o {
 			free = free.Minus(f.room)
 		}
 	}
 	return task.Needs{CPU: max(0, free.CPU), MemoryMB: max(0, free.MemoryMB), GPU: max(0, free.GPU)}
 }
 
-// deal offers free room to the entry whose want is the most urgent, as long as
+// reserveRoom offers free room to the entry whose want is the most urgent, as long as
 // there is a want that fits.
-func (s *Supervisor) deal(now time.Duration) {
+func (s *Supervisor) reserveRoom(now time.Duration) {
 	for {
 		o := s.mostUrgent(now)
 		if o == nil {
 			return
 		}
-		s.offered++
-		room := least(s.free(now, nil), o.want.total)
-		f := &offer{id: s.offered, owner: o, room: room, until: now + offerTime}
-		s.offers[f.id] = f
-		o.want = nil
-		o.out.Room = &peer.Offer{ID: f.id, Room: room}
+		s.reservationID++
+		room := minNeeds(s.freeRoom(now, nil), o.roomRequest.total)
+		f := &reservation{id: s.reservationID, session: o, room: room, until: now + reservationTime}
+		s.reservations[f.id] = f
+		o.roomRequest = nil
+		o.out.Reservation = &peer.Reservation{ID: f.id, Room: room}
 		o.dirty = true
 	}
 }
 
 // mostUrgent returns the entry whose want fits and comes first, or nil.
-func (s *Supervisor) mostUrgent(now time.Duration) *owner {
-	free := s.free(now, nil)
-	var first *owner
-	for _, o := range s.sortedOwners() {
-		if o.want == nil || o.out.Room != nil || !o.want.needs.Fits(free) || !s.leased(now, o) {
+func (s *Supervisor) mostUrgent(now time.Duration) *session {
+	free := s.freeRoom(now, nil)
+	var first *session
+	for _, o := range s.sortedSessions() {
+		if o.roomRequest == nil || o.out.Reservation != nil || !o.roomRequest.needs.Fits(free) || !s.leased(now, o) {
 			continue
 		}
-		if first == nil || o.want.by < first.want.by {
+		if first == nil || o.roomRequest.deadline < first.roomRequest.deadline {
 			first = o
 		}
 	}
 	return first
 }
 
-// least returns the smaller of each part.
-func least(a, b task.Needs) task.Needs {
+// minNeeds returns the smaller of each part.
+func minNeeds(a, b task.Needs) task.Needs {
 	return task.Needs{CPU: min(a.CPU, b.CPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), GPU: min(a.GPU, b.GPU)}
 }
--- a/supervisor/stage.go
+++ b/supervisor/stage.go
@@ -27,7 +27,7 @@
 
 // observe tells how long a stage of a run took.
 func (s *Supervisor) observe(stage Stage, took time.Duration) {
-	if s.Observe != nil {
-		s.Observe(stage, took)
+	if s.ObserveStage != nil {
+		s.ObserveStage(stage, took)
 	}
 }
--- a/supervisor/state.go
+++ b/supervisor/state.go
@@ -15,11 +15,11 @@
 
 // flush sends what is due to the entries.
 func (s *Supervisor) flush(now time.Duration) {
-	for _, o := range s.sortedOwners() {
-		if o.changed && (o.dirty || now-o.toldAt >= s.stateInterval()) {
+	for _, o := range s.sortedSessions() {
+		if o.stateChanged && (o.dirty || now-o.stateSentAt >= s.stateInterval()) {
 			o.out.State = s.state(now, o)
-			o.toldAt = now
-			o.changed = false
+			o.stateSentAt = now
+			o.stateChanged = false
 			o.dirty = true
 		}
 		if !o.dirty {
@@ -39,8 +39,8 @@
 func (s *Supervisor) Pending(now time.Duration) (time.Duration, bool) {
 	var due time.Duration
 	found := false
-	for _, o := range s.owners {
-		if at := o.toldAt + s.stateInterval(); o.changed && (!found || at < due) {
+	for _, o := range s.sessions {
+		if at := o.stateSentAt + s.stateInterval(); o.stateChanged && (!found || at < due) {
 			due, found = at, true
 		}
 	}
@@ -49,21 +49,21 @@
 
 // stateInterval returns the shortest time between two states for one entry.
 func (s *Supervisor) stateInterval() time.Duration {
-	return max(stateInterval, time.Duration(len(s.owners))*stateShare)
+	return max(stateInterval, time.Duration(len(s.sessions))*stateShare)
 }
 
 // Heartbeats sends each entry a frame that has got none since the given time, so
 // that it has a fresh stamp to echo.
 func (s *Supervisor) Heartbeats(now, since time.Duration) {
-	for _, o := range s.owners {
+	for _, o := range s.sessions {
 		o.dirty = o.dirty || o.sentAt <= since
 	}
 	s.flush(now)
 }
 
 // state returns what o is told of the worker.
-func (s *Supervisor) state(now time.Duration, o *owner) *peer.State {
-	st := &peer.State{Cleared: s.orphans[o.name] == 0 && s.empty, Seen: o.seen, Taking: s.taking(now)}
+func (s *Supervisor) state(now time.Duration, o *session) *peer.State {
+	st := &peer.State{Cleared: s.orphanRuns[o.name] == 0 && s.cleared, SeenSeq: o.seenSeq, Accepting: s.accepting(now)}
 	if s.report == nil {
 		return st
 	}
@@ -71,32 +71,32 @@
 		o.profile = s.profile
 		st.Profile = s.profile
 	}
-	st.Free = s.free(now, o)
+	st.Free = s.freeRoom(now, o)
 	st.Speed = s.health.speed()
-	if s.health.sick {
-		st.Health = peer.Sick
+	if s.health.ejected {
+		st.Health = peer.Ejected
 	}
 	return st
 }
 
-// changed has every entry told of the worker's state.
-func (s *Supervisor) changed() {
-	for _, o := range s.owners {
-		o.changed = true
+// markChanged has every entry told of the worker's state.
+func (s *Supervisor) markChanged() {
+	for _, o := range s.sessions {
+		o.stateChanged = true
 	}
 }
 
-// noteHealth logs a change of the worker's health and has it told.
-func (s *Supervisor) noteHealth() {
-	s.Log.Info(event.WorkerHealth, "worker", s.life(), "sick", s.health.sick, "why", s.health.why.String(), "runs", len(s.runs))
-	s.changed()
+// announceHealth logs a change of the worker's health and has it told.
+func (s *Supervisor) announceHealth() {
+	s.Log.Info(event.TargetHealth, "worker", s.incarnation(), "sick", s.health.ejected, "why", s.health.why.String(), "runs", len(s.runs))
+	s.markChanged()
 }
 
-func (s *Supervisor) sortedOwners() []*owner {
-	list := make([]*owner, 0, len(s.owners))
-	for _, o := range s.owners {
+func (s *Supervisor) sortedSessions() []*session {
+	list := make([]*session, 0, len(s.sessions))
+	for _, o := range s.sessions {
 		list = append(list, o)
 	}
-	slices.SortFunc(list, func(a, b *owner) int { return int(a.id) - int(b.id) })
+	slices.SortFunc(list, func(a, b *session) int { return int(a.id) - int(b.id) })
 	return list
 }
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -34,7 +34,7 @@
 	b.Heartbeat(b.now, b.report("i-1", 1))
 	b.list(nil, nil)
 	b.list(nil, nil)
-	assert.Assert(t, b.empty)
+	assert.Assert(t, b.cleared)
 	b.Connected(b.now, 1, "edge")
 	return b
 }
@@ -49,9 +49,9 @@
 
 // list answers a hold that is asked now.
 func (b *bench) list(running []RunningRow, ended []EndedRow) {
-	c, _ := b.NextHold(b.now)
+	c, _ := b.NextRenewal(b.now)
 	b.now += ms
-	b.HoldAnswered(b.now, c, b.reply(Accepted), &HoldAnswer{Running: running, Ended: ended})
+	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{Running: running, Ended: ended})
 }
 
 func (b *bench) reply(o Outcome) Reply {
@@ -65,14 +65,14 @@
 
 // orders has the entry order runs, with its lease renewed now.
 func (b *bench) orders(list ...task.Order) {
-	b.Heard(b.now, 1, &peer.Frame{Seq: 1, Echo: b.now, Starts: list})
+	b.Receive(b.now, 1, &peer.Frame{Seq: 1, Echo: b.now, Starts: list})
 }
 
 // beat keeps the entry's lease while the time goes on.
 func (b *bench) beat(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += 10 * ms
-		b.Heard(b.now, 1, &peer.Frame{Echo: b.now})
+		b.Receive(b.now, 1, &peer.Frame{Echo: b.now})
 		b.Tick(b.now)
 	}
 }
@@ -98,7 +98,7 @@
 	b := newBench(t)
 	b.orders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
-	b.Heard(b.now, 1, &peer.Frame{Echo: b.now, Stops: []task.Ref{{Task: order(0, 0).Task, Run: 1}}})
+	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, Stops: []task.Ref{{Task: order(0, 0).Task, Run: 1}}})
 	assert.Equal(t, len(b.stops), 1)
 	b.StopAnswered(b.now, b.stops[0], Reply{Outcome: NoAnswer})
 	b.beat(300 * ms)
@@ -139,7 +139,7 @@
 func TestAnOrderOfAStaleOwnerIsRefused(t *testing.T) {
 	b := newBench(t)
 	b.now += OwnerLease + ms
-	b.Heard(b.now, 1, &peer.Frame{Seq: 1, Starts: []task.Order{order(0, 1000)}})
+	b.Receive(b.now, 1, &peer.Frame{Seq: 1, Starts: []task.Order{order(0, 1000)}})
 	assert.Equal(t, len(b.starts), 0)
 	assert.Equal(t, b.ends()[0].Reason, code.RunStaleOwner)
 }
@@ -163,7 +163,7 @@
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	b.Heartbeat(b.now, b.report("i-2", 1))
 	assert.Equal(t, b.ends()[0].End, task.EndLost)
-	assert.Equal(t, b.ends()[0].Reason, code.RunWorkerGone)
+	assert.Equal(t, b.ends()[0].Reason, code.RunTargetGone)
 	b.orders(order(1, 1000))
 	assert.Equal(t, b.ends()[1].Reason, code.RunNotTaking) // until it is known to be empty
 }
@@ -181,25 +181,25 @@
 	again.list([]RunningRow{{Name: "old", Run: 3}}, nil)
 	assert.Assert(t, again.token > earlier)
 	again.list([]RunningRow{{Name: "old", Run: 3}}, nil)
-	assert.Assert(t, !again.empty)
+	assert.Assert(t, !again.cleared)
 	assert.Assert(t, len(again.stops) > 0)
 	assert.Equal(t, again.stops[0].Name, "old")
 	assert.Equal(t, again.stops[0].Ref.Run, 3)
 	again.list(nil, nil)
-	assert.Assert(t, again.empty)
+	assert.Assert(t, again.cleared)
 }
 
 func TestASilentWorkerIsNotRenewedAndItsRunsLapse(t *testing.T) {
 	b := newBench(t)
 	b.orders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
-	b.beat(silence + 10*ms)
-	c, _ := b.NextHold(b.now)
+	b.beat(silenceLimit + 10*ms)
+	c, _ := b.NextRenewal(b.now)
 	assert.Equal(t, c.Deadline, time.Duration(0))
 	assert.Equal(t, len(b.runs), 1)
-	b.beat(WorkerLease + 200*ms)
+	b.beat(TargetLease + 200*ms)
 	assert.Equal(t, len(b.runs), 0)
-	assert.Equal(t, b.ends()[0].Reason, code.RunWorkerSilent)
+	assert.Equal(t, b.ends()[0].Reason, code.RunTargetSilent)
 }
 
 func TestRoomIsOfferedToTheMostUrgent(t *testing.T) {
@@ -208,18 +208,18 @@
 	b.orders(order(0, 4000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	need := task.Needs{CPU: 3000}
-	b.Heard(b.now, 1, &peer.Frame{Echo: b.now, Want: &peer.Want{Slack: 80 * ms, Needs: need, Total: need}})
-	b.Heard(b.now, 2, &peer.Frame{Echo: b.now, Want: &peer.Want{Slack: 20 * ms, Needs: need, Total: need}})
+	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, RoomRequest: &peer.RoomRequest{Slack: 80 * ms, Needs: need, Total: need}})
+	b.Receive(b.now, 2, &peer.Frame{Echo: b.now, RoomRequest: &peer.RoomRequest{Slack: 20 * ms, Needs: need, Total: need}})
 	b.frames = nil
 	var first ConnID
 	b.Send = func(id ConnID, f *peer.Frame) {
-		if f.Room != nil && first == 0 {
+		if f.Reservation != nil && first == 0 {
 			first = id
 		}
 	}
 	b.list(nil, []EndedRow{{N: 1, Name: order(0, 0).Task.String(), Run: 1, End: task.EndDone}})
 	assert.Equal(t, first, ConnID(2))
-	b.Heard(b.now, 1, &peer.Frame{Echo: b.now, Starts: []task.Order{order(1, 2000)}})
+	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, Starts: []task.Order{order(1, 2000)}})
 	assert.Equal(t, len(b.starts), 1) // three cores are held for the other
 }
 
@@ -271,13 +271,13 @@
 	b := newBench(t)
 	var waits []time.Duration
 	for range 6 {
-		c, _ := b.NextHold(b.now)
-		waits = append(waits, b.HoldPause())
-		b.HoldAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
+		c, _ := b.NextRenewal(b.now)
+		waits = append(waits, b.RenewalBackoff())
+		b.RenewalAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
 	}
 	assert.DeepEqual(t, waits, []time.Duration{0, 20 * ms, 40 * ms, 80 * ms, 160 * ms, 160 * ms})
 	b.list(nil, nil)
-	assert.Equal(t, b.HoldPause(), time.Duration(0))
+	assert.Equal(t, b.RenewalBackoff(), time.Duration(0))
 }
 
 // TestLostAnswersCallForASecondHold: while the answer of one is lost, the other
@@ -285,20 +285,20 @@
 func TestLostAnswersCallForASecondHold(t *testing.T) {
 	b := newBench(t)
 	b.orders(order(1, 1000))
-	assert.Assert(t, !b.Shaky(b.now))
-	c, _ := b.NextHold(b.now)
+	assert.Assert(t, !b.LosingReplies(b.now))
+	c, _ := b.NextRenewal(b.now)
 	b.now += 70 * ms
-	b.HoldAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
-	assert.Assert(t, b.Shaky(b.now))
-	first, _ := b.NextHold(b.now)
-	second, _ := b.NextHold(b.now)
+	b.RenewalAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
+	assert.Assert(t, b.LosingReplies(b.now))
+	first, _ := b.NextRenewal(b.now)
+	second, _ := b.NextRenewal(b.now)
 	b.now += 5 * ms
-	lists := &HoldAnswer{Ended: []EndedRow{{N: 1, Name: b.starts[0].Order.Task.String(), Run: 1, End: task.EndDone}}}
-	b.HoldAnswered(b.now, second, b.reply(Accepted), lists)
-	b.HoldAnswered(b.now, first, b.reply(Accepted), lists)
-	assert.Equal(t, len(b.ends()), 1) // told once
-	assert.Assert(t, !b.Shaky(b.now)) // nothing runs
-	assert.Assert(t, !b.Shaky(b.now+shakyTime))
+	lists := &RunLists{Ended: []EndedRow{{N: 1, Name: b.starts[0].Order.Task.String(), Run: 1, End: task.EndDone}}}
+	b.RenewalAnswered(b.now, second, b.reply(Accepted), lists)
+	b.RenewalAnswered(b.now, first, b.reply(Accepted), lists)
+	assert.Equal(t, len(b.ends()), 1)         // told once
+	assert.Assert(t, !b.LosingReplies(b.now)) // nothing runs
+	assert.Assert(t, !b.LosingReplies(b.now+losingRepliesTime))
 }
 
 // TestASilentWorkerGetsNoSecondHold: where nothing is answered, more calls tell
@@ -306,8 +306,8 @@
 func TestASilentWorkerGetsNoSecondHold(t *testing.T) {
 	b := newBench(t)
 	b.orders(order(1, 1000))
-	c, _ := b.NextHold(b.now)
-	b.beat(silence + 10*ms)
-	b.HoldAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
-	assert.Assert(t, !b.Shaky(b.now))
+	c, _ := b.NextRenewal(b.now)
+	b.beat(silenceLimit + 10*ms)
+	b.RenewalAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
+	assert.Assert(t, !b.LosingReplies(b.now))
 }
--- a/task/job.go
+++ b/task/job.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// lateFactor is how many times its objective a job may take and still be worth
+// lateObjectiveFactor is how many times its objective a job may take and still be worth
 // something.
-const lateFactor = 3
+const lateObjectiveFactor = 3
 
 // Needs is room on a worker: what a task takes, or what a worker has.
 type Needs struct {
@@ -48,14 +48,14 @@
 	// Guess what the caller said of that.
 	Estimate time.Duration
 	Guess    time.Duration
-	// After holds the numbers of the earlier steps that must be done first.
-	After []int
+	// DependsOn holds the numbers of the earlier steps that must be done first.
+	DependsOn []int
 	// Label is what the worker must be labelled with; empty means nothing.
 	Label string
 	// Rack is where the step's data lies; empty means anywhere.
 	Rack string
-	// Spread is the most tasks of the step on one worker; zero means any.
-	Spread int
+	// MaxPerTarget is the most tasks of the step on one worker; zero means any.
+	MaxPerTarget int
 }
 
 // Job is one submission, as its queue's configuration completes it.
@@ -75,13 +75,13 @@
 	Priority int
 	// Attempts is how many runs of a task may fail before the job has.
 	Attempts int
-	// Stretch and Latency make the objective: Stretch times the longest
+	// ObjectiveFactor and Latency make the objective: Stretch times the longest
 	// chain of work, and Latency more.
-	Stretch float64
-	Latency time.Duration
-	// Patience is how long the caller waits for the answer; zero means that
+	ObjectiveFactor float64
+	ObjectiveSlack  time.Duration
+	// CallerTimeout is how long the caller waits for the answer; zero means that
 	// it did not say.
-	Patience time.Duration
+	CallerTimeout time.Duration
 }
 
 // Chain returns the estimate of the job's longest chain of steps.
@@ -90,7 +90,7 @@
 	var longest time.Duration
 	for k, s := range j.Steps {
 		var begin time.Duration
-		for _, earlier := range s.After {
+		for _, earlier := range s.DependsOn {
 			begin = max(begin, ends[earlier])
 		}
 		ends[k] = begin + s.Estimate
@@ -101,25 +101,25 @@
 
 // Objective returns how long the job may take to count in full.
 func (j Job) Objective() time.Duration {
-	return time.Duration(j.Stretch*float64(j.Chain())) + j.Latency
+	return time.Duration(j.ObjectiveFactor*float64(j.Chain())) + j.ObjectiveSlack
 }
 
 // LateObjective returns how long the job may take to count at all.
 func (j Job) LateObjective() time.Duration {
-	return lateFactor * j.Objective()
+	return lateObjectiveFactor * j.Objective()
 }
 
 // Work returns the estimate of all of the job's work, in seconds of a core.
 func (j Job) Work() float64 {
 	work := 0.0
 	for _, s := range j.Steps {
-		work += float64(s.Count) * s.Estimate.Seconds() * float64(s.Needs.CPU) / thousand
+		work += float64(s.Count) * s.Estimate.Seconds() * float64(s.Needs.CPU) / milliCores
 	}
 	return work
 }
 
-// thousand is how many thousandths a core has.
-const thousand = 1000
+// milliCores is how many thousandths a core has.
+const milliCores = 1000
 
 // Tasks returns the number of the job's tasks.
 func (j Job) Tasks() int {
@@ -199,12 +199,12 @@
 	// Guess is what the caller said of that. Speeds are learned against it:
 	// against learned estimates the two would drift together.
 	Guess time.Duration
-	// Doubtful says that a run of the job has failed on another worker: a
+	// FailedElsewhere says that a run of the job has failed on another worker: a
 	// further failure says nothing of the worker.
-	Doubtful bool
-	// Limit is how long after this order was sent the run may last at most;
+	FailedElsewhere bool
+	// TimeLeft is how long after this order was sent the run may last at most;
 	// zero means any time.
-	Limit time.Duration
+	TimeLeft time.Duration
 }
 
 // Ref names a run of a task.
--- a/task/job_test.go
+++ b/task/job_test.go
@@ -9,13 +9,13 @@
 
 func TestChainIsTheLongestPath(t *testing.T) {
 	j := Job{
-		Stretch: 1.5,
-		Latency: 60 * time.Millisecond,
+		ObjectiveFactor: 1.5,
+		ObjectiveSlack:  60 * time.Millisecond,
 		Steps: []Step{
 			{Count: 2, Estimate: 100 * time.Millisecond},
 			{Count: 1, Estimate: 300 * time.Millisecond},
-			{Count: 4, Estimate: 50 * time.Millisecond, After: []int{0}},
-			{Count: 1, Estimate: 10 * time.Millisecond, After: []int{1, 2}},
+			{Count: 4, Estimate: 50 * time.Millisecond, DependsOn: []int{0}},
+			{Count: 1, Estimate: 10 * time.Millisecond, DependsOn: []int{1, 2}},
 		},
 	}
 	assert.Equal(t, j.Chain(), 310*time.Millisecond)
--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -65,11 +65,11 @@
 	c := &client{w: w, calm: calm, done: make(map[task.ID]bool), failed: make(map[task.ID]int)}
 	c.spec = task.Job{
 		ID: id, Queue: "q", Service: service, Spec: id, Attempts: attempts,
-		Stretch: 1.6, Latency: 60 * time.Millisecond, Patience: w.cfg.Patience, Priority: w.rng.IntN(3),
+		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.Patience, Priority: w.rng.IntN(3),
 		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64}, Estimate: guess}},
 	}
 	if w.rng.IntN(4) == 0 {
-		c.spec.Steps = append(c.spec.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 500}, Estimate: guess, After: []int{0}})
+		c.spec.Steps = append(c.spec.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
 	}
 	w.hopeless[id] = w.rng.IntN(30) == 0 && !calm
 	w.jobs[id] = c
@@ -104,7 +104,7 @@
 			e.clients[c.spec.ID] = c
 		})
 	})
-	w.after(c.spec.Patience, func() {
+	w.after(c.spec.CallerTimeout, func() {
 		if c.tries == tries && !c.answered {
 			c.leave()
 			c.resend()
@@ -178,7 +178,7 @@
 
 // checkOrder looks whether all earlier steps had ended well when a task began.
 func (c *client) checkOrder(id task.ID) {
-	for _, step := range c.spec.Steps[id.Step].After {
+	for _, step := range c.spec.Steps[id.Step].DependsOn {
 		for n := range c.spec.Steps[step].Count {
 			if earlier := (task.ID{Job: id.Job, Step: step, Index: n}); !c.done[earlier] {
 				c.w.breaks("ORDER: %s began before %s had ended", id, earlier)
--- a/testutil/fleet/fault.go
+++ b/testutil/fleet/fault.go
@@ -49,15 +49,15 @@
 	case CutEntry:
 		w.cutOff(nil, e, lasts)
 	case LoseAnswers:
-		w.mood(a, Mood{Lost: 0.3}, lasts)
+		w.behave(a, Behaviour{Lost: 0.3}, lasts)
 	case DelayOrders:
-		w.mood(a, Mood{Late: 0.3}, lasts)
+		w.behave(a, Behaviour{Late: 0.3}, lasts)
 	case FailRuns:
-		w.mood(a, Mood{Failing: 1}, lasts)
+		w.behave(a, Behaviour{Failing: 1}, lasts)
 	case SlowWorker:
-		w.mood(a, Mood{Slow: 6}, lasts)
+		w.behave(a, Behaviour{Slow: 6}, lasts)
 	case HangWorker:
-		w.mood(a, Mood{Hanging: true}, lasts)
+		w.behave(a, Behaviour{Hanging: true}, lasts)
 	case CrashWorker:
 		w.crash(a)
 	case DrainWorker:
@@ -76,34 +76,34 @@
 	}
 }
 
-// mood changes how a worker behaves for a while.
-func (w *World) mood(a *agentProcess, m Mood, lasts time.Duration) {
-	a.worker.mood = m
+// behave changes how a worker behaves for a while.
+func (w *World) behave(a *agentProcess, m Behaviour, lasts time.Duration) {
+	a.target.behaviour = m
 	w.after(lasts, func() {
-		if a.worker.mood == m {
-			a.worker.mood = Mood{}
+		if a.target.behaviour == m {
+			a.target.behaviour = Behaviour{}
 		}
 	})
 }
 
 // crash ends a worker's life; another begins in a while.
 func (w *World) crash(a *agentProcess) {
-	if !a.worker.up {
+	if !a.target.up {
 		return
 	}
-	a.worker.crash()
-	w.after(500*time.Millisecond+w.upTo(time.Second), a.worker.begin)
+	a.target.crash()
+	w.after(500*time.Millisecond+w.upTo(time.Second), a.target.begin)
 }
 
 // drain has a worker say that it leaves, and leave.
 func (w *World) drain(a *agentProcess) {
 	a.do(a.life, func() {
-		if !a.worker.up || a.worker.draining > 0 {
+		if !a.target.up || a.target.draining > 0 {
 			return
 		}
-		a.worker.draining = w.now()
+		a.target.draining = w.now()
 		a.seq++
-		a.supervisor.Heartbeat(w.now(), a.worker.report(a.seq))
+		a.supervisor.Heartbeat(w.now(), a.target.report(a.seq))
 		w.after(drainTime+w.upTo(time.Second), func() { w.crash(a) })
 	})
 }
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -175,7 +175,7 @@
 			}
 			l.heardA = l.w.now()
 			l.echoA = max(l.echoA, sent.Stamp)
-			l.a.supervisor.Heard(l.w.now(), l.id, &sent)
+			l.a.supervisor.Receive(l.w.now(), l.id, &sent)
 			l.a.later()
 		})
 	})
@@ -198,7 +198,7 @@
 			}
 			l.heardE = l.w.now()
 			l.echoE = max(l.echoE, sent.Stamp)
-			l.e.owner.Heard(l.w.now(), l.a.name, &sent)
+			l.e.owner.Receive(l.w.now(), l.a.name, &sent)
 		})
 	})
 }
--- a/testutil/fleet/policy_test.go
+++ b/testutil/fleet/policy_test.go
@@ -27,11 +27,11 @@
 	return func(w *World) { w.At(4*time.Second, func() { do(w) }) }
 }
 
-// inMood has the first so many workers be in a mood for a while.
-func inMood(workers int, m Mood, lasts time.Duration) func(*World) {
+// behaving has the first so many workers be in a mood for a while.
+func behaving(targets int, m Behaviour, lasts time.Duration) func(*World) {
 	return from(func(w *World) {
-		for _, a := range w.agents[:workers] {
-			w.mood(a, m, lasts)
+		for _, a := range w.agents[:targets] {
+			w.behave(a, m, lasts)
 		}
 	})
 }
@@ -55,12 +55,12 @@
 		{"high load, large", 0.85, 12, large, 3, nil, 0.98, 0.96, 0.45},
 		{"burst", 0.75, 3, small, 8, surge(1.8), 0.875, 0.86, 0.12},
 		{"burst, large", 0.75, 12, large, 3, surge(1.8), 0.87, 0.83, 0.30},
-		{"late orders", 0.75, 3, small, 8, inMood(small, Mood{Late: 0.06}, 8*time.Second), 0.965, 0.945, 0.16},
-		{"lost answers", 0.75, 3, small, 8, inMood(small, Mood{Lost: 0.06}, 8*time.Second), 0.965, 0.945, 0.16},
+		{"late orders", 0.75, 3, small, 8, behaving(small, Behaviour{Late: 0.06}, 8*time.Second), 0.965, 0.945, 0.16},
+		{"lost answers", 0.75, 3, small, 8, behaving(small, Behaviour{Lost: 0.06}, 8*time.Second), 0.965, 0.945, 0.16},
 		{"all killed", 0.75, 3, small, 8, from((*World).KillAll), 0.81, 0.76, 0.18},
-		{"a worker hangs", 0.75, 3, small, 8, inMood(1, Mood{Hanging: true}, 4*time.Second), 0.96, 0.94, 0.18},
-		{"a worker is slow", 0.75, 3, small, 8, inMood(1, Mood{Slow: 6}, 4*time.Second), 0.96, 0.945, 0.18},
-		{"a worker fails all", 0.75, 3, small, 8, inMood(1, Mood{Failing: 1}, 4*time.Second), 0.96, 0.935, 0.18},
+		{"a worker hangs", 0.75, 3, small, 8, behaving(1, Behaviour{Hanging: true}, 4*time.Second), 0.96, 0.94, 0.18},
+		{"a worker is slow", 0.75, 3, small, 8, behaving(1, Behaviour{Slow: 6}, 4*time.Second), 0.96, 0.945, 0.18},
+		{"a worker fails all", 0.75, 3, small, 8, behaving(1, Behaviour{Failing: 1}, 4*time.Second), 0.96, 0.935, 0.18},
 	} {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
@@ -103,10 +103,10 @@
 	for _, c := range by {
 		worst = min(worst, c.Share())
 	}
-	bounced := float64(stats.Bounced) / float64(stats.Starts)
+	bounced := float64(stats.Rejected) / float64(stats.Starts)
 	t.Logf("earned %.3f, worst class %.3f, held %.3f; of %d jobs %d in aim, %d late, %d refused, %d given up; %.3f of orders turned down, %.1f frames a run",
 		total.Share(), worst, total.Held/total.Owed, total.Jobs, total.InAim, total.Late, stats.Refused, stats.GivenUp, bounced,
-		float64(frames)/float64(stats.Starts-stats.Bounced))
+		float64(frames)/float64(stats.Starts-stats.Rejected))
 	assert.Check(t, total.Share() >= s.least)
 	assert.Check(t, worst >= s.worst)
 	assert.Check(t, bounced <= s.bounced)
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -55,7 +55,7 @@
 		e.w.ended = addStats(e.w.ended, e.owner.Stats())
 	}
 	e.owner = owner.NewOwner(e.w.cfg.Log.With("node", e.name), e.w.rng.Float64)
-	e.owner.Clear = e.w.cfg.Clear
+	e.owner.ClearTime = e.w.cfg.Clear
 	e.owner.Send = func(agent string, f *peer.Frame) uint64 { return e.w.linkOf(e.name, agent).fromEntry(f) }
 	life := e.life
 	var tick func()
@@ -94,15 +94,15 @@
 	supervisor *supervisor.Supervisor
 	flushing   bool
 	beside     bool // a second hold is kept under way
-	worker     *emulated
+	target     *emulatedTarget
 	seq        uint64
 }
 
 func (w *World) newAgent(k int) *agentProcess {
 	a := &agentProcess{process: process{w: w, name: fmt.Sprintf("side-%d", k)}}
-	a.worker = newEmulated(w, task.Needs{CPU: w.cfg.CPU, MemoryMB: 4096})
+	a.target = newEmulatedTarget(w, task.Needs{CPU: w.cfg.CPU, MemoryMB: 4096})
 	if len(w.cfg.Speeds) > 0 {
-		a.worker.speed = w.cfg.Speeds[k%len(w.cfg.Speeds)]
+		a.target.speed = w.cfg.Speeds[k%len(w.cfg.Speeds)]
 	}
 	a.begin()
 	a.report()
@@ -111,9 +111,9 @@
 
 // report has the worker send its heartbeats for good.
 func (a *agentProcess) report() {
-	if a.worker.up {
+	if a.target.up {
 		a.seq++
-		r := a.worker.report(a.seq)
+		r := a.target.report(a.seq)
 		a.do(a.life, func() { a.supervisor.Heartbeat(a.w.now(), r) })
 	}
 	a.w.after(reportEvery, a.report)
@@ -136,16 +136,16 @@
 	}
 	s.Start = func(c supervisor.StartCall) {
 		a.w.after(supervisor.StartRetry+time.Millisecond, func() { a.do(life, func() { s.Tick(a.w.now()) }) })
-		a.worker.call(c.Life, orderTimeout, func() supervisor.Reply { return a.worker.start(c) }, func(r supervisor.Reply) {
+		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.start(c) }, func(r supervisor.Reply) {
 			a.do(life, func() { s.StartAnswered(a.w.now(), c, r); a.later() })
 		})
 	}
 	s.Stop = func(c supervisor.StopCall) {
-		a.worker.call(c.Life, orderTimeout, func() supervisor.Reply { return a.worker.stop(c) }, func(r supervisor.Reply) {
+		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.stop(c) }, func(r supervisor.Reply) {
 			a.do(life, func() { s.StopAnswered(a.w.now(), c, r) })
 		})
 	}
-	a.hold(life)
+	a.renew(life)
 	a.tick(life)
 }
 
@@ -161,9 +161,9 @@
 
 // later has a state that waits to be told sent in time.
 func (a *agentProcess) later() {
-	if !a.beside && a.supervisor.Shaky(a.w.now()) {
+	if !a.beside && a.supervisor.LosingReplies(a.w.now()) {
 		a.beside = true
-		a.holdBeside(a.life)
+		a.renewBeside(a.life)
 	}
 	wait, ok := a.supervisor.Pending(a.w.now())
 	if !ok || a.flushing {
@@ -180,34 +180,34 @@
 	})
 }
 
-// hold keeps the worker's lease.
-func (a *agentProcess) hold(life int) {
-	a.holdOnce(life, func(wait time.Duration) { a.w.after(wait, func() { a.hold(life) }) })
+// renew keeps the worker's lease.
+func (a *agentProcess) renew(life int) {
+	a.renewOnce(life, func(wait time.Duration) { a.w.after(wait, func() { a.renew(life) }) })
 }
 
-// holdBeside keeps a second hold under way while answers get lost.
-func (a *agentProcess) holdBeside(life int) {
-	a.holdOnce(life, func(wait time.Duration) {
-		if !a.supervisor.Shaky(a.w.now()) {
+// renewBeside keeps a second hold under way while answers get lost.
+func (a *agentProcess) renewBeside(life int) {
+	a.renewOnce(life, func(wait time.Duration) {
+		if !a.supervisor.LosingReplies(a.w.now()) {
 			a.beside = false
 			return
 		}
-		a.w.after(wait, func() { a.holdBeside(life) })
+		a.w.after(wait, func() { a.renewBeside(life) })
 	})
 }
 
-func (a *agentProcess) holdOnce(life int, next func(wait time.Duration)) {
+func (a *agentProcess) renewOnce(life int, next func(wait time.Duration)) {
 	a.do(life, func() {
-		c, ok := a.supervisor.NextHold(a.w.now())
+		c, ok := a.supervisor.NextRenewal(a.w.now())
 		if !ok {
 			next(agentTick)
 			return
 		}
-		a.worker.hold(c, func(r supervisor.Reply, lists *supervisor.HoldAnswer) {
+		a.target.renew(c, func(r supervisor.Reply, lists *supervisor.RunLists) {
 			a.do(life, func() {
-				a.supervisor.HoldAnswered(a.w.now(), c, r, lists)
+				a.supervisor.RenewalAnswered(a.w.now(), c, r, lists)
 				a.later()
-				next(max(time.Millisecond, a.supervisor.HoldPause()))
+				next(max(time.Millisecond, a.supervisor.RenewalBackoff()))
 			})
 		})
 	})
--- a/testutil/fleet/same_amd64_test.go
+++ b/testutil/fleet/same_amd64_test.go
@@ -49,10 +49,10 @@
 	for name, scene := range map[string]func(*World){
 		"burst":       surge(1.8),
 		"all killed":  from((*World).KillAll),
-		"late orders": inMood(11, Mood{Late: 0.06}, 8*time.Second),
-		"slow":        inMood(1, Mood{Slow: 6}, 4*time.Second),
-		"hanging":     inMood(1, Mood{Hanging: true}, 4*time.Second),
-		"failing":     inMood(1, Mood{Failing: 1}, 4*time.Second),
+		"late orders": behaving(11, Behaviour{Late: 0.06}, 8*time.Second),
+		"slow":        behaving(1, Behaviour{Slow: 6}, 4*time.Second),
+		"hanging":     behaving(1, Behaviour{Hanging: true}, 4*time.Second),
+		"failing":     behaving(1, Behaviour{Failing: 1}, 4*time.Second),
 	} {
 		w := New(PolicyConfig(3, 3, 11, Tracking(11, 0.85)))
 		scene(w)
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -24,8 +24,8 @@
 	holdTimeout  = 40 * time.Millisecond
 )
 
-// Mood is how a worker behaves.
-type Mood struct {
+// Behaviour is how a worker behaves.
+type Behaviour struct {
 	// Lost is the share of calls that are done and not answered; Late the
 	// share that is not answered and done 2 to 12 s later.
 	Lost, Late float64
@@ -36,27 +36,27 @@
 	Hanging bool
 }
 
-// emulated is a worker as the platform's pages describe it: it keeps a lease on
+// emulatedTarget is a worker as the platform's pages describe it: it keeps a lease on
 // its own clock, lists what runs and has ended, and refuses lower fencing
 // tokens. It does not guard its capacity.
-type emulated struct {
-	w        *World
-	id       string
-	lives    int
-	up       bool
-	rate     float64 // of its clock
-	began    time.Duration
-	capacity task.Needs
-	speed    float64
-	deadline time.Duration
-	token    uint64
-	runs     map[string]*emulatedRun
-	ended    []supervisor.EndedRow
-	count    uint64
-	highest  map[string]int // runs that were stopped or ended
-	draining time.Duration  // when it was acknowledged; zero: not
-	mood     Mood
-	polls    []func() bool // holds that wait for an end
+type emulatedTarget struct {
+	w         *World
+	id        string
+	lives     int
+	up        bool
+	rate      float64 // of its clock
+	began     time.Duration
+	capacity  task.Needs
+	speed     float64
+	deadline  time.Duration
+	token     uint64
+	runs      map[string]*emulatedRun
+	ended     []supervisor.EndedRow
+	count     uint64
+	highest   map[string]int // runs that were stopped or ended
+	draining  time.Duration  // when it was acknowledged; zero: not
+	behaviour Behaviour
+	polls     []func() bool // holds that wait for an end
 }
 
 type emulatedRun struct {
@@ -65,17 +65,17 @@
 	left  bool // is over
 }
 
-func newEmulated(w *World, capacity task.Needs) *emulated {
-	e := &emulated{w: w, capacity: capacity, speed: 1, rate: 0.98 + 0.02*w.rng.Float64()}
+func newEmulatedTarget(w *World, capacity task.Needs) *emulatedTarget {
+	e := &emulatedTarget{w: w, capacity: capacity, speed: 1, rate: 0.98 + 0.02*w.rng.Float64()}
 	e.begin()
 	return e
 }
 
 // begin begins a new life.
-func (e *emulated) begin() {
+func (e *emulatedTarget) begin() {
 	e.lives++
-	e.w.workers++
-	e.id = fmt.Sprintf("i-%d", e.w.workers)
+	e.w.incarnations++
+	e.id = fmt.Sprintf("i-%d", e.w.incarnations)
 	e.up = true
 	e.began = e.w.now()
 	e.deadline = 0
@@ -89,31 +89,31 @@
 }
 
 // crash ends the life with all that runs.
-func (e *emulated) crash() {
+func (e *emulatedTarget) crash() {
 	e.up = false
 	e.runs = make(map[string]*emulatedRun)
 	e.lives++
 }
 
 // clock returns the worker's own clock.
-func (e *emulated) clock() time.Duration {
+func (e *emulatedTarget) clock() time.Duration {
 	return time.Duration(float64(e.w.now()-e.began)*e.rate) + time.Second
 }
 
 // report returns what a heartbeat says.
-func (e *emulated) report(seq uint64) supervisor.Report {
+func (e *emulatedTarget) report(seq uint64) supervisor.Report {
 	return supervisor.Report{ID: e.id, Service: service, Capacity: e.capacity, Draining: e.draining > 0,
 		Clock: e.clock(), HasClock: true, Seq: seq}
 }
 
 // call runs do as a call with the worker's mood: the answer may be lost, and
 // what is asked may be done later.
-func (e *emulated) call(life string, timeout time.Duration, do func() supervisor.Reply, answer func(supervisor.Reply)) {
+func (e *emulatedTarget) call(life string, timeout time.Duration, do func() supervisor.Reply, answer func(supervisor.Reply)) {
 	luck := e.w.rng.Float64()
 	none := supervisor.Reply{Outcome: supervisor.NoAnswer}
 	run := func() supervisor.Reply {
 		if e.id != life {
-			return supervisor.Reply{Outcome: supervisor.OtherLife}
+			return supervisor.Reply{Outcome: supervisor.WrongIncarnation}
 		}
 		reply := do()
 		reply.Clock = e.clock().Truncate(time.Millisecond)
@@ -123,14 +123,14 @@
 	switch {
 	case !e.up:
 		e.w.after(timeout, func() { answer(none) })
-	case luck < e.mood.Late:
+	case luck < e.behaviour.Late:
 		e.w.after(e.lateness(), func() {
 			if e.up {
 				run()
 			}
 		})
 		e.w.after(timeout, func() { answer(none) })
-	case luck < e.mood.Late+e.mood.Lost:
+	case luck < e.behaviour.Late+e.behaviour.Lost:
 		run()
 		e.w.after(timeout, func() { answer(none) })
 	default:
@@ -147,7 +147,7 @@
 
 // lateness returns how late an unanswered call is done: half of them within a
 // second, when leases may still run, the others after that.
-func (e *emulated) lateness() time.Duration {
+func (e *emulatedTarget) lateness() time.Duration {
 	if e.w.rng.IntN(2) == 0 {
 		return e.w.upTo(time.Second)
 	}
@@ -155,10 +155,10 @@
 }
 
 // start carries out an order to start a run.
-func (e *emulated) start(c supervisor.StartCall) supervisor.Reply {
+func (e *emulatedTarget) start(c supervisor.StartCall) supervisor.Reply {
 	name := c.Order.Task.String()
 	if c.Token < e.token {
-		return supervisor.Reply{Outcome: supervisor.RefusedFence}
+		return supervisor.Reply{Outcome: supervisor.RefusedToken}
 	}
 	e.token = c.Token
 	if r := e.runs[name]; r != nil && r.order.Run == c.Order.Run {
@@ -179,23 +179,23 @@
 }
 
 // work lets a run end in its time.
-func (e *emulated) work(r *emulatedRun) {
+func (e *emulatedTarget) work(r *emulatedRun) {
 	took := e.length(r)
-	if e.mood.Slow > 1 {
-		took = time.Duration(float64(took) * e.mood.Slow)
+	if e.behaviour.Slow > 1 {
+		took = time.Duration(float64(took) * e.behaviour.Slow)
 	}
-	if e.mood.Hanging {
+	if e.behaviour.Hanging {
 		return
 	}
 	end := task.EndDone
-	if e.w.rng.Float64() < e.mood.Failing || e.w.hopeless[r.order.Task.Job] {
+	if e.w.rng.Float64() < e.behaviour.Failing || e.w.hopeless[r.order.Task.Job] {
 		end = task.EndFailed
 	}
 	e.w.after(took, func() { e.finish(r, end) })
 }
 
 // length returns how long a run takes on a worker in its usual mood.
-func (e *emulated) length(r *emulatedRun) time.Duration {
+func (e *emulatedTarget) length(r *emulatedRun) time.Duration {
 	if c := e.w.jobs[r.order.Task.Job]; c != nil && c.work > 0 {
 		return time.Duration(float64(c.lengths[r.order.Task.Index]) / e.speed)
 	}
@@ -203,7 +203,7 @@
 }
 
 // extend lengthens the lease, to a second at most, and has it lapse.
-func (e *emulated) extend(deadline time.Duration) {
+func (e *emulatedTarget) extend(deadline time.Duration) {
 	deadline = min(deadline, e.clock()+time.Second)
 	if deadline <= e.deadline {
 		return
@@ -221,7 +221,7 @@
 }
 
 // sorted returns what runs, by name.
-func (e *emulated) sorted() []*emulatedRun {
+func (e *emulatedTarget) sorted() []*emulatedRun {
 	list := make([]*emulatedRun, 0, len(e.runs))
 	for _, r := range e.runs {
 		list = append(list, r)
@@ -231,7 +231,7 @@
 }
 
 // finish lists the end of a run.
-func (e *emulated) finish(r *emulatedRun, end task.End) {
+func (e *emulatedTarget) finish(r *emulatedRun, end task.End) {
 	if e.runs[r.name] != r {
 		return
 	}
@@ -239,7 +239,7 @@
 	e.highest[r.name] = max(e.highest[r.name], r.order.Run)
 	e.count++
 	e.ended = append(e.ended, supervisor.EndedRow{N: e.count, Name: r.name, Run: r.order.Run, End: end})
-	e.w.sawEnd(r, end)
+	e.w.recordEnd(r, end)
 	polls := e.polls
 	e.polls = nil
 	for _, poll := range polls {
@@ -248,9 +248,9 @@
 }
 
 // stop carries out an order to stop a run.
-func (e *emulated) stop(c supervisor.StopCall) supervisor.Reply {
+func (e *emulatedTarget) stop(c supervisor.StopCall) supervisor.Reply {
 	if c.Token < e.token {
-		return supervisor.Reply{Outcome: supervisor.RefusedFence}
+		return supervisor.Reply{Outcome: supervisor.RefusedToken}
 	}
 	e.token = c.Token
 	e.highest[c.Name] = max(e.highest[c.Name], c.Ref.Run)
@@ -262,12 +262,12 @@
 	return supervisor.Reply{}
 }
 
-// hold renews the lease and lists.
-func (e *emulated) hold(c supervisor.HoldCall, answer func(supervisor.Reply, *supervisor.HoldAnswer)) {
-	var lists *supervisor.HoldAnswer
-	e.call(c.Life, c.Wait+holdTimeout, func() supervisor.Reply {
+// renew renews the lease and lists.
+func (e *emulatedTarget) renew(c supervisor.RenewCall, answer func(supervisor.Reply, *supervisor.RunLists)) {
+	var lists *supervisor.RunLists
+	e.call(c.Incarnation, c.Wait+holdTimeout, func() supervisor.Reply {
 		if c.Token < e.token {
-			return supervisor.Reply{Outcome: supervisor.RefusedFence}
+			return supervisor.Reply{Outcome: supervisor.RefusedToken}
 		}
 		e.token = c.Token
 		if c.Deadline > 0 {
@@ -286,7 +286,7 @@
 }
 
 // poll calls back at the next end, or after wait.
-func (e *emulated) poll(wait time.Duration, back func()) {
+func (e *emulatedTarget) poll(wait time.Duration, back func()) {
 	done := false
 	lives := e.lives
 	once := func() bool {
@@ -307,8 +307,8 @@
 	})
 }
 
-func (e *emulated) lists() *supervisor.HoldAnswer {
-	a := &supervisor.HoldAnswer{Ended: slices.Clone(e.ended)}
+func (e *emulatedTarget) lists() *supervisor.RunLists {
+	a := &supervisor.RunLists{Ended: slices.Clone(e.ended)}
 	for _, r := range e.sorted() {
 		a.Running = append(a.Running, supervisor.RunningRow{Name: r.name, Run: r.order.Run})
 	}
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -47,9 +47,9 @@
 
 // Tracking is a workload of three classes with so many jobs a second on so many
 // workers of sixteen cores as makes the given load.
-func Tracking(workers int, load float64) []Class {
+func Tracking(targets int, load float64) []Class {
 	const coresEach, usual = 16, 0.73 // the load of the rates below on one worker
-	scale := load / usual * float64(workers) / 11
+	scale := load / usual * float64(targets) / 11
 	return []Class{
 		{Name: "short", Rate: 34.4 * scale, Work: 60 * time.Millisecond, Longest: 240 * time.Millisecond, Tasks: 8, MostTasks: 32, Attempts: 3, Worth: 0.0291},
 		{Name: "long", Rate: 6.25 * scale, Work: 900 * time.Millisecond, Longest: 3600 * time.Millisecond, Tasks: 4, MostTasks: 16, Priority: 2, Attempts: 2, Worth: 0.16},
@@ -119,7 +119,7 @@
 	a.Refused += b.Refused
 	a.Cancelled += b.Cancelled
 	a.Starts += b.Starts
-	a.Bounced += b.Bounced
+	a.Rejected += b.Rejected
 	a.Moved += b.Moved
 	return a
 }
@@ -170,9 +170,9 @@
 	}
 	c.spec = task.Job{
 		ID: id, Queue: class.Name, Service: service, Spec: id, Attempts: class.Attempts,
-		Stretch: stretch, Latency: latencyAim, Priority: class.Priority,
-		Patience: 3*c.objective() + 1500*time.Millisecond,
-		Steps:    []task.Step{{Count: count, Needs: task.Needs{CPU: taskCPU, MemoryMB: 64}, Estimate: guess}},
+		ObjectiveFactor: stretch, ObjectiveSlack: latencyAim, Priority: class.Priority,
+		CallerTimeout: 3*c.objective() + 1500*time.Millisecond,
+		Steps:         []task.Step{{Count: count, Needs: task.Needs{CPU: taskCPU, MemoryMB: 64}, Estimate: guess}},
 	}
 	usual := class.Work.Seconds() * float64(class.Tasks)
 	c.worth = class.Worth * min(mostWorth, baseWorth+(1-baseWorth)*work.Seconds()*float64(count)/usual)
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -87,18 +87,18 @@
 
 // World is one history.
 type World struct {
-	cfg      Config
-	queue    *vtime.Queue
-	rng      *rand.Rand
-	load     *rand.Rand // of a workload: its jobs are the same whatever is decided
-	entries  []*entryProcess
-	agents   []*agentProcess
-	links    []*link
-	workers  int
-	conns    uint64
-	hopeless map[string]bool // jobs whose tasks always fail
-	jobs     map[string]*client
-	Counts   Counts
+	cfg          Config
+	queue        *vtime.Queue
+	rng          *rand.Rand
+	load         *rand.Rand // of a workload: its jobs are the same whatever is decided
+	entries      []*entryProcess
+	agents       []*agentProcess
+	links        []*link
+	incarnations int
+	conns        uint64
+	hopeless     map[string]bool // jobs whose tasks always fail
+	jobs         map[string]*client
+	Counts       Counts
 	// Credits are what each class of a workload has earned; Surge is how many
 	// times the usual rate its jobs come, zero meaning once.
 	Credits []Credit
@@ -187,7 +187,7 @@
 }
 
 // checkStart watches a run that begins on a worker.
-func (w *World) checkStart(e *emulated, r *emulatedRun) {
+func (w *World) checkStart(e *emulatedTarget, r *emulatedRun) {
 	w.Counts.Starts++
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
@@ -207,14 +207,14 @@
 		w.breaks("DRAIN: %s on %s", r.name, e.id)
 	}
 	for _, a := range w.agents {
-		if a.worker.up && a.worker.runs[r.name] != nil {
-			w.breaks("TWICE: %s on %s runs on %s", r.name, e.id, a.worker.id)
+		if a.target.up && a.target.runs[r.name] != nil {
+			w.breaks("TWICE: %s on %s runs on %s", r.name, e.id, a.target.id)
 		}
 	}
 }
 
-// sawEnd takes note of an end on a worker.
-func (w *World) sawEnd(r *emulatedRun, end task.End) {
+// recordEnd takes note of an end on a worker.
+func (w *World) recordEnd(r *emulatedRun, end task.End) {
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
 		return
@@ -235,8 +235,8 @@
 		}
 	}
 	for _, a := range w.agents {
-		if !w.cfg.Lasting && len(a.worker.runs) > 0 && a.worker.up {
-			w.breaks("LEFT: %d runs on %s", len(a.worker.runs), a.worker.id)
+		if !w.cfg.Lasting && len(a.target.runs) > 0 && a.target.up {
+			w.breaks("LEFT: %d runs on %s", len(a.target.runs), a.target.id)
 		}
 	}
 	if !w.cfg.Lasting && w.Counts.CalmCompleted*10 < w.Counts.Calm*9 {
--- a/testutil/fleet/world_test.go
+++ b/testutil/fleet/world_test.go
@@ -82,9 +82,9 @@
 			c.Faults = 12
 		}},
 		{"clear time", func(c *Config) { c.Clear = 0 }},
-		{"settling", func(c *Config) { c.Rules.Settling = false }},
+		{"settling", func(c *Config) { c.Rules.KeepUnanswered = false }},
 		{"emptying", func(c *Config) {
-			c.Rules.Emptying = false
+			c.Rules.AwaitCleared = false
 			c.Kinds = []Kind{KillAgent, LoseAnswers}
 			c.Faults = 16
 		}},
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -47,7 +47,7 @@
 	tb      testing.TB
 	Store   *store.Store
 	store   string
-	Workers []*target.Worker
+	Targets []*target.Target
 	wrap    func(http.Handler) http.Handler // put around the workers' interface
 	Entries []*Process
 	Agents  []*Process
@@ -110,17 +110,17 @@
 }
 
 func (s *System) addAgent(k int) {
-	w := target.NewWorker(Service, 4000)
+	w := target.NewTarget(Service, 4000)
 	server := httptest.NewServer(s.wrap(w))
 	s.tb.Cleanup(server.Close)
-	s.Workers = append(s.Workers, w)
+	s.Targets = append(s.Targets, w)
 	n := s.node(peer.RoleAgent, fmt.Sprintf("side-%d", k))
 	n.Reports = ownAddr(s.tb)
-	n.Worker = strings.TrimPrefix(server.URL, "http://")
+	n.Target = strings.TrimPrefix(server.URL, "http://")
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		a := node.NewAgent(n, platform.NewStore(n.Store).Directory(), platform.NewWorker(n.Worker).Calls(), log)
-		a.Serve = platform.NewReports(a, n.Reports).Serve
+		a := node.NewAgent(n, platform.NewStore(n.Store).Directory(), platform.NewTargetClient(n.Target).Calls(), log)
+		a.Serve = platform.NewTargetAPI(a, n.Reports).Serve
 		return a.Run(ctx)
 	}}
 	s.Agents = append(s.Agents, p)
@@ -147,7 +147,7 @@
 		store := platform.NewStore(n.Store)
 		e := node.NewEntry(n, store.Directory(), store.Source(), log)
 		e.ForgetAfter = forgetAfter
-		e.Serve = platform.NewFront(e, n.Callers, n.Readiness, log).Serve
+		e.Serve = platform.NewCallerAPI(e, n.Callers, n.Readiness, log).Serve
 		return e.Run(ctx)
 	}}
 	s.Entries = append(s.Entries, p)
@@ -156,7 +156,7 @@
 
 func (s *System) node(role peer.Role, name string) settings.Node {
 	n := settings.DefaultNode()
-	n.Role, n.Name, n.Zone, n.Peers, n.Store = role, name, "z", ownAddr(s.tb), s.store
+	n.Role, n.Name, n.Hall, n.Peers, n.Store = role, name, "z", ownAddr(s.tb), s.store
 	return n
 }
 
