--- a/cmd/beaconpoint/node.go
+++ b/cmd/beaconpoint/node.go
@@ -56,14 +56,14 @@
 }
 
 func newEntryNode(s settings.Node, log *slog.Logger) *node.Entry {
-	store := platform.NewStore(s.Store)
+	store := platform.NewStore(s.Store, log)
 	e := node.NewEntry(s, store.Directory(), store.Source(), log)
 	e.Serve = platform.NewCallerAPI(e, s.Callers, s.Readiness, log).Serve
 	return e
 }
 
 func newAgentNode(s settings.Node, log *slog.Logger) *node.Agent {
-	store := platform.NewStore(s.Store)
+	store := platform.NewStore(s.Store, log)
 	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.Target).Calls(), log)
 	a.Serve = platform.NewTargetAPI(a, s.Reports).Serve
 	return a
--- a/event/event.go
+++ b/event/event.go
@@ -26,6 +26,7 @@
 	ConfigRefused    Kind = "config-refused"
 	StoreLost        Kind = "store-lost"
 	StoreBack        Kind = "store-back"
+	ValueUnreadable  Kind = "value-unreadable"
 	LinesDropped     Kind = "lines-dropped"
 	DocumentAsked    Kind = "document-asked"
 	DocumentDeferred Kind = "document-deferred"
@@ -91,6 +92,7 @@
 	{ConfigRefused, false, "A configuration could not be read."},
 	{StoreLost, false, "A call to the platform's store has failed; it is repeated."},
 	{StoreBack, false, "The store answers again."},
+	{ValueUnreadable, false, "A value in the platform's store could not be read; it is passed over."},
 	{LinesDropped, false, "How many lines of a kind were not written in the last second."},
 	{DocumentAsked, false, "A peer knows a newer configuration and was asked for it."},
 	{DocumentDeferred, false, "A peer asked for the configuration and did not get it: too much was sent just before."},
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -119,7 +119,7 @@
 	n.Target = strings.TrimPrefix(server.URL, "http://")
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		a := node.NewAgent(n, platform.NewStore(n.Store).Directory(), platform.NewTargetClient(n.Target).Calls(), log)
+		a := node.NewAgent(n, platform.NewStore(n.Store, log).Directory(), platform.NewTargetClient(n.Target).Calls(), log)
 		a.Serve = platform.NewTargetAPI(a, n.Reports).Serve
 		return a.Run(ctx)
 	}}
@@ -144,7 +144,7 @@
 	n.Callers, n.Readiness = ownAddr(s.tb), ownAddr(s.tb)
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		store := platform.NewStore(n.Store)
+		store := platform.NewStore(n.Store, log)
 		e := node.NewEntry(n, store.Directory(), store.Source(), log)
 		e.ForgetAfter = forgetAfter
 		e.Serve = platform.NewCallerAPI(e, n.Callers, n.Readiness, log).Serve
