--- a/event/event.go
+++ b/event/event.go
@@ -31,6 +31,9 @@
 	DocumentAsked    Kind = "document-asked"
 	DocumentDeferred Kind = "document-deferred"
 	ConfigAwaited    Kind = "config-awaited"
+
+	IntroductionFailed Kind = "introduction-failed"
+	ForgetFailed       Kind = "forget-failed"
 )
 
 // Kinds of an entry's decisions.
@@ -96,6 +99,8 @@
 	{LinesDropped, false, "How many lines of a kind were not written in the last second."},
 	{DocumentAsked, false, "A peer knows a newer configuration and was asked for it."},
 	{DocumentDeferred, false, "A peer asked for the configuration and did not get it: too much was sent just before."},
+	{IntroductionFailed, false, "An agent could not make itself known to an entry; it tries again, ever less often."},
+	{ForgetFailed, false, "The address of an agent that can't be reached could not be removed; it is tried again."},
 	{ConfigAwaited, false, "A request came before the first configuration; it waits for it, as do those after it."},
 
 	{AgentConnected, false, "An entry has a connection to an agent."},
--- a/node/agent.go
+++ b/node/agent.go
@@ -16,7 +16,7 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// Agent is the process beside a worker.
+// Agent is the process beside a target.
 type Agent struct {
 	settings  settings.Node
 	directory Directory
@@ -24,7 +24,7 @@
 	log       *slog.Logger
 	clock     steadyClock
 
-	// Serve takes the worker's heartbeats until the context ends.
+	// Serve takes the target's heartbeats until the context ends.
 	Serve func(ctx context.Context) error
 
 	metrics      *metrics.Set
@@ -32,41 +32,43 @@
 	renewSeconds *metrics.Histogram
 	stages       [supervisor.Stages]*metrics.Histogram
 
-	mu              sync.Mutex
+	// Signals, each due or not.
+	heartbeatSeen chan struct{} // the target has sent a heartbeat
+	repliesLost   chan struct{} // the target's replies get lost
+	entryMissing  chan struct{} // a known entry may not be connected
+
+	mu              sync.Mutex // guards what follows
 	supervisor      *supervisor.Supervisor
 	conns           map[supervisor.ConnID]*agentConn
-	next            supervisor.ConnID
-	entries         map[string]string // addresses by name
+	lastConn        supervisor.ConnID
+	entries         map[string]string // addresses of all known entries, by name
 	document        []byte            // the newest configuration that any entry sent
-	configVersion   uint64
+	configVersion   uint64            // of the document
 	documentRequest documentRequest
-	flushing        bool
-	heartbeatSeen   chan struct{} // the worker has sent a heartbeat
-	repliesLost     chan struct{} // answers of the worker get lost
-	entryMissing    chan struct{} // an entry may be missing
+	flushScheduled  bool
 }
 
 // agentConn is a connection of an entry.
 type agentConn struct {
-	name string
+	name string // of the entry
 	conn *peer.Conn
-	echo time.Duration
+	echo time.Duration // the entry's latest stamp
 }
 
 // NewAgent returns an agent that is not running yet.
-func NewAgent(s settings.Node, d Directory, calls TargetCalls, log *slog.Logger) *Agent {
+func NewAgent(s settings.Node, d Directory, target TargetCalls, log *slog.Logger) *Agent {
 	a := &Agent{
 		settings:      s,
 		directory:     d,
-		target:        calls,
+		target:        target,
 		log:           log,
 		clock:         newSteadyClock(),
-		supervisor:    supervisor.NewSupervisor(log),
-		conns:         make(map[supervisor.ConnID]*agentConn),
-		entries:       make(map[string]string),
 		heartbeatSeen: make(chan struct{}, 1),
 		repliesLost:   make(chan struct{}, 1),
 		entryMissing:  make(chan struct{}, 1),
+		supervisor:    supervisor.NewSupervisor(log),
+		conns:         make(map[supervisor.ConnID]*agentConn),
+		entries:       make(map[string]string),
 	}
 	a.metrics = newAgentMetrics(a)
 	a.supervisor.Start = func(c supervisor.StartCall) { go a.start(c) }
@@ -76,19 +78,16 @@
 	return a
 }
 
-// Heartbeat takes the worker's report of itself.
+// Heartbeat handles the target's report of itself.
 func (a *Agent) Heartbeat(r supervisor.Report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.supervisor.Heartbeat(a.clock.now(), r)
-	select {
-	case a.heartbeatSeen <- struct{}{}:
-	default:
-	}
+	notify(a.heartbeatSeen)
 	a.scheduleFlush()
 }
 
-// Deregister takes the worker's word that it ends.
+// Deregister handles the target's notice that it is shutting down.
 func (a *Agent) Deregister(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,16 +95,18 @@
 	a.scheduleFlush()
 }
 
-// Run runs the agent until the context ends, and then until nothing runs or the
-// grace is over.
+// Run runs the agent until the context ends, and then on until no run is left or the
+// grace is over. Its error is that of a part that failed.
 func (a *Agent) Run(ctx context.Context) error {
-	a.log.Info(event.Start, "role", "agent", "name", a.settings.Name, "zone", a.settings.Hall)
+	a.log.Info(event.Start, "role", "agent", "name", a.settings.Name, "hall", a.settings.Hall)
 	hard, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var g run.Group
 	g.Add(func() error { return a.stop(ctx, hard) }, func(error) { end() })
-	for _, do := range []func(context.Context) error{a.Serve, a.serveMetrics, a.listen, a.tick, a.renewLoop, a.renewBesideLoop, a.find, a.introduce} {
-		g.Add(func() error { return do(hard) }, func(error) { end() })
+	for _, part := range []func(context.Context) error{
+		a.Serve, a.serveMetrics, a.listen, a.tick, a.renewLoop, a.renewBesideLoop, a.find, a.introduce,
+	} {
+		g.Add(func() error { return part(hard) }, func(error) { end() })
 	}
 	err := g.Run()
 	a.log.Info(event.Stop, "role", "agent", "name", a.settings.Name)
@@ -125,7 +126,7 @@
 	a.mu.Unlock()
 	a.log.Info(event.Stopping)
 	for a.clock.now()-began < a.settings.Grace-graceMargin {
-		time.Sleep(agentTick)
+		time.Sleep(supervisor.TickInterval)
 		a.mu.Lock()
 		idle := a.supervisor.Idle()
 		a.mu.Unlock()
@@ -136,6 +137,7 @@
 	return nil
 }
 
+// serveMetrics serves the agent's metrics until the context ends.
 func (a *Agent) serveMetrics(ctx context.Context) error {
 	return serveMetrics(ctx, a.settings.Metrics, a.metrics)
 }
@@ -147,11 +149,12 @@
 	return a.supervisor.Stats(a.clock.now())
 }
 
+// listen takes connections of entries until the context ends.
 func (a *Agent) listen(ctx context.Context) error {
 	return listen(ctx, a.settings.Peers, a.accept)
 }
 
-// accept runs one connection of an entry.
+// accept runs one connection of an entry until it ends.
 func (a *Agent) accept(ctx context.Context, raw net.Conn) {
 	c := peer.NewConn(raw)
 	defer c.Close()
@@ -160,14 +163,14 @@
 	defer watchdog.Stop()
 	f, err := c.Receive()
 	if err != nil || f.Hello == nil || f.Hello.Role != peer.RoleEntry {
-		return
+		return // not an entry, or one that has gone: it connects again
 	}
 	go c.Run()
 	id := a.connect(c, f.Hello)
 	for {
 		f, err := c.Receive()
 		if err != nil {
-			break
+			break // the end is logged as entry-lost
 		}
 		watchdog.Reset(peerSilence)
 		a.receive(id, f)
@@ -175,25 +178,28 @@
 	a.disconnect(id)
 }
 
+// connect records the connection of an entry.
 func (a *Agent) connect(c *peer.Conn, h *peer.Hello) supervisor.ConnID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.next++
-	a.conns[a.next] = &agentConn{name: h.Name, conn: c}
+	a.lastConn++
+	a.conns[a.lastConn] = &agentConn{name: h.Name, conn: c}
 	a.entries[h.Name] = h.Addr
-	a.supervisor.Connected(a.clock.now(), a.next, h.Name)
-	return a.next
+	a.supervisor.Connected(a.clock.now(), a.lastConn, h.Name)
+	return a.lastConn
 }
 
+// disconnect records the end of a connection.
 func (a *Agent) disconnect(id supervisor.ConnID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.conns, id)
-	a.notifyMissing()
+	notify(a.entryMissing)
 	a.supervisor.Disconnected(a.clock.now(), id)
 	a.scheduleFlush()
 }
 
+// receive handles a frame of an entry.
 func (a *Agent) receive(id supervisor.ConnID, f *peer.Frame) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -213,7 +219,7 @@
 	a.scheduleFlush()
 }
 
-// send sends a frame to an entry. It is called with the lock held.
+// send completes a frame and sends it to an entry. It is called with the lock held.
 func (a *Agent) send(id supervisor.ConnID, f *peer.Frame) {
 	c := a.conns[id]
 	if c == nil {
@@ -224,32 +230,30 @@
 	c.conn.Send(f)
 }
 
-// scheduleFlush has a state that waits to be told sent in time. It is called with the
-// lock held.
+// scheduleFlush has a changed state sent when it is due, and a second renewal begun
+// where replies get lost. It is called with the lock held, after every call to the
+// supervisor.
 func (a *Agent) scheduleFlush() {
 	if a.supervisor.LosingReplies(a.clock.now()) {
-		select {
-		case a.repliesLost <- struct{}{}:
-		default:
-		}
+		notify(a.repliesLost)
 	}
 	wait, ok := a.supervisor.Pending(a.clock.now())
-	if !ok || a.flushing {
+	if !ok || a.flushScheduled {
 		return
 	}
-	a.flushing = true
+	a.flushScheduled = true
 	time.AfterFunc(wait+time.Millisecond, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.flushing = false
+		a.flushScheduled = false
 		a.supervisor.Flush(a.clock.now())
 		a.scheduleFlush()
 	})
 }
 
-// tick drives the state machine and the heartbeats.
+// tick calls the supervisor's Tick and sends heartbeats until the context ends.
 func (a *Agent) tick(ctx context.Context) error {
-	for sleep(ctx, agentTick) {
+	for sleep(ctx, supervisor.TickInterval) {
 		a.mu.Lock()
 		now := a.clock.now()
 		a.supervisor.Tick(now)
--- a/node/configure.go
+++ b/node/configure.go
@@ -10,28 +10,29 @@
 
 // Times of the configuration.
 const (
-	// watchWait is how long the store may wait with the answer to a watch: a
-	// cut that nobody notices hides changes no longer than that.
+	// watchWait is how long the store may hold back the answer to a watch: a cut
+	// that nobody notices hides changes no longer than that. Not measured.
 	watchWait = time.Second
-	// absentRetry is how long after the store had no configuration it is
-	// asked again.
+	// absentRetry is how long after the store had no configuration it is asked
+	// again. Not measured.
 	absentRetry = 200 * time.Millisecond
-	// firstConfigTime is for how long after its start an entry has requests
-	// wait for the first configuration, which is on its way then.
+	// firstConfigTime is for how long after its start an entry has requests wait
+	// for the first configuration, which is on its way then. Not measured.
 	firstConfigTime = 400 * time.Millisecond
 )
 
-// watchConfig takes the configuration from its source as it is and as it changes.
+// watchConfig applies the configuration from its source as it is and as it changes,
+// until the context ends.
 func (e *Entry) watchConfig(ctx context.Context) {
 	read := &storeCall{name: "config", log: e.log}
-	wait := &storeCall{name: "watch", log: e.log}
+	watch := &storeCall{name: "watch", log: e.log}
 	var at uint64 // the store's revision; zero: read anew
 	for ctx.Err() == nil {
 		if at == 0 {
 			at = e.readConfig(ctx, read)
 			continue
 		}
-		wait.try(ctx, watchWait, func(ctx context.Context) error {
+		watch.try(ctx, watchWait, func(ctx context.Context) error {
 			next, err := e.source.Watch(ctx, at, watchWait, e.applyDocument)
 			if err == nil {
 				at = next
@@ -41,8 +42,8 @@
 	}
 }
 
-// readConfig reads the configuration and returns the revision to watch from,
-// zero where none was read.
+// readConfig reads the configuration and returns the revision to watch from, zero
+// where none was read.
 func (e *Entry) readConfig(ctx context.Context, call *storeCall) uint64 {
 	var at uint64
 	done := call.try(ctx, 0, func(ctx context.Context) error {
@@ -56,8 +57,8 @@
 	return at
 }
 
-// applyDocument takes a configuration document from the store or from an agent, if it
-// is newer than the one in force.
+// applyDocument puts a configuration document from the store or from an agent in
+// force, if it is newer than the one that is.
 func (e *Entry) applyDocument(document []byte) {
 	table, err := e.source.Parse(document)
 	if err != nil {
@@ -79,14 +80,14 @@
 	e.log.Info(event.ConfigTaken, "version", table.Version, "queues", len(table.Queues))
 }
 
-// AwaitTable returns the newest configuration. Where none is known yet it waits
-// for one, but only while the entry has just started; then it returns nil at
-// once.
+// AwaitTable returns the configuration in force. Where there is none it waits for one,
+// but only while the entry has just started; after that it returns nil at once.
 func (e *Entry) AwaitTable(ctx context.Context) *routing.Table {
 	left := firstConfigTime - (e.clock.now() - e.startedAt)
 	if table := e.table.Load(); table != nil || left <= 0 {
 		return table
 	}
+	e.waited.Do(func() { e.log.Info(event.ConfigAwaited, "left_ms", left.Milliseconds()) })
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
@@ -97,7 +98,8 @@
 	return e.table.Load()
 }
 
-// version returns the version of the configuration in force.
+// version returns the version of the configuration in force, zero where there is
+// none.
 func (e *Entry) version() uint64 {
 	if t := e.table.Load(); t != nil {
 		return t.Version
--- a/node/document.go
+++ b/node/document.go
@@ -3,50 +3,56 @@
 import (
 	"time"
 
+	"github.com/beaconpoint/beaconpoint/event"
 	"github.com/beaconpoint/beaconpoint/peer"
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// How the configuration's document goes from one process to another. It may be
-// large and the links narrow, so that it is only sent to who asks for it: each
-// frame names the version that its sender knows.
+// How the configuration's document goes from one process to another. It may be large
+// and the links narrow, so that only a peer that asks gets it: each frame names the
+// version that its sender knows. Pushed to everybody, a document of some 100 KB broke
+// all connections of a large site (docs/incidents/fresh-58f3.md).
 const (
-	// documentTimeout is how long after an ask that brought nothing the next peer is
-	// asked.
+	// documentTimeout is how long after a request that brought nothing the next
+	// peer is asked. Not measured.
 	documentTimeout = 500 * time.Millisecond
-	// watchHeadStart is how long an entry that has a configuration waits for its own
-	// watch of the store before it asks an agent for a newer one.
+	// watchHeadStart is how long an entry that has a configuration waits for its
+	// own watch of the store before it asks an agent for a newer one. Not
+	// measured.
 	watchHeadStart = 300 * time.Millisecond
-	// documentRate is how many bytes of documents an entry sends a second; who
-	// asks beyond that asks another entry, or again.
+	// documentRate is how many bytes of documents an entry sends a second; a peer
+	// that asks beyond that asks another entry, or again. Not measured.
 	documentRate = 1 << 20
 )
 
 // documentRequest decides when a newer document is asked for.
 type documentRequest struct {
-	aheadSince time.Duration // since when a newer version is known of; zero: none is
-	askedAt    time.Duration // when the last ask was sent; zero: none is under way
+	// aheadSince is since when a newer version is known of, zero while none is.
+	aheadSince time.Duration
+	// askedAt is when the last request was sent, zero while none is under way.
+	askedAt time.Duration
 }
 
-// due reports whether the peer that knows a newer version is to be asked now,
-// and takes note of it. No version is known to be newer for less than the lead.
-func (a *documentRequest) due(now, lead time.Duration) bool {
-	if a.aheadSince == 0 {
-		a.aheadSince = now
+// due reports whether the peer that knows a newer version should be asked now, and
+// records it. headStart is how long the newer version must be known of.
+func (r *documentRequest) due(now, headStart time.Duration) bool {
+	if r.aheadSince == 0 {
+		r.aheadSince = now
 	}
-	if now-a.aheadSince < lead || a.askedAt > 0 && now-a.askedAt < documentTimeout {
+	if now-r.aheadSince < headStart || r.askedAt > 0 && now-r.askedAt < documentTimeout {
 		return false
 	}
-	a.askedAt = now
+	r.askedAt = now
 	return true
 }
 
-// documentPacer bounds how much is sent a second.
+// documentPacer bounds how many bytes are sent a second. Unlike a token bucket it
+// lets a document of any size pass, and then none until its time is paid for.
 type documentPacer struct {
 	freeAt time.Duration
 }
 
-// take reports whether so many bytes may be sent now, and takes note of them.
+// take reports whether so many bytes may be sent now, and counts them.
 func (p *documentPacer) take(now time.Duration, bytes int) bool {
 	if now < p.freeAt {
 		return false
@@ -55,24 +61,32 @@
 	return true
 }
 
-// passDocument asks the agent for its document where it knows a newer one, and
-// sends it this entry's where it asks. It is called with the lock held.
+// passDocument asks the agent for its document where it knows a newer one, and sends
+// it this entry's where it asks. It is called with the lock held.
 func (e *Entry) passDocument(now time.Duration, agent string, f *peer.Frame) {
-	lead := watchHeadStart
+	headStart := watchHeadStart
 	if e.document == nil {
-		lead = 0
+		headStart = 0
 	}
-	if f.Config > e.version() && e.documentRequest.due(now, lead) {
+	if f.Config > e.version() && e.documentRequest.due(now, headStart) {
+		e.log.Info(event.DocumentAsked, "agent", agent, "version", f.Config, "own", e.version())
 		e.send(agent, &peer.Frame{AskDocument: true})
 	}
-	if f.AskDocument && e.document != nil && e.documentPacer.take(now, len(e.document)) {
-		e.send(agent, &peer.Frame{Document: e.document})
+	if !f.AskDocument || e.document == nil {
+		return
 	}
+	if !e.documentPacer.take(now, len(e.document)) {
+		e.log.Info(event.DocumentDeferred, "agent", agent, "bytes", len(e.document))
+		return
+	}
+	e.send(agent, &peer.Frame{Document: e.document})
 }
 
-// passDocument is the same of an agent.
+// passDocument asks the entry for its document where it knows a newer one, and sends
+// it this agent's where it asks. It is called with the lock held.
 func (a *Agent) passDocument(now time.Duration, id supervisor.ConnID, f *peer.Frame) {
 	if f.Config > a.configVersion && a.documentRequest.due(now, 0) {
+		a.log.Info(event.DocumentAsked, "entry", a.conns[id].name, "version", f.Config, "own", a.configVersion)
 		a.send(id, &peer.Frame{AskDocument: true})
 	}
 	if f.AskDocument && a.document != nil {
--- a/node/entry.go
+++ b/node/entry.go
@@ -20,12 +20,19 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// serveAfterStop is how long an entry that was told to stop still takes requests: so
-// long others may go on sending them here.
-const serveAfterStop = 2600 * time.Millisecond
-
-// graceMargin is how long before the end of the grace everything is closed.
-const graceMargin = 300 * time.Millisecond
+const (
+	// serveAfterStop is how long an entry that was told to stop still takes
+	// requests. The platform's balancer asks for readiness each second and takes an
+	// entry out after two misses; what it has passed on before arrives up to 0.3 s
+	// later. Found by incident inc-3661.
+	serveAfterStop = 2600 * time.Millisecond
+	// graceMargin is how long before the end of the grace everything is closed, so
+	// that the process ends by itself. Not measured.
+	graceMargin = 300 * time.Millisecond
+	// listInterval is how often an entry reads the directory for agents that it has
+	// missed. Not measured.
+	listInterval = 10 * time.Second
+)
 
 // Entry is the process that takes jobs and owns them.
 type Entry struct {
@@ -35,52 +42,45 @@
 	log       *slog.Logger
 	clock     steadyClock
 
-	// Serve runs the callers' interface until the context ends, and closes
-	// it then without cutting a request off, as long as the second context
-	// allows.
+	// Serve runs the callers' interface until the first context ends, and closes it
+	// then without cutting a request off, as long as the second one allows.
 	Serve func(ctx, hard context.Context) error
-
-	// ForgetAfter is how long an agent can't be reached before the entry has
-	// the directory forget it.
+	// ForgetAfter is how long an agent can't be reached before the entry has the
+	// directory forget it: forgetTime, except in tests.
 	ForgetAfter time.Duration
 
-	// startedAt is when the process began; configured is closed when the
-	// first configuration is in force.
-	startedAt  time.Duration
-	configured chan struct{}
-
-	mu              sync.Mutex
-	owner           *owner.Owner
-	links           map[string]*link
-	document        []byte
-	documentRequest documentRequest
-	documentPacer   documentPacer
-
 	metrics   *metrics.Set
 	submitted *metrics.Histogram
 	stages    [owner.Stages]*metrics.Histogram
 	answers   map[code.Code]*metrics.Counter
 
-	table   atomic.Pointer[routing.Table]
-	leaving atomic.Bool
-	linked  atomic.Int64
+	startedAt  time.Duration
+	configured chan struct{} // closed when the first configuration is in force
+	waited     sync.Once     // logs the first request that waits for it
+	table      atomic.Pointer[routing.Table]
+	leaving    atomic.Bool
+	linked     atomic.Int64 // connected agents
+
+	mu              sync.Mutex // guards what follows
+	owner           *owner.Owner
+	links           map[string]*link // by agent
+	document        []byte           // of the configuration in force
+	documentRequest documentRequest
+	documentPacer   documentPacer
 }
 
 // NewEntry returns an entry that is not running yet.
 func NewEntry(s settings.Node, d Directory, c ConfigSource, log *slog.Logger) *Entry {
 	e := &Entry{
-		settings:  s,
-		directory: d,
-		source:    c,
-		log:       log,
-		clock:     newSteadyClock(),
-
+		settings:    s,
+		directory:   d,
+		source:      c,
+		log:         log,
+		clock:       newSteadyClock(),
 		ForgetAfter: forgetTime,
-
-		configured: make(chan struct{}),
-
-		owner: owner.NewOwner(log, rand.Float64),
-		links: make(map[string]*link),
+		configured:  make(chan struct{}),
+		owner:       owner.NewOwner(log, rand.Float64),
+		links:       make(map[string]*link),
 	}
 	e.startedAt = e.clock.now()
 	e.metrics = newEntryMetrics(e)
@@ -91,12 +91,8 @@
 	return e
 }
 
-// Table returns the newest configuration, or nil where none is known.
-func (e *Entry) Table() *routing.Table {
-	return e.table.Load()
-}
-
-// Ready reports whether the entry should be given requests.
+// Ready reports whether the entry should be given requests: it has a configuration
+// and an agent, and does not stop.
 func (e *Entry) Ready() bool {
 	return !e.leaving.Load() && e.table.Load() != nil && e.linked.Load() > 0
 }
@@ -106,34 +102,33 @@
 	return e.leaving.Load()
 }
 
-// Submit has a job done and returns its answer. Where the context ends first
-// the caller is gone, and the job is stopped.
+// Submit submits a job and returns its answer. When the context ends first, the
+// caller is gone: the job is stopped, and the error is the context's.
 func (e *Entry) Submit(ctx context.Context, j task.Job) (owner.Answer, error) {
 	defer e.submitted.UpdateDuration(time.Now())
 	answers := make(chan owner.Answer, 1)
 	e.mu.Lock()
-	waiter := e.owner.Submit(e.clock.now(), j, func(a owner.Answer) { answers <- a })
+	caller := e.owner.Submit(e.clock.now(), j, func(a owner.Answer) { answers <- a })
 	e.mu.Unlock()
 	select {
 	case a := <-answers:
 		return a, nil
 	case <-ctx.Done():
 		e.mu.Lock()
-		e.owner.Cancel(e.clock.now(), j.ID, waiter)
+		e.owner.Cancel(e.clock.now(), j.ID, caller)
 		e.mu.Unlock()
 		return owner.Answer{}, ctx.Err()
 	}
 }
 
-// Cancel ends a job on its caller's order; false means that it is not known
-// here.
+// Cancel ends a job on its caller's order; false means that it is not owned here.
 func (e *Entry) Cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.owner.CancelJob(e.clock.now(), id)
 }
 
-// WaitingJobs returns how many jobs of a queue wait for their first start.
+// WaitingJobs returns how many jobs of a queue have no task started.
 func (e *Entry) WaitingJobs(queue string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,33 +142,40 @@
 	return e.owner.Stats()
 }
 
-// Run runs the entry until the context ends, and then until its jobs are
-// answered or the grace is over.
+// jobs returns how many jobs are owned.
+func (e *Entry) jobs() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.owner.Jobs()
+}
+
+// Run runs the entry until the context ends, and then on until its jobs are answered
+// or the grace is over. Its error is that of a part that failed.
 func (e *Entry) Run(ctx context.Context) error {
-	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "zone", e.settings.Hall)
+	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "hall", e.settings.Hall)
 	hard, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	soft, close := context.WithCancel(hard)
-	defer close()
+	soft, closeCallers := context.WithCancel(hard)
+	defer closeCallers()
 	var g run.Group
-	e.add(&g, func() error { return e.stop(ctx, close, end) })
-	e.add(&g, func() error { return e.Serve(soft, hard) })
-	e.add(&g, func() error { return serveMetrics(hard, e.settings.Metrics, e.metrics) })
-	e.add(&g, func() error { e.tick(hard); return nil })
-	e.add(&g, func() error { e.watchConfig(hard); return nil })
-	e.add(&g, func() error { e.find(hard); return nil })
-	e.add(&g, func() error { return listen(hard, e.settings.Peers, e.accept) })
+	addPart(&g, func() error { return e.stop(ctx, closeCallers, end) })
+	addPart(&g, func() error { return e.Serve(soft, hard) })
+	addPart(&g, func() error { return serveMetrics(hard, e.settings.Metrics, e.metrics) })
+	addPart(&g, func() error { e.tick(hard); return nil })
+	addPart(&g, func() error { e.watchConfig(hard); return nil })
+	addPart(&g, func() error { e.find(hard); return nil })
+	addPart(&g, func() error { return listen(hard, e.settings.Peers, e.accept) })
 	g.Add(func() error { <-hard.Done(); return nil }, func(error) { end() })
 	err := g.Run()
 	e.log.Info(event.Stop, "role", "entry", "name", e.settings.Name)
 	return err
 }
 
-// add adds an actor whose end does not end the group unless it is a fault.
-func (e *Entry) add(g *run.Group, do func() error) {
+// addPart adds a part whose end does not end the group unless it failed.
+func addPart(g *run.Group, part func() error) {
 	stop := make(chan struct{})
 	g.Add(func() error {
-		if err := do(); err != nil {
+		if err := part(); err != nil {
 			return err
 		}
 		<-stop
@@ -181,31 +183,26 @@
 	}, func(error) { close(stop) })
 }
 
-// stop waits until the process is told to stop, and ends it in steps.
-func (e *Entry) stop(ctx context.Context, closeFront, end func()) error {
+// stop waits until the process is told to stop, and ends it in steps: it is not ready
+// any more but serves on, takes no new connection, answers its jobs, ends.
+func (e *Entry) stop(ctx context.Context, closeCallers, end func()) error {
 	<-ctx.Done()
 	began := e.clock.now()
 	e.leaving.Store(true)
 	e.log.Info(event.Stopping, "jobs", e.jobs())
 	time.Sleep(min(serveAfterStop, e.settings.Grace/2))
-	closeFront()
+	closeCallers()
 	for e.jobs() > 0 && e.clock.now()-began < e.settings.Grace-graceMargin {
-		time.Sleep(entryTick)
+		time.Sleep(owner.TickInterval)
 	}
-	time.Sleep(entryTick)
+	time.Sleep(owner.TickInterval)
 	end()
 	return nil
 }
 
-func (e *Entry) jobs() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.owner.Jobs()
-}
-
-// tick drives the state machine and the heartbeats.
+// tick calls the owner's Tick and sends heartbeats until the context ends.
 func (e *Entry) tick(ctx context.Context) {
-	for sleep(ctx, entryTick) {
+	for sleep(ctx, owner.TickInterval) {
 		e.mu.Lock()
 		now := e.clock.now()
 		e.owner.Tick(now)
@@ -214,15 +211,15 @@
 	}
 }
 
-// find calls the agents that the directory names, and registers the entry. The
-// list comes first: an entry that calls an agent is known to it.
+// find connects to the agents that the directory names, and registers the entry. The
+// list comes first: an entry that connects to an agent is known to it.
 func (e *Entry) find(ctx context.Context) {
 	own := Registration{Name: e.settings.Name, Addr: e.settings.Peers}
 	for registered := false; ; {
 		untilDone(ctx, e.log, "list", func(try context.Context) error {
 			agents, err := e.directory.List(try, peer.RoleAgent)
-			for _, m := range agents {
-				e.addAgent(ctx, m)
+			for _, r := range agents {
+				e.addAgent(ctx, r)
 			}
 			return err
 		})
--- a/node/introduce.go
+++ b/node/introduce.go
@@ -2,14 +2,24 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"time"
 
+	"github.com/beaconpoint/beaconpoint/backoff"
+	"github.com/beaconpoint/beaconpoint/event"
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// find learns of the entries and registers the agent, and again when it has
-// been without any entry for a while. The list comes first: an agent that knows
+// An agent without any entry for aloneTime registers anew; alonePoll is how often it
+// looks. Not measured.
+const (
+	aloneTime = 3 * time.Second
+	alonePoll = 500 * time.Millisecond
+)
+
+// find learns of the entries and registers the agent, at its start and again when it
+// has been without any entry for a while. The list comes first: an agent that knows
 // the entries makes itself known to them.
 func (a *Agent) find(ctx context.Context) error {
 	own := Registration{Name: a.settings.Name, Addr: a.settings.Peers}
@@ -29,45 +39,53 @@
 	return nil
 }
 
+// addEntries adds entries that the directory names.
 func (a *Agent) addEntries(entries []Registration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, m := range entries {
-		a.entries[m.Name] = m.Addr
+	for _, r := range entries {
+		a.entries[r.Name] = r.Addr
 	}
-	a.notifyMissing()
+	notify(a.entryMissing)
 }
 
+// connected returns how many entries are connected.
 func (a *Agent) connected() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.conns)
 }
 
-// introduce makes the agent known to entries that have no connection here: an
-// entry that has restarted while the store is down finds its agents so.
+// introduce makes the agent known to entries that have no connection here, until
+// they call back: so an entry that has restarted finds its agents while the store is
+// down.
 func (a *Agent) introduce(ctx context.Context) error {
-	waits := make(map[string]time.Duration)
+	tries := make(map[string]int)
 	due := make(map[string]time.Duration)
 	for sleep(ctx, dialRetry) {
-		if len(a.missing()) == 0 {
-			clear(waits)
+		missing := a.missing()
+		if len(missing) == 0 {
+			clear(tries)
 			clear(due)
-			a.awaitMissing(ctx)
+			select {
+			case <-ctx.Done():
+			case <-a.entryMissing:
+			}
 			continue
 		}
 		now := a.clock.now()
-		for name, addr := range a.missing() {
+		for name, addr := range missing {
 			if now < due[name] {
 				continue
 			}
-			waits[name] = min(max(2*waits[name], dialRetry), dialRetryMax)
-			due[name] = now + waits[name]
-			go a.introduceTo(ctx, addr)
+			due[name] = now + backoff.Interval(dialRetry, dialRetryMax, tries[name])
+			tries[name]++
+			go a.introduceTo(ctx, name, addr)
 		}
-		for name := range waits {
-			if a.has(name) {
-				delete(waits, name)
+		missing = a.missing()
+		for name := range tries {
+			if _, ok := missing[name]; !ok {
+				delete(tries, name)
 				delete(due, name)
 			}
 		}
@@ -75,23 +93,8 @@
 	return nil
 }
 
-// awaitMissing waits until an entry may be missing.
-func (a *Agent) awaitMissing(ctx context.Context) {
-	select {
-	case <-ctx.Done():
-	case <-a.entryMissing:
-	}
-}
-
-// notifyMissing ends the wait of awaitParted. It is called with the lock held.
-func (a *Agent) notifyMissing() {
-	select {
-	case a.entryMissing <- struct{}{}:
-	default:
-	}
-}
-
-// missing returns the entries that are known and not connected.
+// missing returns the addresses of the entries that are known and not connected, by
+// name.
 func (a *Agent) missing() map[string]string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,24 +108,31 @@
 	return list
 }
 
-func (a *Agent) has(name string) bool {
-	_, missing := a.missing()[name]
-	return !missing
+// introduceTo tells one entry where this agent is. The entry calls back and closes.
+func (a *Agent) introduceTo(ctx context.Context, name, addr string) {
+	if err := a.sendIntroduction(ctx, addr); err != nil && ctx.Err() == nil {
+		a.log.Info(event.IntroductionFailed, "entry", name, "addr", addr, "error", err.Error())
+	}
 }
 
-// introduceTo tells one entry where this agent is.
-func (a *Agent) introduceTo(ctx context.Context, addr string) {
+// sendIntroduction sends the introduction to an address.
+func (a *Agent) sendIntroduction(ctx context.Context, addr string) error {
 	raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return
+		return err
 	}
 	defer raw.Close()
 	hello := &peer.Hello{Role: peer.RoleAgent, Name: a.settings.Name, Addr: a.settings.Peers, Introduce: true}
 	buf, err := peer.AppendFrame(nil, &peer.Frame{Hello: hello})
 	if err != nil {
-		return
+		return err
 	}
-	_ = raw.SetDeadline(time.Now().Add(dialTimeout))
-	_, _ = raw.Write(buf)
-	_, _ = raw.Read(make([]byte, 1)) // until the entry closes
+	if err := raw.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
+		return err
+	}
+	if _, err := raw.Write(buf); err != nil {
+		return fmt.Errorf("send: %w", err)
+	}
+	_, _ = raw.Read(make([]byte, 1)) // ends when the entry closes, which is an error by design
+	return nil
 }
--- a/node/link.go
+++ b/node/link.go
@@ -5,11 +5,31 @@
 	"net"
 	"time"
 
+	"github.com/beaconpoint/beaconpoint/backoff"
 	"github.com/beaconpoint/beaconpoint/event"
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// link is an entry's connection to one agent, which it keeps calling.
+// Times of the connections between entries and agents.
+const (
+	// heartbeatInterval is how often a connection carries a frame at least: two
+	// lost ones are borne by the leases. docs/CAPACITY.md counts its bytes.
+	heartbeatInterval = 110 * time.Millisecond
+	// peerSilence is how long a peer may be silent before its connection is given
+	// up: longer than the entry's lease. Not measured.
+	peerSilence = 800 * time.Millisecond
+	// dialTimeout bounds the making of a connection. Not measured.
+	dialTimeout = 500 * time.Millisecond
+	// dialRetry is the time from one failed try to reach a peer to the next. It
+	// doubles up to dialRetryMax. Not measured.
+	dialRetry    = 40 * time.Millisecond
+	dialRetryMax = 2 * time.Second
+	// forgetTime is how long an agent can't be reached before it is taken to be
+	// gone for good; one that is alive registers anew. Not measured.
+	forgetTime = 2 * time.Minute
+)
+
+// link is an entry's connection to one agent, which it keeps connecting.
 type link struct {
 	registration Registration
 	conn         *peer.Conn    // nil while there is none
@@ -18,30 +38,29 @@
 	retryNow     chan struct{} // asks for a try at once
 }
 
-// addAgent makes the entry call an agent, if it does not yet.
-func (e *Entry) addAgent(ctx context.Context, m Registration) {
+// addAgent makes the entry connect to an agent, if it does not yet. It is called for
+// agents of the directory, and for those that introduce themselves.
+func (e *Entry) addAgent(ctx context.Context, r Registration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.links[m.Name]
+	l := e.links[r.Name]
 	if l != nil {
-		if l.registration != m {
-			e.log.Info(event.AgentMoved, "agent", m.Name, "addr", m.Addr)
-			l.registration = m
-		}
-		select {
-		case l.retryNow <- struct{}{}:
-		default:
+		if l.registration != r {
+			e.log.Info(event.AgentMoved, "agent", r.Name, "addr", r.Addr)
+			l.registration = r
 		}
+		notify(l.retryNow)
 		return
 	}
-	l = &link{registration: m, retryNow: make(chan struct{}, 1)}
-	e.links[m.Name] = l
+	l = &link{registration: r, retryNow: make(chan struct{}, 1)}
+	e.links[r.Name] = l
 	go e.keepConnected(ctx, l)
 }
 
-// keepConnected connects to an agent again and again.
+// keepConnected connects to an agent again and again, until the context ends or the
+// agent is forgotten.
 func (e *Entry) keepConnected(ctx context.Context, l *link) {
-	wait := dialRetry
+	failures := 0
 	reached := e.clock.now()
 	for ctx.Err() == nil && (e.clock.now()-reached < e.ForgetAfter || !e.forget(ctx, l)) {
 		e.mu.Lock()
@@ -49,38 +68,39 @@
 		e.mu.Unlock()
 		raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 		if err == nil {
-			wait = dialRetry
+			failures = 0
 			e.serveConnection(ctx, l, peer.NewConn(raw))
 			reached = e.clock.now()
 		} else {
-			wait = min(2*wait, dialRetryMax)
+			failures++
 		}
 		select {
 		case <-ctx.Done():
 		case <-l.retryNow:
-			wait = dialRetry
-		case <-time.After(wait):
+			failures = 0
+		case <-time.After(backoff.Interval(dialRetry, dialRetryMax, failures)):
 		}
 	}
 }
 
-// forget takes an agent that can't be reached out of the directory and the
-// entry's books. It reports whether it is forgotten: with the store down it is
-// not.
+// forget removes an agent that can't be reached from the directory and from this
+// entry. It reports whether it did: not while the store is down, nor where the agent
+// has made itself known at another address.
 func (e *Entry) forget(ctx context.Context, l *link) bool {
 	e.mu.Lock()
-	m := l.registration
+	r := l.registration
 	e.mu.Unlock()
-	if err := e.directory.Forget(ctx, peer.RoleAgent, m); err != nil {
+	if err := e.directory.Forget(ctx, peer.RoleAgent, r); err != nil {
+		e.log.Info(event.ForgetFailed, "agent", r.Name, "addr", r.Addr, "error", err.Error())
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if l.registration != m {
-		return false // it has made itself known at another address
+	if l.registration != r {
+		return false
 	}
-	delete(e.links, m.Name)
-	e.log.Info(event.AgentForgotten, "agent", m.Name, "addr", m.Addr)
+	delete(e.links, r.Name)
+	e.log.Info(event.AgentForgotten, "agent", r.Name, "addr", r.Addr)
 	return true
 }
 
@@ -95,7 +115,7 @@
 	for {
 		f, err := c.Receive()
 		if err != nil {
-			break
+			break // the end is logged as agent-lost
 		}
 		watchdog.Reset(peerSilence)
 		e.receive(l, c, f)
@@ -104,6 +124,7 @@
 	e.disconnect(l)
 }
 
+// connect opens a connection: the first frame introduces this entry.
 func (e *Entry) connect(l *link, c *peer.Conn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,6 +137,7 @@
 	e.owner.Connected(l.sentAt, l.registration.Name)
 }
 
+// disconnect records the end of a connection.
 func (e *Entry) disconnect(l *link) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,6 +146,7 @@
 	e.owner.Disconnected(e.clock.now(), l.sentAt, l.registration.Name)
 }
 
+// receive handles a frame of an agent.
 func (e *Entry) receive(l *link, c *peer.Conn, f *peer.Frame) {
 	if len(f.Document) > 0 {
 		e.applyDocument(f.Document)
@@ -139,7 +162,8 @@
 	e.owner.Receive(now, l.registration.Name, f)
 }
 
-// send sends the owner's frame to an agent. It is called with the lock held.
+// send stamps a frame and sends it to an agent. It returns the frame's number, zero
+// where there is no connection. It is called with the lock held.
 func (e *Entry) send(name string, f *peer.Frame) uint64 {
 	l := e.links[name]
 	if l == nil || l.conn == nil {
@@ -152,18 +176,21 @@
 	return l.conn.Send(f)
 }
 
-// accept takes a connection of an agent that makes itself known.
+// accept takes the connection of an agent that introduces itself, and closes it.
 func (e *Entry) accept(ctx context.Context, raw net.Conn) {
 	defer raw.Close()
-	_ = raw.SetDeadline(time.Now().Add(dialTimeout))
+	if err := raw.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
+		return // it is closed already
+	}
 	f, err := peer.NewConn(raw).Receive()
 	if err != nil || f.Hello == nil || f.Hello.Role != peer.RoleAgent {
-		return
+		return // not an agent, or one that has gone: it tries again
 	}
 	e.addAgent(ctx, Registration{Name: f.Hello.Name, Addr: f.Hello.Addr})
 }
 
-// listen takes connections of peers until the context ends.
+// listen takes connections of peers until the context ends. Its error is that of
+// listening; a connection that can't be taken is tried again.
 func listen(ctx context.Context, addr string, accept func(context.Context, net.Conn)) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/node/renewal.go
+++ b/node/renewal.go
@@ -7,20 +7,22 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// renewLoop keeps the worker's lease and reads its lists.
+// renewLoop keeps a renewal of the target's lease under way. While no target is
+// known it waits for a heartbeat.
 func (a *Agent) renewLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !a.renewOnce(ctx) {
-			select {
-			case <-ctx.Done():
-			case <-a.heartbeatSeen:
-			}
+		if a.renewOnce(ctx) {
+			continue
+		}
+		select {
+		case <-ctx.Done():
+		case <-a.heartbeatSeen:
 		}
 	}
 	return nil
 }
 
-// renewBesideLoop keeps a second hold under way while answers get lost.
+// renewBesideLoop keeps a second renewal under way while replies get lost.
 func (a *Agent) renewBesideLoop(ctx context.Context) error {
 	for {
 		select {
@@ -33,15 +35,15 @@
 	}
 }
 
-// losingReplies reports whether answers of the worker get lost.
+// losingReplies reports whether the target's replies get lost.
 func (a *Agent) losingReplies() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.supervisor.LosingReplies(a.clock.now())
 }
 
-// renewOnce makes one hold, and the pause after one that failed. It reports
-// whether there is a worker.
+// renewOnce makes one renewal, and the pause after one that failed. It reports
+// whether a target is known.
 func (a *Agent) renewOnce(ctx context.Context) bool {
 	a.mu.Lock()
 	c, ok := a.supervisor.NextRenewal(a.clock.now())
@@ -50,10 +52,10 @@
 		return false
 	}
 	began := time.Now()
-	reply, answer := a.target.Renew(c)
+	reply, lists := a.target.Renew(c)
 	a.renewSeconds.UpdateDuration(began)
 	a.mu.Lock()
-	a.supervisor.RenewalAnswered(a.clock.now(), c, reply, answer)
+	a.supervisor.RenewalAnswered(a.clock.now(), c, reply, lists)
 	pause := a.supervisor.RenewalBackoff() - time.Since(began)
 	a.scheduleFlush()
 	a.mu.Unlock()
@@ -61,7 +63,7 @@
 	return true
 }
 
-// pause waits, or until the worker has sent a heartbeat.
+// pause waits, but no longer than until the target's next heartbeat.
 func (a *Agent) pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -75,6 +77,8 @@
 	}
 }
 
+// start calls the target to start a run. The supervisor looks for its answer when it
+// is due to be sent again.
 func (a *Agent) start(c supervisor.StartCall) {
 	began := time.Now()
 	retry := time.AfterFunc(supervisor.StartRetry+time.Millisecond, a.checkTimeouts)
@@ -87,7 +91,7 @@
 	a.scheduleFlush()
 }
 
-// checkTimeouts has the state machine look at what has run out of time.
+// checkTimeouts has the supervisor act on what has run out of time.
 func (a *Agent) checkTimeouts() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -95,6 +99,7 @@
 	a.scheduleFlush()
 }
 
+// stopRun calls the target to stop a run.
 func (a *Agent) stopRun(c supervisor.StopCall) {
 	reply := a.target.Stop(c)
 	a.mu.Lock()
--- a/supervisor/lease.go
+++ b/supervisor/lease.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/beaconpoint/beaconpoint/backoff"
 	"github.com/beaconpoint/beaconpoint/code"
 	"github.com/beaconpoint/beaconpoint/task"
 )
@@ -36,8 +37,6 @@
 	// cost a new connection. Not measured.
 	renewalRetry    = 20 * time.Millisecond
 	renewalRetryMax = 160 * time.Millisecond
-	// maxDoublings keeps the shift of renewalRetry from overflowing.
-	maxDoublings = 8
 )
 
 // lease is what the target was promised, and what is known of its answers. Times
@@ -116,13 +115,13 @@
 	return now < l.losingRepliesUntil
 }
 
-// backoff returns how long after the last renewal was sent the next is due, zero
+// retryInterval returns how long after the last renewal was sent the next is due, zero
 // where that one was accepted.
-func (l *lease) backoff() time.Duration {
+func (l *lease) retryInterval() time.Duration {
 	if l.failedRenewals == 0 {
 		return 0
 	}
-	return min(renewalRetry<<min(l.failedRenewals-1, maxDoublings), renewalRetryMax)
+	return backoff.Interval(renewalRetry, renewalRetryMax, l.failedRenewals-1)
 }
 
 // recordReply notes a reply to a call that was meant for an incarnation, if that
--- a/supervisor/renewal.go
+++ b/supervisor/renewal.go
@@ -70,7 +70,7 @@
 // RenewalBackoff returns how long after the last renewal was sent the next is due
 // at the earliest, zero where that one was accepted.
 func (s *Supervisor) RenewalBackoff() time.Duration {
-	return s.lease.backoff()
+	return s.lease.retryInterval()
 }
 
 // applyLists applies the target's lists: first the ends, then what runs, then what
