--- a/cmd/beaconpoint/seats_submit.go
+++ b/cmd/beaconpoint/seats_submit.go
@@ -27,18 +27,18 @@
 func submitCommand() *command {
 	entry, service := defaultEntry, "trackd"
 	var file, id, payload string
-	member, tasks := "port-gate", 1
+	organisation, tasks := "port-gate", 1
 	timeout := time.Minute
 	c := &command{sub: newCommand("submit", "submits a job and prints its answer")}
 	callerFlags(c.sub, &entry, &service)
 	c.sub.String(&file, "f", "file", "the job as JSON; without it the flags make one")
 	c.sub.String(&id, "", "id", "the job's id")
-	c.sub.String(&member, "m", "member", "the member it counts on")
+	c.sub.String(&organisation, "m", "member", "the member it counts on")
 	c.sub.Int(&tasks, "n", "tasks", "how many tasks")
 	c.sub.String(&payload, "p", "payload", "each task's payload, as JSON")
 	c.sub.Duration(&timeout, "t", "timeout", "how long to wait for the answer")
 	c.run = func(ctx context.Context) int {
-		j, err := jobFrom(file, id, member, payload, tasks)
+		j, err := jobFrom(file, id, organisation, payload, tasks)
 		if err != nil {
 			return fault(exitUsage, err)
 		}
@@ -53,7 +53,7 @@
 	return c
 }
 
-func jobFrom(file, id, member, payload string, tasks int) (seats.Job, error) {
+func jobFrom(file, id, organisation, payload string, tasks int) (seats.Job, error) {
 	var j seats.Job
 	if file != "" {
 		raw, err := os.ReadFile(file)
@@ -71,7 +71,7 @@
 	if id == "" {
 		id = fmt.Sprintf("job-%d", time.Now().UnixNano())
 	}
-	j = seats.Job{ID: id, Member: member}
+	j = seats.Job{ID: id, Organisation: organisation}
 	for k := range tasks {
 		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprintf("task-%d", k), Payload: json.RawMessage(payload)})
 	}
@@ -99,7 +99,7 @@
 	c := &command{sub: newCommand("load", "puts a bounded, seeded load of jobs on entries and prints what came of it")}
 	c.sub.String(&entries, "e", "entries", "base URLs of entries, comma-separated")
 	c.sub.String(&cfg.Service, "", "service", "name of the service")
-	c.sub.String(&cfg.Member, "m", "member", "the member it counts on")
+	c.sub.String(&cfg.Organisation, "m", "member", "the member it counts on")
 	c.sub.Int(&cfg.Jobs, "j", "jobs", "how many jobs")
 	c.sub.Int(&cfg.LargestJob, "n", "tasks", "the largest job's tasks; sizes are log-uniform")
 	c.sub.Float64(&cfg.JobsPerSecond, "r", "rate", "jobs a second")
--- a/code/code.go
+++ b/code/code.go
@@ -13,22 +13,22 @@
 
 // Codes about the request itself (1xx).
 const (
-	OK              Code = 0
-	BadJSON         Code = 101
-	UnknownField    Code = 102
-	NoTasks         Code = 103
-	TooManyTasks    Code = 104
-	DoubledTask     Code = 105
-	TooLarge        Code = 106
-	UnknownService  Code = 107
-	UnknownMember   Code = 108
-	Conflict        Code = 109
-	ExpiryPast      Code = 110
-	ExpiryTooFar    Code = 111
-	BadID           Code = 112
-	UnknownJob      Code = 113
-	BadValue        Code = 114
-	UnsupportedType Code = 115
+	OK                  Code = 0
+	BadJSON             Code = 101
+	UnknownField        Code = 102
+	NoTasks             Code = 103
+	TooManyTasks        Code = 104
+	DoubledTask         Code = 105
+	TooLarge            Code = 106
+	UnknownService      Code = 107
+	UnknownOrganisation Code = 108
+	Conflict            Code = 109
+	ExpiryPast          Code = 110
+	ExpiryTooFar        Code = 111
+	BadID               Code = 112
+	UnknownJob          Code = 113
+	BadValue            Code = 114
+	UnsupportedType     Code = 115
 )
 
 // Codes about load and bounds (2xx).
--- a/code/table.go
+++ b/code/table.go
@@ -17,7 +17,7 @@
 	{DoubledTask, "doubled-task", http.StatusBadRequest, "Two tasks of the job have the same id."},
 	{TooLarge, "too-large", http.StatusRequestEntityTooLarge, "The body is larger than the limit."},
 	{UnknownService, "unknown-service", http.StatusNotFound, "The configuration has no such service."},
-	{UnknownMember, "unknown-member", http.StatusForbidden, "The configuration has no such member."},
+	{UnknownOrganisation, "unknown-member", http.StatusForbidden, "The configuration has no such member."},
 	{Conflict, "conflict", http.StatusConflict, "The same id was used before with other content."},
 	{ExpiryPast, "expiry-past", http.StatusGone, "The job's expiry has passed."},
 	{ExpiryTooFar, "expiry-too-far", http.StatusBadRequest, "The job's expiry is further away than the service allows."},
--- a/estimate/estimator.go
+++ b/estimate/estimator.go
@@ -49,7 +49,7 @@
 	return &Estimator{work: average{variance: priorWorkVariance}, guessError: average{variance: priorGuessVariance}}
 }
 
-// Learn takes in that a job with this guess took so long on a worker of
+// Learn takes in that a job with this guess took so long on a target of
 // speed 1.
 func (e *Estimator) Learn(guess, took time.Duration) {
 	g, w := logarithm(guess), logarithm(took)
@@ -62,7 +62,7 @@
 	e.guessError.add(g-w, weight)
 }
 
-// Likely returns how long a job with this guess likely takes on a worker of
+// Likely returns how long a job with this guess likely takes on a target of
 // speed 1: the guess, corrected by its usual error, and drawn towards what the
 // queue's jobs usually take, each by its certainty.
 func (e *Estimator) Likely(guess time.Duration) time.Duration {
--- a/event/explain.go
+++ b/event/explain.go
@@ -53,7 +53,7 @@
 }
 
 // around is how long before and after the job's own lines what befell its
-// workers and entries is looked for.
+// targets and entries is looked for.
 const around = 500 * time.Millisecond
 
 // causes are the kinds that explain what became of a job's runs.
@@ -127,7 +127,7 @@
 	return lines.Err()
 }
 
-// near keeps what befell a worker, agent or entry of the job while it lasted.
+// near keeps what befell a target, agent or entry of the job while it lasted.
 func near(others, own []line) []line {
 	names := make(map[string]bool)
 	for _, l := range own {
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -25,7 +25,7 @@
 	answers map[string]Answer
 }
 
-// newBench returns an owner that is connected to agents, each with a worker of
+// newBench returns an owner that is connected to agents, each with a target of
 // four cores.
 func newBench(t *testing.T, agents ...string) *bench {
 	t.Helper()
@@ -43,7 +43,7 @@
 	return b
 }
 
-// state has an agent tell its worker's state, with all orders so far in it.
+// state has an agent tell its target's state, with all orders so far in it.
 func (b *bench) state(agent string, cpu int, speed float64, health peer.Health) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
@@ -102,7 +102,7 @@
 	assert.Equal(t, b.answers["1"].Kind, Completed)
 }
 
-func TestTheFasterWorkerIsPreferred(t *testing.T) {
+func TestTheFasterTargetIsPreferred(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.state("a", 4000, 0.8, peer.Healthy)
 	b.state("b", 4000, 1.25, peer.Healthy)
@@ -110,7 +110,7 @@
 	assert.Equal(t, len(b.starts("b")), 1)
 	b.state("b", 3000, 1.25, peer.Ejected)
 	b.submit(jobOf("2", 1))
-	assert.Equal(t, len(b.starts("a")), 1) // slow goes before sick
+	assert.Equal(t, len(b.starts("a")), 1) // slow goes before ejected
 }
 
 func TestWithoutRoomItWantsAndTakesOffers(t *testing.T) {
@@ -189,7 +189,7 @@
 }
 
 // TestALostAgentsTasksWaitUntilTheyAreSurelyOver is what keeps a task from
-// running at two workers.
+// running at two targets.
 func TestALostAgentsTasksWaitUntilTheyAreSurelyOver(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.state("b", 4000, 0.9, peer.Healthy)
@@ -271,7 +271,7 @@
 	assert.Equal(t, b.Stats().Moved, uint64(1))
 }
 
-func TestASickWorkersRunsAreMoved(t *testing.T) {
+func TestAEjectedTargetsRunsAreMoved(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.state("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 2))
@@ -323,12 +323,12 @@
 	assert.Equal(t, len(b.starts("a")), 2)
 }
 
-// TestAJobThatWasOnlyTurnedDownIsRefused: no agent has asked its worker to start
+// TestAJobThatWasOnlyTurnedDownIsRefused: no agent has asked its target to start
 // a task of it, so the refusal is true, and need not wait until it is too late.
 func TestAJobThatWasOnlyTurnedDownIsRefused(t *testing.T) {
 	for why, kind := range map[code.Code]Kind{
 		code.RunNoRoom: Refused, code.RunNotTaking: Refused, code.RunStaleOwner: Refused,
-		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunOld: GivenUp, // a worker may have been asked
+		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunOld: GivenUp, // a target may have been asked
 	} {
 		b := newBench(t, "a")
 		b.submit(jobOf("1", 1))
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -53,7 +53,7 @@
 	UsedReservation uint64
 	RoomRequest     *RoomRequest
 
-	// Of an agent: the state of its worker, how runs ended, and room that is
+	// Of an agent: the state of its target, how runs ended, and room that is
 	// held for the receiver.
 	State       *State
 	Ended       []Ended
@@ -97,14 +97,14 @@
 	Room task.Needs
 }
 
-// Profile is what seldom changes about a worker.
+// Profile is what seldom changes about a target.
 type Profile struct {
-	// Target is the id of the worker's life, empty where none is known.
+	// Target is the id of the target's life, empty where none is known.
 	Target  string
 	Service string
 	Hall    string
 	Labels  []string
-	// Capacity is the worker's whole room.
+	// Capacity is the target's whole room.
 	Capacity task.Needs
 }
 
@@ -114,17 +114,17 @@
 		p.Capacity == o.Capacity && slices.Equal(p.Labels, o.Labels)
 }
 
-// State is what an agent tells of its worker.
+// State is what an agent tells of its target.
 type State struct {
 	// Profile is nil where it is as in the state before on the connection.
 	Profile *Profile
 	// Free is the room that is not in use.
 	Free task.Needs
-	// Speed is the worker's learned speed, 1 being usual.
+	// Speed is the target's learned speed, 1 being usual.
 	Speed float64
-	// Health is how far the worker is trusted.
+	// Health is how far the target is trusted.
 	Health Health
-	// Accepting says that the worker may be given work.
+	// Accepting says that the target may be given work.
 	Accepting bool
 	// Cleared says that no run of an earlier connection of the receiver is
 	// left here.
@@ -134,14 +134,14 @@
 	SeenSeq uint64
 }
 
-// Health is how far a worker is trusted.
+// Health is how far a target is trusted.
 type Health uint8
 
 // Healths.
 const (
 	// Healthy is the usual health.
 	Healthy Health = iota
-	// Ejected workers get single trial tasks only.
+	// Ejected targets get single trial tasks only.
 	Ejected
 )
 
@@ -153,7 +153,7 @@
 	Reason code.Code
 	// Took is how long the run was at work, on the agent's clock.
 	Took time.Duration
-	// TargetFault says that the worker, not the task, is taken to be at fault.
+	// TargetFault says that the target, not the task, is taken to be at fault.
 	TargetFault bool
 }
 
--- a/seats/config/document.go
+++ b/seats/config/document.go
@@ -1,5 +1,5 @@
 // Package config holds the operators' configuration: services, the targets
-// that serve them, and the bounds under which members use them. It is an
+// that serve them, and the bounds under which organisations use them. It is an
 // immutable value; a confirmed plan makes the next revision.
 package config
 
@@ -7,6 +7,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"reflect"
 	"slices"
 	"time"
 
@@ -56,8 +57,8 @@
 	Bounds  Bounds   `json:"bounds" yaml:"bounds"`
 }
 
-// Member is a customer.
-type Member struct {
+// Organisation is a customer.
+type Organisation struct {
 	Name string `json:"name" yaml:"name" validate:"required,max=128"`
 	// InFlight is how many of its tasks may wait and run in a region; zero
 	// is no limit.
@@ -78,9 +79,9 @@
 
 // Document is the configuration at one revision.
 type Document struct {
-	Revision uint64    `json:"revision"`
-	Services []Service `json:"services" validate:"unique=Name,dive"`
-	Members  []Member  `json:"members" validate:"unique=Name,dive"`
+	Revision      uint64         `json:"revision"`
+	Services      []Service      `json:"services" validate:"unique=Name,dive"`
+	Organisations []Organisation `json:"members" validate:"unique=Name,dive"`
 	// Shards is how many shares each service's jobs are split into, each
 	// with a home of its own; none counts as one. One keeps the order of all
 	// jobs, more spread the work of a very large service.
@@ -97,13 +98,13 @@
 	return d.Services[k], true
 }
 
-// Member returns the member called name.
-func (d Document) Member(name string) (Member, bool) {
-	k := slices.IndexFunc(d.Members, func(m Member) bool { return m.Name == name })
+// Organisation returns the organisation called name.
+func (d Document) Organisation(name string) (Organisation, bool) {
+	k := slices.IndexFunc(d.Organisations, func(m Organisation) bool { return m.Name == name })
 	if k < 0 {
-		return Member{}, false
+		return Organisation{}, false
 	}
-	return d.Members[k], true
+	return d.Organisations[k], true
 }
 
 // HasChange reports whether the change is in the history.
@@ -164,7 +165,20 @@
 	return nil
 }
 
-var validate = validator.New(validator.WithRequiredStructEnabled())
+var validate = newValidator()
+
+// newValidator returns a validator whose messages call organisations members, as the
+// operators' interface does.
+func newValidator() *validator.Validate {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(f reflect.StructField) string {
+		if f.Name == "Organisations" {
+			return "Members"
+		}
+		return f.Name
+	})
+	return v
+}
 
 // WithDefaults returns the bounds with the defaults in place of zeros.
 func (b Bounds) WithDefaults() Bounds {
--- a/seats/config/plan.go
+++ b/seats/config/plan.go
@@ -12,13 +12,13 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-// Intent is what an operator states: services and members to put in place of
+// Intent is what an operator states: services and organisations to put in place of
 // those with the same name, and names to take away.
 type Intent struct {
-	Services       []Service `json:"services,omitempty" yaml:"services,omitempty"`
-	Members        []Member  `json:"members,omitempty" yaml:"members,omitempty"`
-	RemoveServices []string  `json:"remove_services,omitempty" yaml:"remove_services,omitempty"`
-	RemoveMembers  []string  `json:"remove_members,omitempty" yaml:"remove_members,omitempty"`
+	Services            []Service      `json:"services,omitempty" yaml:"services,omitempty"`
+	Organisations       []Organisation `json:"members,omitempty" yaml:"members,omitempty"`
+	RemoveServices      []string       `json:"remove_services,omitempty" yaml:"remove_services,omitempty"`
+	RemoveOrganisations []string       `json:"remove_members,omitempty" yaml:"remove_members,omitempty"`
 	// Shards, where above zero, sets how many shares each service's jobs
 	// are split into.
 	Shards int `json:"shards,omitempty" yaml:"shards,omitempty"`
@@ -107,22 +107,22 @@
 func (d Document) WithIntent(in Intent) (Document, error) {
 	var err error
 	d.Services = slices.Clone(d.Services)
-	d.Members = slices.Clone(d.Members)
+	d.Organisations = slices.Clone(d.Organisations)
 	for _, name := range in.RemoveServices {
 		if d.Services, err = remove(d.Services, name, serviceName); err != nil {
 			return Document{}, err
 		}
 	}
-	for _, name := range in.RemoveMembers {
-		if d.Members, err = remove(d.Members, name, memberName); err != nil {
+	for _, name := range in.RemoveOrganisations {
+		if d.Organisations, err = remove(d.Organisations, name, organisationName); err != nil {
 			return Document{}, err
 		}
 	}
 	for _, s := range in.Services {
 		d.Services = put(d.Services, s, serviceName)
 	}
-	for _, m := range in.Members {
-		d.Members = put(d.Members, m, memberName)
+	for _, m := range in.Organisations {
+		d.Organisations = put(d.Organisations, m, organisationName)
 	}
 	for _, name := range in.Drain {
 		if d.Services, err = setDrained(d.Services, name, true); err != nil {
@@ -145,7 +145,7 @@
 
 func serviceName(s Service) string { return s.Name }
 
-func memberName(m Member) string { return m.Name }
+func organisationName(m Organisation) string { return m.Name }
 
 func put[T any](all []T, v T, name func(T) string) []T {
 	k := slices.IndexFunc(all, func(o T) bool { return name(o) == name(v) })
@@ -181,7 +181,7 @@
 // Diff tells what differs between two documents, one line each.
 func Diff(from, to Document) []string {
 	lines := diff("service", from.Services, to.Services, serviceName)
-	lines = append(lines, diff("member", from.Members, to.Members, memberName)...)
+	lines = append(lines, diff("member", from.Organisations, to.Organisations, organisationName)...)
 	if from.Shards != to.Shards {
 		lines = append(lines, fmt.Sprintf("~ shards %d -> %d", from.Shards, to.Shards))
 	}
--- a/seats/config/view.go
+++ b/seats/config/view.go
@@ -5,10 +5,10 @@
 type View struct {
 	Document
 	// Raw is the document as JSON, for handing on.
-	Raw      []byte
-	services map[string]*Service
-	members  map[string]*Member
-	targets  map[string]Placed
+	Raw           []byte
+	services      map[string]*Service
+	organisations map[string]*Organisation
+	targets       map[string]Placed
 }
 
 // Placed is a target with the service it serves.
@@ -20,11 +20,11 @@
 // NewView returns the view of d.
 func NewView(d Document) *View {
 	v := &View{
-		Document: d,
-		Raw:      d.Encode(),
-		services: make(map[string]*Service, len(d.Services)),
-		members:  make(map[string]*Member, len(d.Members)),
-		targets:  make(map[string]Placed),
+		Document:      d,
+		Raw:           d.Encode(),
+		services:      make(map[string]*Service, len(d.Services)),
+		organisations: make(map[string]*Organisation, len(d.Organisations)),
+		targets:       make(map[string]Placed),
 	}
 	for i := range d.Services {
 		s := &d.Services[i]
@@ -33,8 +33,8 @@
 			v.targets[t.Name] = Placed{Target: t, Service: s.Name}
 		}
 	}
-	for i := range d.Members {
-		v.members[d.Members[i].Name] = &d.Members[i]
+	for i := range d.Organisations {
+		v.organisations[d.Organisations[i].Name] = &d.Organisations[i]
 	}
 	return v
 }
@@ -44,9 +44,9 @@
 	return v.services[name]
 }
 
-// FindMember returns the member called name, or nil.
-func (v *View) FindMember(name string) *Member {
-	return v.members[name]
+// FindOrganisation returns the organisation called name, or nil.
+func (v *View) FindOrganisation(name string) *Organisation {
+	return v.organisations[name]
 }
 
 // FindTarget returns the target whose agent is called name.
--- a/seats/demo/demo.go
+++ b/seats/demo/demo.go
@@ -29,14 +29,14 @@
 
 // Sizes of the demo.
 const (
-	entries    = 3
-	agents     = 3
-	slots      = 8
-	tasks      = 40
-	service    = "trackd"
-	member     = "port-gate"
-	readyLimit = 5 * time.Second
-	stopLimit  = 5 * time.Second
+	entries      = 3
+	agents       = 3
+	slots        = 8
+	tasks        = 40
+	service      = "trackd"
+	organisation = "port-gate"
+	readyLimit   = 5 * time.Second
+	stopLimit    = 5 * time.Second
 )
 
 // anyPort lets the system choose a loopback address.
@@ -190,7 +190,7 @@
 		return nil
 	}
 	s.say("\nserving; stop with Ctrl-C. Submit a job with:\n  curl -s -H 'Content-Type: application/json' -d '{\"id\":\"job-1\",\"member\":\"%s\",\"tasks\":[{\"id\":\"a\",\"payload\":{\"ms\":100}}]}' %s/v1/services/%s/jobs",
-		member, s.entries[1].CallersURL(), service)
+		organisation, s.entries[1].CallersURL(), service)
 	s.say("look at an entry with:\n  curl -s -H 'Authorization: Bearer %s' %s/v1/status", s.token, s.entries[0].OperatorsURL())
 	<-ctx.Done()
 	return nil
@@ -198,8 +198,8 @@
 
 func (s *system) configure(ctx context.Context, ops *operator.Client) error {
 	in := config.Intent{
-		Members:  []config.Member{{Name: member}},
-		Services: []config.Service{{Name: service}},
+		Organisations: []config.Organisation{{Name: organisation}},
+		Services:      []config.Service{{Name: service}},
 	}
 	for k, a := range s.agents {
 		in.Services[0].Targets = append(in.Services[0].Targets, config.Target{
@@ -267,7 +267,7 @@
 
 // mixedJob returns a job of short and longer tasks, and its longest task.
 func mixedJob() (seats.Job, time.Duration) {
-	j := seats.Job{ID: "demo-job", Member: member}
+	j := seats.Job{ID: "demo-job", Organisation: organisation}
 	longest := 0
 	for k := range tasks {
 		ms := 50 + (k*37)%200
--- a/seats/dispatch/queue.go
+++ b/seats/dispatch/queue.go
@@ -11,8 +11,8 @@
 // Item is a job with tasks that wait for a start.
 type Item struct {
 	// Job is the job's id, Member the one it counts on.
-	Job    string
-	Member string
+	Job          string
+	Organisation string
 	// Unstarted is how many of its tasks wait.
 	Unstarted int
 	// Since is when it was accepted, on the home's clock.
@@ -47,59 +47,59 @@
 	return float64(i.Unstarted) + float64(i.Since)/float64(ageing)
 }
 
-// Queue holds the waiting jobs of one service, each member's in the order of a
+// Queue holds the waiting jobs of one service, each organisation's in the order of a
 // policy.
 type Queue struct {
-	order   Order
-	members map[string]*itemHeap
-	byJob   map[string]*Item
-	tasks   int
+	order         Order
+	organisations map[string]*itemHeap
+	byJob         map[string]*Item
+	tasks         int
 }
 
 // NewQueue returns an empty queue in the given order.
 func NewQueue(order Order) *Queue {
-	return &Queue{order: order, members: make(map[string]*itemHeap), byJob: make(map[string]*Item)}
+	return &Queue{order: order, organisations: make(map[string]*itemHeap), byJob: make(map[string]*Item)}
 }
 
-// Put adds a member's job, or sets its unstarted tasks; none takes it out.
-func (q *Queue) Put(job, member string, unstarted int, since time.Duration) {
+// Put adds an organisation's job, or sets its unstarted tasks; none takes it out.
+func (q *Queue) Put(job, organisation string, unstarted int, since time.Duration) {
 	i := q.byJob[job]
 	switch {
 	case i == nil && unstarted > 0:
-		i = &Item{Job: job, Member: member, Unstarted: unstarted, Since: since}
+		i = &Item{Job: job, Organisation: organisation, Unstarted: unstarted, Since: since}
 		i.rank = q.order(i)
 		q.byJob[job] = i
 		q.tasks += unstarted
-		if q.members[member] == nil {
-			q.members[member] = &itemHeap{}
+		if q.organisations[organisation] == nil {
+			q.organisations[organisation] = &itemHeap{}
 		}
-		heap.Push(q.members[member], i)
+		heap.Push(q.organisations[organisation], i)
 	case i == nil:
 	case unstarted == 0:
 		q.tasks -= i.Unstarted
 		delete(q.byJob, job)
-		heap.Remove(q.members[i.Member], i.index)
-		if q.members[i.Member].Len() == 0 {
-			delete(q.members, i.Member)
+		heap.Remove(q.organisations[i.Organisation], i.index)
+		if q.organisations[i.Organisation].Len() == 0 {
+			delete(q.organisations, i.Organisation)
 		}
 	default:
 		q.tasks += unstarted - i.Unstarted
 		i.Unstarted = unstarted
 		i.rank = q.order(i)
-		heap.Fix(q.members[i.Member], i.index)
+		heap.Fix(q.organisations[i.Organisation], i.index)
 	}
 }
 
-// First returns the job whose task goes next: the first of those members that
+// First returns the job whose task goes next: the first of those organisations that
 // are not over their share, or of all where each is.
-func (q *Queue) First(over func(member string) bool) (Item, bool) {
+func (q *Queue) First(over func(organisation string) bool) (Item, bool) {
 	var best, within *Item
-	for member, items := range q.members {
+	for organisation, items := range q.organisations {
 		i := (*items)[0]
 		if best == nil || i.before(best) {
 			best = i
 		}
-		if (within == nil || i.before(within)) && !over(member) {
+		if (within == nil || i.before(within)) && !over(organisation) {
 			within = i
 		}
 	}
@@ -112,14 +112,14 @@
 	return Item{}, false
 }
 
-// Waits reports whether the member has jobs that wait.
-func (q *Queue) Waits(member string) bool {
-	return q.members[member] != nil
+// Waits reports whether the organisation has jobs that wait.
+func (q *Queue) Waits(organisation string) bool {
+	return q.organisations[organisation] != nil
 }
 
-// Members returns how many members have jobs that wait.
-func (q *Queue) Members() int {
-	return len(q.members)
+// Organisations returns how many organisations have jobs that wait.
+func (q *Queue) Organisations() int {
+	return len(q.organisations)
 }
 
 // Tasks returns how many tasks wait.
--- a/seats/entry/operators_test.go
+++ b/seats/entry/operators_test.go
@@ -53,9 +53,9 @@
 }
 
 func TestPlansAreChecked(t *testing.T) {
-	base := config.Document{Revision: 4, Members: []config.Member{{Name: "m"}}}
+	base := config.Document{Revision: 4, Organisations: []config.Organisation{{Name: "m"}}}
 	for _, in := range []config.Intent{
-		{RemoveMembers: []string{"nobody"}},
+		{RemoveOrganisations: []string{"nobody"}},
 		{Drain: []string{"nothing"}},
 		{Services: []config.Service{{Name: "a/b"}}},
 		{Services: []config.Service{{Name: "s", Targets: []config.Target{{Name: "t", Agent: "nowhere", Slots: 1, Connections: 1}}}}},
@@ -64,7 +64,7 @@
 		_, err := config.NewPlan(base, in, "change")
 		assert.Assert(t, err != nil, "%+v", in)
 	}
-	p, err := config.NewPlan(base, config.Intent{Members: []config.Member{{Name: "m", Rate: 5}}, Services: []config.Service{{Name: "s"}}}, "change")
+	p, err := config.NewPlan(base, config.Intent{Organisations: []config.Organisation{{Name: "m", Rate: 5}}, Services: []config.Service{{Name: "s"}}}, "change")
 	assert.NilError(t, err)
 	assert.DeepEqual(t, p.Changes, []string{
 		`+ service s {"name":"s","targets":null,"bounds":{}}`,
--- a/seats/home/change.go
+++ b/seats/home/change.go
@@ -134,7 +134,7 @@
 		return
 	}
 	next := h.wanted()
-	if sameMembers(next, h.view.Roster) {
+	if sameProcesses(next, h.view.Roster) {
 		h.wantSince = 0
 		return
 	}
@@ -180,7 +180,7 @@
 	return r
 }
 
-func sameMembers(a, b roster.Roster) bool {
+func sameProcesses(a, b roster.Roster) bool {
 	return slices.Equal(a.Seats, b.Seats) && slices.Equal(a.Agents, b.Agents) && a.Shards == b.Shards
 }
 
--- a/seats/home/drain_test.go
+++ b/seats/home/drain_test.go
@@ -30,11 +30,11 @@
 // A service that has little to do can still take a job that fits its slots: what
 // drains a queue is the slots, not what came lately.
 func TestQuietServiceTakesALargeJob(t *testing.T) {
-	x := newBench(t, config.Member{Name: "m"}, config.Bounds{})
+	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{})
 	submit := func(id string, tasks int, life time.Duration) home.Effects {
 		x.n++
 		at := x.now.Wall.Add(life)
-		j := seats.Job{ID: id, Member: "m", ExpiresAt: &at}
+		j := seats.Job{ID: id, Organisation: "m", ExpiresAt: &at}
 		for k := range tasks {
 			j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(k)})
 		}
--- a/seats/home/home.go
+++ b/seats/home/home.go
@@ -115,29 +115,29 @@
 
 // Home owns jobs.
 type Home struct {
-	cfg      Config
-	rules    Rules
-	policy   dispatch.Policy
-	now      clock.Moment
-	view     *roster.View
-	heard    uint64
-	standing *lease.Standing
-	links    map[roster.ID]*link
-	ordered  []*link // the links in the order of their first connection
-	config   *config.View
-	services map[string]*service
-	records  map[string]*record
-	held     []*record // with answers, oldest first
-	heldSize int
-	take     takeover
-	proposal *proposal
-	changes  uint64
-	needRead bool
-	forwards map[uint64]*forward
-	tickets  uint64
-	pending  []pending
-	members  map[string]*member
-	homes    int // entries that are home to any share
+	cfg           Config
+	rules         Rules
+	policy        dispatch.Policy
+	now           clock.Moment
+	view          *roster.View
+	heard         uint64
+	standing      *lease.Standing
+	links         map[roster.ID]*link
+	ordered       []*link // the links in the order of their first connection
+	config        *config.View
+	services      map[string]*service
+	records       map[string]*record
+	held          []*record // with answers, oldest first
+	heldSize      int
+	take          takeover
+	proposal      *proposal
+	changes       uint64
+	needRead      bool
+	forwards      map[uint64]*forward
+	tickets       uint64
+	pending       []pending
+	organisations map[string]*organisation
+	homes         int // entries that are home to any share
 	// longer is the longest expiry that was in force until lately, and counts
 	// until the jobs that have it have expired.
 	longer      time.Duration
@@ -166,7 +166,7 @@
 	queue  *dispatch.Queue
 	agents []*link
 	drain  drainRate
-	// running counts each member's tasks that agents hold.
+	// running counts each organisation's tasks that agents hold.
 	running map[string]int
 }
 
@@ -220,18 +220,18 @@
 // NewHome returns a home without a seat. Its first Tick asks for the roster.
 func NewHome(cfg Config, opts ...Option) *Home {
 	h := &Home{
-		cfg:      cfg,
-		policy:   dispatch.DefaultPolicy(),
-		view:     roster.NewView(roster.Roster{}),
-		standing: lease.NewStanding(cfg.Lease),
-		links:    make(map[roster.ID]*link),
-		config:   config.NewView(config.Document{}),
-		services: make(map[string]*service),
-		records:  make(map[string]*record),
-		forwards: make(map[uint64]*forward),
-		members:  make(map[string]*member),
-		needRead: true,
-		take:     newTakeover(),
+		cfg:           cfg,
+		policy:        dispatch.DefaultPolicy(),
+		view:          roster.NewView(roster.Roster{}),
+		standing:      lease.NewStanding(cfg.Lease),
+		links:         make(map[roster.ID]*link),
+		config:        config.NewView(config.Document{}),
+		services:      make(map[string]*service),
+		records:       make(map[string]*record),
+		forwards:      make(map[uint64]*forward),
+		organisations: make(map[string]*organisation),
+		needRead:      true,
+		take:          newTakeover(),
 
 		adoptedAt: make(map[roster.ID]time.Duration),
 		expiries:  make(map[int64][]*record),
--- a/seats/home/judge.go
+++ b/seats/home/judge.go
@@ -62,7 +62,7 @@
 	r.waiters = append(r.waiters, w)
 	h.records[r.key] = r
 	h.expireAt(r, r.expiry)
-	h.member(r.sub.Job.Member).inFlight += len(r.tasks)
+	h.organisation(r.sub.Job.Organisation).inFlight += len(r.tasks)
 	h.enqueue(r)
 	h.pump(r.sub.Service)
 }
@@ -81,9 +81,9 @@
 	if s == nil {
 		return refusal{code.UnknownService, "there is no service " + sub.Service, 0}, false
 	}
-	m := h.config.FindMember(sub.Job.Member)
+	m := h.config.FindOrganisation(sub.Job.Organisation)
 	if m == nil {
-		return refusal{code.UnknownMember, "there is no member " + sub.Job.Member, 0}, false
+		return refusal{code.UnknownOrganisation, "there is no member " + sub.Job.Organisation, 0}, false
 	}
 	bounds := s.Bounds.WithDefaults()
 	if r, ok := h.admitExpiry(sub, bounds); !ok {
@@ -106,7 +106,7 @@
 	return refusal{}, true
 }
 
-func (h *Home) admitLoad(sub job.Submission, bounds config.Bounds, m *config.Member) (refusal, bool) {
+func (h *Home) admitLoad(sub job.Submission, bounds config.Bounds, m *config.Organisation) (refusal, bool) {
 	s := h.service(sub.Service)
 	n := len(sub.Job.Tasks)
 	queued := s.queue.Tasks()
--- a/seats/home/link.go
+++ b/seats/home/link.go
@@ -40,11 +40,11 @@
 
 // start is a task that an agent has not answered yet.
 type start struct {
-	seq    uint64
-	sentAt time.Duration
-	asked  time.Duration // when it was last sent or asked after
-	member string
-	await  bool
+	seq          uint64
+	sentAt       time.Duration
+	asked        time.Duration // when it was last sent or asked after
+	organisation string
+	await        bool
 }
 
 // LinkUp notes that the process id is connected.
--- a/seats/home/place.go
+++ b/seats/home/place.go
@@ -44,24 +44,24 @@
 	}
 }
 
-// overShare returns whether a member has as many tasks running as its even
-// share of the slots. It counts only where several members want them.
-func (s *service) overShare() func(member string) bool {
-	wanting := s.queue.Members()
-	for member := range s.running {
-		if !s.queue.Waits(member) {
+// overShare returns whether an organisation has as many tasks running as its even
+// share of the slots. It counts only where several organisations want them.
+func (s *service) overShare() func(organisation string) bool {
+	wanting := s.queue.Organisations()
+	for organisation := range s.running {
+		if !s.queue.Waits(organisation) {
 			wanting++
 		}
 	}
 	share := s.drain.slots / max(wanting, 1)
-	return func(member string) bool { return s.running[member] >= share }
+	return func(organisation string) bool { return s.running[organisation] >= share }
 }
 
-// ended counts a member's task as not running any more.
-func (s *service) ended(member string) {
-	s.running[member]--
-	if s.running[member] <= 0 {
-		delete(s.running, member)
+// ended counts an organisation's task as not running any more.
+func (s *service) ended(organisation string) {
+	s.running[organisation]--
+	if s.running[organisation] <= 0 {
+		delete(s.running, organisation)
 	}
 }
 
@@ -84,7 +84,7 @@
 
 // enqueue puts a job's waiting tasks into its service's queue.
 func (h *Home) enqueue(r *record) {
-	h.service(r.sub.Service).queue.Put(r.key, r.sub.Job.Member, len(r.order), r.since)
+	h.service(r.sub.Service).queue.Put(r.key, r.sub.Job.Organisation, len(r.order), r.since)
 }
 
 // pump starts waiting tasks while an agent can take one.
@@ -111,7 +111,7 @@
 			continue
 		}
 		places[k].Outstanding++
-		s.running[item.Member]++
+		s.running[item.Organisation]++
 		h.startNext(links[k], r)
 	}
 }
@@ -168,15 +168,15 @@
 		Key: key, TaskID: t.ID, Digest: r.digest, Service: r.sub.Service,
 		Payload: t.Payload, Expiry: r.expiry, Raw: r.sub.Single,
 	})
-	l.starts[key] = &start{seq: seq, sentAt: h.now.Mono, asked: h.now.Mono, member: r.sub.Job.Member}
+	l.starts[key] = &start{seq: seq, sentAt: h.now.Mono, asked: h.now.Mono, organisation: r.sub.Job.Organisation}
 }
 
 func (h *Home) await(l *link, r *record, k int) {
 	key := wire.TaskKey{Job: r.key, Index: k}
 	h.stats.Awaits++
 	seq := h.send(l, wire.Await{Key: key})
-	l.starts[key] = &start{seq: seq, sentAt: h.now.Mono, asked: h.now.Mono, member: r.sub.Job.Member, await: true}
-	h.service(r.sub.Service).running[r.sub.Job.Member]++
+	l.starts[key] = &start{seq: seq, sentAt: h.now.Mono, asked: h.now.Mono, organisation: r.sub.Job.Organisation, await: true}
+	h.service(r.sub.Service).running[r.sub.Job.Organisation]++
 }
 
 // resend asks again for everything that l has not answered, over a new
@@ -236,7 +236,7 @@
 func (h *Home) drop(l *link, key wire.TaskKey) {
 	s := l.starts[key]
 	delete(l.starts, key)
-	h.service(key.Service()).ended(s.member)
+	h.service(key.Service()).ended(s.organisation)
 }
 
 // ended applies a task's result to its job.
--- a/seats/home/quota.go
+++ b/seats/home/quota.go
@@ -10,24 +10,24 @@
 	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
-// member is this home's part of a member's use.
-type member struct {
+// organisation is this home's part of an organisation's use.
+type organisation struct {
 	inFlight int // tasks that wait or run
 	limit    *rate.Limiter
 }
 
-func (h *Home) member(name string) *member {
-	m := h.members[name]
+func (h *Home) organisation(name string) *organisation {
+	m := h.organisations[name]
 	if m == nil {
-		m = &member{}
-		h.members[name] = m
+		m = &organisation{}
+		h.organisations[name] = m
 	}
 	return m
 }
 
-// admitQuota checks n more tasks against the member's quotas.
-func (h *Home) admitQuota(m *config.Member, n int, drain *drainRate) (refusal, bool) {
-	own := h.member(m.Name)
+// admitQuota checks n more tasks against the organisation's quotas.
+func (h *Home) admitQuota(m *config.Organisation, n int, drain *drainRate) (refusal, bool) {
+	own := h.organisation(m.Name)
 	if part := h.part(m.InFlight); part > 0 && own.inFlight+n > part {
 		return refusal{code.QuotaInFlight, "the member's quota of tasks in flight is used up", drain.timeFor(own.inFlight + n - part)}, false
 	}
@@ -37,10 +37,10 @@
 	return refusal{}, true
 }
 
-// reserve takes n tasks from the member's rate, or returns how long it takes
+// reserve takes n tasks from the organisation's rate, or returns how long it takes
 // until they can be had. A job larger than a second's worth is let through when
 // a whole second's worth is there.
-func (m *member) reserve(now time.Time, perSecond, n int) time.Duration {
+func (m *organisation) reserve(now time.Time, perSecond, n int) time.Duration {
 	if perSecond == 0 {
 		m.limit = nil
 		return 0
--- a/seats/home/quota_test.go
+++ b/seats/home/quota_test.go
@@ -25,11 +25,11 @@
 	n   uint64
 }
 
-func newBench(t *testing.T, m config.Member, b config.Bounds) *bench {
+func newBench(t *testing.T, m config.Organisation, b config.Bounds) *bench {
 	t.Helper()
 	id := roster.NewID("entry", 1)
 	x := &bench{t: t, h: home.NewHome(home.DefaultConfig(id, "here")), now: clock.Moment{Mono: time.Second, Wall: time.Unix(1_700_000_000, 0)}}
-	x.h.Configure(x.now, config.Document{Revision: 1, Members: []config.Member{m}, Services: []config.Service{{
+	x.h.Configure(x.now, config.Document{Revision: 1, Organisations: []config.Organisation{m}, Services: []config.Service{{
 		Name: "trackd", Bounds: b, Targets: []config.Target{{Name: "worker", Agent: "there", Slots: 2, Connections: 8}},
 	}}})
 	worker := roster.NewID("worker", 1)
@@ -52,7 +52,7 @@
 func (x *bench) submit(n int) (code.Code, time.Duration) {
 	x.t.Helper()
 	x.n++
-	j := seats.Job{ID: fmt.Sprintf("j%d", x.n), Member: "m"}
+	j := seats.Job{ID: fmt.Sprintf("j%d", x.n), Organisation: "m"}
 	for k := range n {
 		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(k)})
 	}
@@ -67,8 +67,8 @@
 	return code.Code(a.Code), time.Duration(a.RetryAfterMS) * time.Millisecond
 }
 
-func TestMemberHasAtMostItsTasksInFlight(t *testing.T) {
-	x := newBench(t, config.Member{Name: "m", InFlight: 10}, config.Bounds{})
+func TestOrganisationHasAtMostItsTasksInFlight(t *testing.T) {
+	x := newBench(t, config.Organisation{Name: "m", InFlight: 10}, config.Bounds{})
 	for _, c := range []struct {
 		tasks int
 		want  code.Code
@@ -79,8 +79,8 @@
 	}
 }
 
-func TestMemberIsHeldToItsRate(t *testing.T) {
-	x := newBench(t, config.Member{Name: "m", Rate: 20}, config.Bounds{})
+func TestOrganisationIsHeldToItsRate(t *testing.T) {
+	x := newBench(t, config.Organisation{Name: "m", Rate: 20}, config.Bounds{})
 	got, _ := x.submit(20)
 	assert.Equal(t, got, code.Running)
 	got, retry := x.submit(10)
@@ -92,7 +92,7 @@
 }
 
 func TestFullQueueRefusesAtOnce(t *testing.T) {
-	x := newBench(t, config.Member{Name: "m"}, config.Bounds{Queue: 5})
+	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{Queue: 5})
 	got, _ := x.submit(7) // two start at once
 	assert.Equal(t, got, code.Running)
 	got, retry := x.submit(1)
--- a/seats/home/record.go
+++ b/seats/home/record.go
@@ -130,9 +130,9 @@
 // release frees what a job holds of queue and quota.
 func (h *Home) release(r *record) {
 	if s := h.services[r.sub.Service]; s != nil {
-		s.queue.Put(r.key, r.sub.Job.Member, 0, r.since)
+		s.queue.Put(r.key, r.sub.Job.Organisation, 0, r.since)
 	}
-	h.member(r.sub.Job.Member).inFlight -= len(r.tasks)
+	h.organisation(r.sub.Job.Organisation).inFlight -= len(r.tasks)
 	r.sub.Job.Tasks = nil
 	r.tasks = nil
 	r.order = nil
--- a/seats/home/retry_test.go
+++ b/seats/home/retry_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestNotRepeatableFailsWhenItsAgentIsLost(t *testing.T) {
-	x := newBench(t, config.Member{Name: "m"}, config.Bounds{})
+	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{})
 	x.request(false)
 	out := x.loseWorker()
 	assert.Equal(t, len(out.Answers), 1)
@@ -43,7 +43,7 @@
 }
 
 func TestRepeatableIsSentAgainWithinItsBudget(t *testing.T) {
-	x := newBench(t, config.Member{Name: "m"}, config.Bounds{})
+	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{})
 	worker := roster.NewID("worker", 1)
 	failed := 0
 	for range 20 {
@@ -62,9 +62,9 @@
 // An answer that no frame can carry would cut the connection to the entry that
 // asked for it, again and again.
 func TestAnswerThatNoFrameCarriesIsAFailure(t *testing.T) {
-	x := newBench(t, config.Member{Name: "m"}, config.Bounds{})
+	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{})
 	x.n++
-	j := seats.Job{ID: "large", Member: "m"}
+	j := seats.Job{ID: "large", Organisation: "m"}
 	const tasks = 7
 	for k := range tasks {
 		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(k)})
--- a/seats/job.go
+++ b/seats/job.go
@@ -38,8 +38,8 @@
 type Job struct {
 	// ID names the job among all jobs of the service's region.
 	ID string `json:"id"`
-	// Member is the customer on whose quota the job counts.
-	Member string `json:"member"`
+	// Organisation is the customer on whose quota the job counts.
+	Organisation string `json:"member"`
 	// ExpiresAt is when the caller has no more use for the answer. Without
 	// it the service's longest expiry counts from the first acceptance.
 	ExpiresAt *time.Time `json:"expires_at,omitempty"`
--- a/seats/job/submission.go
+++ b/seats/job/submission.go
@@ -82,13 +82,13 @@
 
 // NewSingle returns the submission of a single request, whose payload is the
 // body as it is.
-func NewSingle(service, member, id string, body []byte, repeatable bool, expiry *time.Time) (Submission, error) {
+func NewSingle(service, organisation, id string, body []byte, repeatable bool, expiry *time.Time) (Submission, error) {
 	payload, err := json.Marshal(body)
 	if err != nil {
 		return Submission{}, err
 	}
 	s, err := New(service, seats.Job{
-		ID: id, Member: member, ExpiresAt: expiry,
+		ID: id, Organisation: organisation, ExpiresAt: expiry,
 		Tasks: []seats.Task{{ID: "request", Payload: payload, Repeatable: repeatable}},
 	})
 	s.Single = true
@@ -115,8 +115,8 @@
 	if !ValidID(j.ID) {
 		return code.Errorf(code.BadID, "the job's id %.40q is not an id", j.ID)
 	}
-	if !ValidID(j.Member) {
-		return code.Errorf(code.BadID, "the member %.40q is not an id", j.Member)
+	if !ValidID(j.Organisation) {
+		return code.Errorf(code.BadID, "the member %.40q is not an id", j.Organisation)
 	}
 	if len(j.Tasks) == 0 {
 		return code.Error(code.NoTasks, "the job has no tasks")
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// ValidID reports whether id may name a job, task, request or member: 1 to
+// ValidID reports whether id may name a job, task, request or organisation: 1 to
 // seats.MaxID printable ASCII characters without space, slash or quotes.
 func ValidID(id string) bool {
 	if id == "" || len(id) > seats.MaxID {
--- a/seats/load/load.go
+++ b/seats/load/load.go
@@ -37,9 +37,9 @@
 // Config is the shape of a load.
 type Config struct {
 	// Entries are base URLs, comma-separated; jobs go to them in turn.
-	Entries string
-	Service string
-	Member  string
+	Entries      string
+	Service      string
+	Organisation string
 	// Jobs is how many jobs are submitted.
 	Jobs int
 	// LargestJob is the largest number of tasks; sizes are log-uniform.
@@ -57,7 +57,7 @@
 // DefaultConfig returns a small load.
 func DefaultConfig() Config {
 	return Config{
-		Service: "trackd", Member: "port-gate", Jobs: 200, LargestJob: 20,
+		Service: "trackd", Organisation: "port-gate", Jobs: 200, LargestJob: 20,
 		JobsPerSecond: 20, ShortMS: 50, LongMS: 500, Seed: 1,
 	}
 }
@@ -135,7 +135,7 @@
 // job makes the k-th job and tells its longest task.
 func (c Config) job(rng *rand.Rand, k int) (seats.Job, time.Duration) {
 	n := int(math.Exp(rng.Float64() * math.Log(float64(c.LargestJob)+0.999)))
-	j := seats.Job{ID: fmt.Sprintf("load-%d-%d-%d", c.Seed, time.Now().UnixNano(), k), Member: c.Member}
+	j := seats.Job{ID: fmt.Sprintf("load-%d-%d-%d", c.Seed, time.Now().UnixNano(), k), Organisation: c.Organisation}
 	if c.Expiry > 0 {
 		at := time.Now().Add(c.Expiry)
 		j.ExpiresAt = &at
--- a/seats/testutil/cluster/cluster.go
+++ b/seats/testutil/cluster/cluster.go
@@ -32,9 +32,9 @@
 
 // Names of what a cluster serves.
 const (
-	Service = "trackd"
-	Member  = "port-gate"
-	token   = "token-of-the-cluster-tests"
+	Service      = "trackd"
+	Organisation = "port-gate"
+	token        = "token-of-the-cluster-tests"
 )
 
 // patience is how long a cluster may take to get ready on a busy machine.
@@ -276,8 +276,8 @@
 // Intent returns the intent that the cluster starts with.
 func (c *Cluster) Intent() config.Intent {
 	in := config.Intent{
-		Members:  []config.Member{{Name: Member}},
-		Services: []config.Service{{Name: Service, Bounds: c.cfg.Bounds}},
+		Organisations: []config.Organisation{{Name: Organisation}},
+		Services:      []config.Service{{Name: Service, Bounds: c.cfg.Bounds}},
 	}
 	for k, p := range c.Agents {
 		in.Services[0].Targets = append(in.Services[0].Targets, config.Target{
--- a/seats/testutil/policy/experiment_test.go
+++ b/seats/testutil/policy/experiment_test.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// A member that floods with jobs that the order prefers leaves a quiet one its
+// An organisation that floods with jobs that the order prefers leaves a quiet one its
 // share of the slots.
-func TestFloodLeavesAQuietMemberItsShare(t *testing.T) {
+func TestFloodLeavesAQuietOrganisationItsShare(t *testing.T) {
 	w := DefaultWorkload(300, 3)
 	rows := Compare(Floods(w), []float64{0.3}, w)
 	var table bytes.Buffer
--- a/seats/testutil/policy/fleet.go
+++ b/seats/testutil/policy/fleet.go
@@ -40,7 +40,7 @@
 	// back until it is over: after FixedRetry or, without it, when told to.
 	Expiry     time.Duration
 	FixedRetry time.Duration
-	// Beside is another member's workload, which is not counted.
+	// Beside is another organisation's workload, which is not counted.
 	Beside *Workload
 	// Slow is how many times longer tasks run on the first worker; zero or
 	// one for the common pace.
@@ -163,7 +163,7 @@
 			Name: fmt.Sprintf("worker%02d", k), Agent: "fake", Slots: r.fleet.Slots, Connections: 64,
 		})
 	}
-	return config.Document{Revision: 1, Services: []config.Service{s}, Members: []config.Member{{Name: member}, {Name: floodMember}}}
+	return config.Document{Revision: 1, Services: []config.Service{s}, Organisations: []config.Organisation{{Name: organisation}, {Name: floodOrganisation}}}
 }
 
 func (r *run) tick(k int) {
@@ -197,7 +197,7 @@
 // while there is time.
 func (r *run) answered(j *work, a home.Answered) {
 	delete(r.asked, a.Ticket)
-	if r.fleet.Beside != nil && j.sub.Job.Member == r.fleet.Beside.Member {
+	if r.fleet.Beside != nil && j.sub.Job.Organisation == r.fleet.Beside.Organisation {
 		return
 	}
 	switch a.Answer.State {
--- a/seats/testutil/policy/suite.go
+++ b/seats/testutil/policy/suite.go
@@ -93,22 +93,22 @@
 	return err
 }
 
-// floodMember floods; floodLoad is what it offers, over the capacity, in jobs of
+// floodOrganisation floods; floodLoad is what it offers, over the capacity, in jobs of
 // few tasks, which the order prefers.
 const (
-	floodMember = "flood"
-	floodLoad   = 1.5
-	floodJob    = 5
+	floodOrganisation = "flood"
+	floodLoad         = 1.5
+	floodJob          = 5
 )
 
-// Floods returns a quiet member alone and beside a flooding one.
+// Floods returns a quiet organisation alone and beside a flooding one.
 func Floods(w Workload) []System {
 	alone := Fleet{Name: "quiet member alone", Homes: entries, Workers: workers, Slots: slots, Delay: oneWay, Policy: dispatch.DefaultPolicy()}
 	beside := alone
 	beside.Name = "quiet member beside a flood of 150%"
-	flood := Workload{Load: floodLoad, Slots: w.Slots, Seed: w.Seed + 1, LargestJob: floodJob, Member: floodMember}
+	flood := Workload{Load: floodLoad, Slots: w.Slots, Seed: w.Seed + 1, LargestJob: floodJob, Organisation: floodOrganisation}
 	return []System{{alone.Name, alone.Run}, {beside.Name, func(w Workload) *Result {
-		// As many jobs as come while the quiet member's do.
+		// As many jobs as come while the quiet organisation's do.
 		own := flood
 		own.Jobs = int(float64(w.Jobs) * floodLoad / w.Load * w.meanSize() / flood.meanSize())
 		f := beside
--- a/seats/testutil/policy/workload.go
+++ b/seats/testutil/policy/workload.go
@@ -15,10 +15,10 @@
 	"github.com/beaconpoint/beaconpoint/seats/job"
 )
 
-// Names of the one service and member.
+// Names of the one service and organisation.
 const (
-	service = "trackd"
-	member  = "port-gate"
+	service      = "trackd"
+	organisation = "port-gate"
 )
 
 // Workload is a stream of jobs, the same for the same seed.
@@ -34,8 +34,8 @@
 	// the jobs.
 	Burst    float64
 	BurstFor time.Duration
-	// Member is whose jobs they are; empty for the common one.
-	Member string
+	// Organisation is whose jobs they are; empty for the common one.
+	Organisation string
 }
 
 // Lengths of tasks: most between shortest and longest, longShare of several
@@ -90,12 +90,12 @@
 
 func (w Workload) job(rng *rand.Rand, k int, at time.Duration) *work {
 	size := int(math.Exp(rng.Float64() * math.Log(float64(w.LargestJob)+1)))
-	owner := w.Member
+	owner := w.Organisation
 	if owner == "" {
-		owner = member
+		owner = organisation
 	}
 	j := &work{id: fmt.Sprintf("%s-%d", owner, k), at: at}
-	spec := seats.Job{ID: j.id, Member: owner}
+	spec := seats.Job{ID: j.id, Organisation: owner}
 	for i := range size {
 		d := shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
 		if rng.Float64() < longShare {
--- a/seats/testutil/world/act.go
+++ b/seats/testutil/world/act.go
@@ -209,7 +209,7 @@
 		life = shortLife
 	}
 	expiry := w.base.Add(w.now() + life)
-	j := seats.Job{ID: id, Member: member, ExpiresAt: &expiry}
+	j := seats.Job{ID: id, Organisation: organisation, ExpiresAt: &expiry}
 	for i := range 1 + k%4 {
 		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(i)})
 	}
--- a/seats/testutil/world/world.go
+++ b/seats/testutil/world/world.go
@@ -24,17 +24,17 @@
 
 // Bounds of a world.
 const (
-	homeTick   = 150 * time.Millisecond
-	guardTick  = time.Second
-	lease      = 3 * time.Second
-	skew       = 500 * time.Millisecond
-	service    = "trackd"
-	member     = "port-gate"
-	queue      = 4 // short, so that many jobs are refused as not run
-	jobLife    = 20 * time.Second
-	shortLife  = 3 * time.Second // about a lease
-	longest    = 30 * time.Second
-	commonWait = 3 * time.Millisecond
+	homeTick     = 150 * time.Millisecond
+	guardTick    = time.Second
+	lease        = 3 * time.Second
+	skew         = 500 * time.Millisecond
+	service      = "trackd"
+	organisation = "port-gate"
+	queue        = 4 // short, so that many jobs are refused as not run
+	jobLife      = 20 * time.Second
+	shortLife    = 3 * time.Second // about a lease
+	longest      = 30 * time.Second
+	commonWait   = 3 * time.Millisecond
 )
 
 // Config is the shape of a world.
@@ -236,7 +236,7 @@
 			s.Targets = append(s.Targets, config.Target{Name: p.name, Agent: p.name, Slots: 2, Connections: 8})
 		}
 	}
-	return config.Document{Revision: w.revision, Shards: w.shards, Services: []config.Service{s}, Members: []config.Member{{Name: member}}}
+	return config.Document{Revision: w.revision, Shards: w.shards, Services: []config.Service{s}, Organisations: []config.Organisation{{Name: organisation}}}
 }
 
 func (w *World) tickHome(p *process, id roster.ID) {
--- a/seats/trials/bench_test.go
+++ b/seats/trials/bench_test.go
@@ -81,7 +81,7 @@
 	})
 	ops := operator.NewClient(e.OperatorsURL(), "token-of-the-benchmark")
 	plan, err := ops.Plan(ctx, config.Intent{
-		Members: []config.Member{{Name: cluster.Member}},
+		Organisations: []config.Organisation{{Name: cluster.Organisation}},
 		Services: []config.Service{{Name: cluster.Service, Targets: []config.Target{
 			{Name: "worker1", Agent: a.Addr(), Slots: 64, Connections: 64},
 		}}},
--- a/seats/trials/config_test.go
+++ b/seats/trials/config_test.go
@@ -40,8 +40,8 @@
 	return time.Since(began)
 }
 
-func memberIntent(inFlight int) config.Intent {
-	return config.Intent{Members: []config.Member{{Name: cluster.Member, InFlight: inFlight}}}
+func organisationIntent(inFlight int) config.Intent {
+	return config.Intent{Organisations: []config.Organisation{{Name: cluster.Organisation, InFlight: inFlight}}}
 }
 
 func TestAcceptedConfigurationIsEverywhereWithinSeconds(t *testing.T) {
@@ -50,7 +50,7 @@
 	for _, outage := range []bool{false, true} {
 		var spread []time.Duration
 		for k := range changes {
-			plan, err := c.Operator(k%3).Plan(ctx, memberIntent(10_000+k))
+			plan, err := c.Operator(k%3).Plan(ctx, organisationIntent(10_000+k))
 			assert.NilError(t, err)
 			done, err := c.Operator((k+1)%3).Confirm(ctx, plan)
 			assert.NilError(t, err)
@@ -77,9 +77,9 @@
 func TestOperatorsRace(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	ctx := context.Background()
-	first, err := c.Operator(0).Plan(ctx, memberIntent(100))
+	first, err := c.Operator(0).Plan(ctx, organisationIntent(100))
 	assert.NilError(t, err)
-	second, err := c.Operator(1).Plan(ctx, memberIntent(200))
+	second, err := c.Operator(1).Plan(ctx, organisationIntent(200))
 	assert.NilError(t, err)
 	errs := make([]error, 2)
 	var both sync.WaitGroup
@@ -99,7 +99,7 @@
 func TestConfirmingTwiceIsOneChange(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	ctx := context.Background()
-	plan, err := c.Operator(0).Plan(ctx, memberIntent(100))
+	plan, err := c.Operator(0).Plan(ctx, organisationIntent(100))
 	assert.NilError(t, err)
 	c.Store.SetFaults(standplatform.Faults{LoseAnswers: 1})
 	once, err := c.Operator(1).Confirm(ctx, plan)
--- a/seats/trials/path_test.go
+++ b/seats/trials/path_test.go
@@ -27,7 +27,7 @@
 }
 
 func jobOf(id string, tasks, ms int) seats.Job {
-	j := seats.Job{ID: id, Member: cluster.Member}
+	j := seats.Job{ID: id, Organisation: cluster.Organisation}
 	for k := range tasks {
 		j.Tasks = append(j.Tasks, seats.Task{
 			ID:      fmt.Sprintf("t%d", k),
@@ -140,7 +140,7 @@
 
 func TestTargetThatDropsAConnectionGetsOneStart(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
-	j := seats.Job{ID: "drop", Member: cluster.Member, Tasks: []seats.Task{{ID: "a", Payload: json.RawMessage(`{"drop":true}`)}}}
+	j := seats.Job{ID: "drop", Organisation: cluster.Organisation, Tasks: []seats.Task{{ID: "a", Payload: json.RawMessage(`{"drop":true}`)}}}
 	a, err := c.Client(0).Submit(context.Background(), cluster.Service, j)
 	assert.NilError(t, err)
 	assert.Equal(t, a.State, seats.Failed)
--- a/seats/wire/wire_test.go
+++ b/seats/wire/wire_test.go
@@ -22,7 +22,7 @@
 	id := roster.NewID("entry1", 7)
 	at := time.Unix(1_700_000_000, 0)
 	sub := job.Submission{Service: "trackd", Digest: 9, Deadline: 5, Job: seats.Job{
-		ID: "a", Member: "m", ExpiresAt: &at, Tasks: []seats.Task{{ID: "t", Payload: []byte(`{}`), ExpectedMS: 4}},
+		ID: "a", Organisation: "m", ExpiresAt: &at, Tasks: []seats.Task{{ID: "t", Payload: []byte(`{}`), ExpectedMS: 4}},
 	}}
 	return []Message{
 		Hello{Version: 1, Role: RoleAgent, ID: id, Region: "bay"},
--- a/settings/node.go
+++ b/settings/node.go
@@ -44,8 +44,8 @@
 	// the question whether it takes any.
 	Callers   string `yaml:"callers" validate:"required_if=Role entry,omitempty,tcp_addr"`
 	Readiness string `yaml:"readiness" validate:"required_if=Role entry,omitempty,tcp_addr"`
-	// Reports and Worker are an agent's: its address for its worker's
-	// heartbeats, and the worker's own.
+	// Reports and Target are an agent's: its address for its target's
+	// heartbeats, and the target's own.
 	Reports string `yaml:"reports" validate:"required_if=Role agent,omitempty,tcp_addr"`
 	Target  string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
 }
--- a/standin/target/worker.go
+++ b/standin/target/target.go
@@ -1,4 +1,4 @@
-// Package target is a stand-in for a worker of the platform: it starts and
+// Package target is a stand-in for a target of the platform: it starts and
 // stops runs on orders over HTTP, lists them, and lets them lapse without a
 // lease. A task's spec says how long it takes.
 package target
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Target is one worker through all of its lives. It implements http.Handler.
+// Target is one target through all of its lives. It implements http.Handler.
 type Target struct {
 	mux     *http.ServeMux
 	service string
@@ -41,7 +41,7 @@
 	timer  *time.Timer
 }
 
-// NewTarget returns a worker of a service with so much processor, in
+// NewTarget returns a target of a service with so much processor, in
 // thousandths of a core.
 func NewTarget(service string, cpu int) *Target {
 	w := &Target{mux: http.NewServeMux(), service: service, cpu: cpu}
--- a/supervisor/health_test.go
+++ b/supervisor/health_test.go
@@ -18,7 +18,7 @@
 	return h.recordEnd(r, how, took, took)
 }
 
-func TestFailuresOfOneJobMakeNobodySick(t *testing.T) {
+func TestFailuresOfOneJobEjectNobody(t *testing.T) {
 	h := newHealth()
 	for range 10 {
 		assert.Assert(t, !end(&h, "one", task.EndFailed, 1, false))
@@ -26,7 +26,7 @@
 	assert.Assert(t, !h.ejected)
 }
 
-func TestFailuresOfSeveralJobsMakeSick(t *testing.T) {
+func TestFailuresOfSeveralJobsEject(t *testing.T) {
 	h := newHealth()
 	for k := range ejectFailedJobs {
 		end(&h, fmt.Sprint(k), task.EndFailed, 0.1, false)
@@ -44,7 +44,7 @@
 	assert.Assert(t, !h.ejected)
 }
 
-func TestSlowJobsMakeSick(t *testing.T) {
+func TestSlowJobsEject(t *testing.T) {
 	h := newHealth()
 	for range 5 {
 		end(&h, "one", task.EndDone, 6, false) // one job: its guess may be wrong
@@ -57,9 +57,9 @@
 	assert.Equal(t, h.why, code.TargetSlow)
 }
 
-// TestAnUnansweredListIsNoSlowWorker: runs whose ends were listed late may have
+// TestAnUnansweredListIsNoSlowTarget: runs whose ends were listed late may have
 // ended at any time since the list before.
-func TestAnUnansweredListIsNoSlowWorker(t *testing.T) {
+func TestAnUnansweredListIsNoSlowTarget(t *testing.T) {
 	h := newHealth()
 	for k := range 20 {
 		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, Estimate: 40 * ms, Guess: 40 * ms}}
@@ -69,7 +69,7 @@
 	assert.Equal(t, h.speed(), 1.0) // nothing is learned from them either
 }
 
-func TestOverdueRunsOfSeveralJobsMakeSick(t *testing.T) {
+func TestOverdueRunsOfSeveralJobsEject(t *testing.T) {
 	h := newHealth()
 	var running []*run
 	for k := range ejectOverdueJobs {
@@ -80,7 +80,7 @@
 	assert.Equal(t, h.why, code.TargetOverdue)
 }
 
-func TestTrialsDoubleUntilTheWorkerIsWell(t *testing.T) {
+func TestTrialsDoubleUntilTheTargetIsWell(t *testing.T) {
 	h := newHealth()
 	h.eject(code.TargetSlow)
 	now := time.Minute
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -23,7 +23,7 @@
 	frames []*peer.Frame
 }
 
-// newBench returns a supervisor that serves worker i-1 and is connected to the
+// newBench returns a supervisor that serves target i-1 and is connected to the
 // entry edge by connection 1.
 func newBench(t *testing.T) *bench {
 	t.Helper()
@@ -144,7 +144,7 @@
 	assert.Equal(t, b.ends()[0].Reason, code.RunStaleOwner)
 }
 
-func TestADrainingWorkerGetsNothing(t *testing.T) {
+func TestADrainingTargetGetsNothing(t *testing.T) {
 	b := newBench(t)
 	r := b.report("i-1", 2)
 	r.Draining = true
@@ -168,9 +168,9 @@
 	assert.Equal(t, b.ends()[1].Reason, code.RunNotTaking) // until it is known to be empty
 }
 
-// TestANewAgentEmptiesTheWorker shows that orders of an earlier agent are fenced
+// TestANewAgentEmptiesTheTarget shows that orders of an earlier agent are fenced
 // off, and its runs stopped, before the new one serves.
-func TestANewAgentEmptiesTheWorker(t *testing.T) {
+func TestANewAgentEmptiesTheTarget(t *testing.T) {
 	b := newBench(t)
 	earlier := b.target.token
 	again := &bench{Supervisor: NewSupervisor(slog.New(slog.DiscardHandler)), now: b.now + 50*ms}
@@ -189,7 +189,7 @@
 	assert.Assert(t, again.target.cleared)
 }
 
-func TestASilentWorkerIsNotRenewedAndItsRunsLapse(t *testing.T) {
+func TestASilentTargetIsNotRenewedAndItsRunsLapse(t *testing.T) {
 	b := newBench(t)
 	b.orders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
@@ -265,7 +265,7 @@
 	assert.Equal(t, b.stateInterval(), 60*ms)
 }
 
-// TestACallThatFailsIsTriedLessOften: a worker that turns every connection away
+// TestACallThatFailsIsTriedLessOften: a target that turns every connection away
 // must not be called fifty times a second.
 func TestACallThatFailsIsTriedLessOften(t *testing.T) {
 	b := newBench(t)
@@ -301,9 +301,9 @@
 	assert.Assert(t, !b.LosingReplies(b.now+losingRepliesTime))
 }
 
-// TestASilentWorkerGetsNoSecondHold: where nothing is answered, more calls tell
+// TestASilentTargetGetsNoSecondHold: where nothing is answered, more calls tell
 // nothing more.
-func TestASilentWorkerGetsNoSecondHold(t *testing.T) {
+func TestASilentTargetGetsNoSecondHold(t *testing.T) {
 	b := newBench(t)
 	b.orders(order(1, 1000))
 	c, _ := b.NextRenewal(b.now)
--- a/task/job.go
+++ b/task/job.go
@@ -1,5 +1,5 @@
 // Package task holds the model of the work: jobs of steps, steps of tasks, what
-// a task needs of a worker, and the times by which a job is worth finishing.
+// a task needs of a target, and the times by which a job is worth finishing.
 package task
 
 import (
@@ -13,7 +13,7 @@
 // something.
 const lateObjectiveFactor = 3
 
-// Needs is room on a worker: what a task takes, or what a worker has.
+// Needs is room on a target: what a task takes, or what a target has.
 type Needs struct {
 	// CPU is in thousandths of a core.
 	CPU int
@@ -42,19 +42,19 @@
 type Step struct {
 	// Count is the number of tasks.
 	Count int
-	// Needs is what each task takes of a worker.
+	// Needs is what each task takes of a target.
 	Needs Needs
-	// Estimate is roughly how long one task takes on a worker of speed 1, and
+	// Estimate is roughly how long one task takes on a target of speed 1, and
 	// Guess what the caller said of that.
 	Estimate time.Duration
 	Guess    time.Duration
 	// DependsOn holds the numbers of the earlier steps that must be done first.
 	DependsOn []int
-	// Label is what the worker must be labelled with; empty means nothing.
+	// Label is what the target must be labelled with; empty means nothing.
 	Label string
 	// Rack is where the step's data lies; empty means anywhere.
 	Rack string
-	// MaxPerTarget is the most tasks of the step on one worker; zero means any.
+	// MaxPerTarget is the most tasks of the step on one target; zero means any.
 	MaxPerTarget int
 }
 
@@ -67,7 +67,7 @@
 	// Queue and Service say where it was sent and who runs it.
 	Queue   string
 	Service string
-	// Spec is handed to the worker with each task.
+	// Spec is handed to the target with each task.
 	Spec string
 	// Steps are numbered from 0.
 	Steps []Step
@@ -151,7 +151,7 @@
 	return cmp.Or(strings.Compare(i.Job, o.Job), cmp.Compare(i.Step, o.Step), cmp.Compare(i.Index, o.Index))
 }
 
-// String returns the name by which a worker knows the task. The second part is
+// String returns the name by which a target knows the task. The second part is
 // the number of the job's repetition, which is always 0.
 func (i ID) String() string {
 	var b strings.Builder
@@ -173,13 +173,13 @@
 	EndNone End = iota
 	// EndDone is success.
 	EndDone
-	// EndFailed is a failure of the task or of its worker.
+	// EndFailed is a failure of the task or of its target.
 	EndFailed
 	// EndStopped is an end by an order to stop.
 	EndStopped
 	// EndLapsed is an end by a lease that ran out.
 	EndLapsed
-	// EndLost is a run whose worker is gone.
+	// EndLost is a run whose target is gone.
 	EndLost
 	// EndRejected is a run that never began.
 	EndRejected
@@ -195,21 +195,21 @@
 	return "end-" + strconv.Itoa(int(e))
 }
 
-// Order asks for a run of a task on a worker.
+// Order asks for a run of a task on a target.
 type Order struct {
 	Task ID
 	// Run numbers the task's starts, rising from 1.
 	Run  int
 	Spec string
-	// Needs is what the run takes of the worker.
+	// Needs is what the run takes of the target.
 	Needs Needs
-	// Estimate is how long the run likely takes on a worker of speed 1.
+	// Estimate is how long the run likely takes on a target of speed 1.
 	Estimate time.Duration
 	// Guess is what the caller said of that. Speeds are learned against it:
 	// against learned estimates the two would drift together.
 	Guess time.Duration
-	// FailedElsewhere says that a run of the job has failed on another worker: a
-	// further failure says nothing of the worker.
+	// FailedElsewhere says that a run of the job has failed on another target: a
+	// further failure says nothing of the target.
 	FailedElsewhere bool
 	// TimeLeft is how long after this order was sent the run may last at most;
 	// zero means any time.
--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -30,7 +30,7 @@
 	life     int
 	waiter   uint64
 	// Of a workload's job: its class, how long a task and each of its tasks
-	// really take on a worker of speed 1, what it is worth, and when it was
+	// really take on a target of speed 1, what it is worth, and when it was
 	// first sent.
 	class   int
 	work    time.Duration
--- a/testutil/fleet/fault.go
+++ b/testutil/fleet/fault.go
@@ -16,10 +16,10 @@
 	LoseAnswers
 	DelayOrders
 	FailRuns
-	SlowWorker
-	HangWorker
-	CrashWorker
-	DrainWorker
+	SlowTarget
+	HangTarget
+	CrashTarget
+	DrainTarget
 	ResetClients
 	kinds
 )
@@ -54,13 +54,13 @@
 		w.behave(a, Behaviour{Late: 0.3}, lasts)
 	case FailRuns:
 		w.behave(a, Behaviour{Failing: 1}, lasts)
-	case SlowWorker:
+	case SlowTarget:
 		w.behave(a, Behaviour{Slow: 6}, lasts)
-	case HangWorker:
+	case HangTarget:
 		w.behave(a, Behaviour{Hanging: true}, lasts)
-	case CrashWorker:
+	case CrashTarget:
 		w.crash(a)
-	case DrainWorker:
+	case DrainTarget:
 		w.drain(a)
 	case ResetClients:
 		w.resetClients(e)
@@ -76,7 +76,7 @@
 	}
 }
 
-// behave changes how a worker behaves for a while.
+// behave changes how a target behaves for a while.
 func (w *World) behave(a *agentProcess, m Behaviour, lasts time.Duration) {
 	a.target.behaviour = m
 	w.after(lasts, func() {
@@ -86,7 +86,7 @@
 	})
 }
 
-// crash ends a worker's life; another begins in a while.
+// crash ends a target's life; another begins in a while.
 func (w *World) crash(a *agentProcess) {
 	if !a.target.up {
 		return
@@ -95,7 +95,7 @@
 	w.after(500*time.Millisecond+w.upTo(time.Second), a.target.begin)
 }
 
-// drain has a worker say that it leaves, and leave.
+// drain has a target say that it leaves, and leave.
 func (w *World) drain(a *agentProcess) {
 	a.do(a.life, func() {
 		if !a.target.up || a.target.draining > 0 {
--- a/testutil/fleet/policy_test.go
+++ b/testutil/fleet/policy_test.go
@@ -27,7 +27,7 @@
 	return func(w *World) { w.At(4*time.Second, func() { do(w) }) }
 }
 
-// behaving has the first so many workers be in a mood for a while.
+// behaving has the first so many targets be in a mood for a while.
 func behaving(targets int, m Behaviour, lasts time.Duration) func(*World) {
 	return from(func(w *World) {
 		for _, a := range w.agents[:targets] {
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -91,11 +91,11 @@
 
 type agentProcess struct {
 	process
-	supervisor *supervisor.Supervisor
-	flushing   bool
-	beside     bool // a second hold is kept under way
-	target     *emulatedTarget
-	seq        uint64
+	supervisor     *supervisor.Supervisor
+	flushing       bool
+	renewingBeside bool // a second hold is kept under way
+	target         *emulatedTarget
+	seq            uint64
 }
 
 func (w *World) newAgent(k int) *agentProcess {
@@ -109,7 +109,7 @@
 	return a
 }
 
-// report has the worker send its heartbeats for good.
+// report has the target send its heartbeats for good.
 func (a *agentProcess) report() {
 	if a.target.up {
 		a.seq++
@@ -122,7 +122,7 @@
 func (a *agentProcess) begin() {
 	a.life++
 	a.dead = false
-	a.beside = false
+	a.renewingBeside = false
 	life := a.life
 	s := supervisor.NewSupervisor(a.w.cfg.Log.With("node", a.name))
 	s.Rules = a.w.cfg.Rules
@@ -161,8 +161,8 @@
 
 // later has a state that waits to be told sent in time.
 func (a *agentProcess) later() {
-	if !a.beside && a.supervisor.LosingReplies(a.w.now()) {
-		a.beside = true
+	if !a.renewingBeside && a.supervisor.LosingReplies(a.w.now()) {
+		a.renewingBeside = true
 		a.renewBeside(a.life)
 	}
 	wait, ok := a.supervisor.Pending(a.w.now())
@@ -180,7 +180,7 @@
 	})
 }
 
-// renew keeps the worker's lease.
+// renew keeps the target's lease.
 func (a *agentProcess) renew(life int) {
 	a.renewOnce(life, func(wait time.Duration) { a.w.after(wait, func() { a.renew(life) }) })
 }
@@ -189,7 +189,7 @@
 func (a *agentProcess) renewBeside(life int) {
 	a.renewOnce(life, func(wait time.Duration) {
 		if !a.supervisor.LosingReplies(a.w.now()) {
-			a.beside = false
+			a.renewingBeside = false
 			return
 		}
 		a.w.after(wait, func() { a.renewBeside(life) })
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -13,7 +13,7 @@
 // stopTime is how long a stop takes at most.
 const stopTime = 50 * time.Millisecond
 
-// drainTime is how long after the word that it drains a worker may be given
+// drainTime is how long after the word that it drains a target may be given
 // work.
 const drainTime = 2 * time.Second
 
@@ -24,7 +24,7 @@
 	holdTimeout  = 40 * time.Millisecond
 )
 
-// Behaviour is how a worker behaves.
+// Behaviour is how a target behaves.
 type Behaviour struct {
 	// Lost is the share of calls that are done and not answered; Late the
 	// share that is not answered and done 2 to 12 s later.
@@ -36,7 +36,7 @@
 	Hanging bool
 }
 
-// emulatedTarget is a worker as the platform's pages describe it: it keeps a lease on
+// emulatedTarget is a target as the platform's pages describe it: it keeps a lease on
 // its own clock, lists what runs and has ended, and refuses lower fencing
 // tokens. It does not guard its capacity.
 type emulatedTarget struct {
@@ -95,7 +95,7 @@
 	e.lives++
 }
 
-// clock returns the worker's own clock.
+// clock returns the target's own clock.
 func (e *emulatedTarget) clock() time.Duration {
 	return time.Duration(float64(e.w.now()-e.began)*e.rate) + time.Second
 }
@@ -106,7 +106,7 @@
 		Clock: e.clock(), HasClock: true, Seq: seq}
 }
 
-// call runs do as a call with the worker's mood: the answer may be lost, and
+// call runs do as a call with the target's mood: the answer may be lost, and
 // what is asked may be done later.
 func (e *emulatedTarget) call(life string, timeout time.Duration, do func() supervisor.Reply, answer func(supervisor.Reply)) {
 	luck := e.w.rng.Float64()
@@ -194,7 +194,7 @@
 	e.w.after(took, func() { e.finish(r, end) })
 }
 
-// length returns how long a run takes on a worker in its usual mood.
+// length returns how long a run takes on a target in its usual mood.
 func (e *emulatedTarget) length(r *emulatedRun) time.Duration {
 	if c := e.w.jobs[r.order.Task.Job]; c != nil && c.work > 0 {
 		return time.Duration(float64(c.lengths[r.order.Task.Index]) / e.speed)
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -14,7 +14,7 @@
 	Name string
 	// Rate is how many such jobs come a second.
 	Rate float64
-	// Work is the usual length of a task on a worker of speed 1, Longest the
+	// Work is the usual length of a task on a target of speed 1, Longest the
 	// most.
 	Work, Longest time.Duration
 	// Tasks is the usual number of tasks, MostTasks the most.
@@ -46,9 +46,9 @@
 )
 
 // Tracking is a workload of three classes with so many jobs a second on so many
-// workers of sixteen cores as makes the given load.
+// targets of sixteen cores as makes the given load.
 func Tracking(targets int, load float64) []Class {
-	const coresEach, usual = 16, 0.73 // the load of the rates below on one worker
+	const coresEach, usual = 16, 0.73 // the load of the rates below on one target
 	scale := load / usual * float64(targets) / 11
 	return []Class{
 		{Name: "short", Rate: 34.4 * scale, Work: 60 * time.Millisecond, Longest: 240 * time.Millisecond, Tasks: 8, MostTasks: 32, Attempts: 3, Worth: 0.0291},
@@ -57,7 +57,7 @@
 	}
 }
 
-// PolicyConfig returns a world that plays classes on workers of sixteen cores and
+// PolicyConfig returns a world that plays classes on targets of sixteen cores and
 // different speeds.
 func PolicyConfig(seed uint64, entries, agents int, classes []Class) Config {
 	cfg := DefaultConfig(seed)
@@ -75,7 +75,7 @@
 	Jobs, InAim, Late int
 	Owed, Earned      float64
 	// Held is the worth of the jobs that were not served, and were not offered
-	// to a worker either, though they waited for long.
+	// to a target either, though they waited for long.
 	Held float64
 }
 
@@ -215,7 +215,7 @@
 }
 
 // KillAll ends all processes at once, and those who call find nobody until they
-// are back: their workers run on.
+// are back: their targets run on.
 func (w *World) KillAll() {
 	for _, e := range w.entries {
 		e.kill(false)
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -1,6 +1,6 @@
 // Package fleet drives the real state machines of entries and agents in virtual
-// time, with emulated workers and callers, through kills, freezes, cuts, lost
-// and late orders, crashes and sick workers. It watches every start and every
+// time, with emulated targets and callers, through kills, freezes, cuts, lost
+// and late orders, crashes and ejected targets. It watches every start and every
 // answer and tells which rule was broken first.
 package fleet
 
@@ -45,7 +45,7 @@
 	// can't be asked that all is well again at the end.
 	Lasting bool
 	// Classes are a workload that takes the place of the usual jobs; CPU and
-	// Speeds are the workers' room and, by turns, how fast they are.
+	// Speeds are the targets' room and, by turns, how fast they are.
 	Classes []Class
 	CPU     int
 	Speeds  []float64
@@ -186,7 +186,7 @@
 	}
 }
 
-// checkStart watches a run that begins on a worker.
+// checkStart watches a run that begins on a target.
 func (w *World) checkStart(e *emulatedTarget, r *emulatedRun) {
 	w.Counts.Starts++
 	c := w.jobs[r.order.Task.Job]
@@ -213,7 +213,7 @@
 	}
 }
 
-// recordEnd takes note of an end on a worker.
+// recordEnd takes note of an end on a target.
 func (w *World) recordEnd(r *emulatedRun, end task.End) {
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -36,7 +36,7 @@
 // patience is how long something that must happen may take on a busy machine.
 const patience = 60 * time.Second
 
-// reportInterval is how often workers send heartbeats.
+// reportInterval is how often targets send heartbeats.
 const reportInterval = 100 * time.Millisecond
 
 // forgetAfter is how long an agent can't be reached before it is forgotten.
@@ -48,7 +48,7 @@
 	Store   *store.Store
 	store   string
 	Targets []*target.Target
-	wrap    func(http.Handler) http.Handler // put around the workers' interface
+	wrap    func(http.Handler) http.Handler // put around the targets' interface
 	Entries []*Process
 	Agents  []*Process
 }
@@ -80,7 +80,7 @@
 	return StartWrapped(tb, entries, agents, func(h http.Handler) http.Handler { return h })
 }
 
-// StartWrapped starts a system in which wrap is put around each worker's
+// StartWrapped starts a system in which wrap is put around each target's
 // interface, to see or change what agents ask of it.
 func StartWrapped(tb testing.TB, entries, agents int, wrap func(http.Handler) http.Handler) *System {
 	tb.Helper()
