--- a/event/explain.go
+++ b/event/explain.go
@@ -16,12 +16,12 @@
 // maxLine is the longest line of a log that is read, in bytes.
 const maxLine = 1 << 20
 
-// ErrUnknownJob says that no line of the logs speaks of the job.
+// ErrUnknownJob means that no line of the logs names the job.
 var ErrUnknownJob = errors.New("event: no line speaks of this job")
 
-// Story is what the logs tell of one job.
+// Story is what the logs say about one job.
 type Story struct {
-	// Lines speak of the job or of what decided about it, in order of time.
+	// Lines are those of the job, and those that explain them, in order of time.
 	Lines []string
 	// Sentence says what decided.
 	Sentence string
@@ -32,7 +32,7 @@
 	at     time.Time
 	kind   Kind
 	text   string
-	node   string // what stands before the JSON, such as a machine's name
+	node   string // what stands before the JSON, such as a host's name
 	fields fields
 }
 
@@ -52,18 +52,18 @@
 	return n
 }
 
-// around is how long before and after the job's own lines what befell its
-// targets and entries is looked for.
+// around is how long before and after the job's own lines other lines of its targets
+// and entries may explain them.
 const around = 500 * time.Millisecond
 
-// causes are the kinds that explain what became of a job's runs.
+// causes are the kinds of other lines that may explain what became of a job.
 var causes = map[Kind]bool{
 	AgentLost: true, EntryLost: true, AgentTargetEjected: true, TargetHealth: true, TargetIncarnation: true, TargetIncarnationOver: true,
 	TargetDraining: true, Stopping: true, Start: true, StoreLost: true, LinesDropped: true,
 }
 
-// Explain gathers what the logs tell of a job, by its id or by that of a request
-// that handed it in.
+// Explain gathers what the logs say about a job, named by its id or by that of a
+// request that submitted it. The error is ErrUnknownJob, or that of reading.
 func Explain(id string, logs ...[]byte) (Story, error) {
 	var all []line
 	for _, raw := range logs {
@@ -96,7 +96,7 @@
 	return story, nil
 }
 
-// jobOf returns the job that the request of this id handed in, or the id itself.
+// jobOf returns the job that the request of this id submitted, or the id itself.
 func jobOf(id string, lines []line) string {
 	for _, l := range lines {
 		if job := l.fields.text("job"); l.fields.text("request") == id && job != "" {
@@ -106,8 +106,8 @@
 	return id
 }
 
-// read hands over each line of a log that is JSON. What stands before the JSON
-// names the process.
+// read calls take with each line of a log that is JSON; other lines are passed over.
+// What stands before the JSON names the process.
 func read(r io.Reader, take func(line)) error {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
@@ -127,7 +127,7 @@
 	return lines.Err()
 }
 
-// near keeps what befell a target, agent or entry of the job while it lasted.
+// near keeps the lines about a target, agent or entry of the job, while it lasted.
 func near(others, own []line) []line {
 	names := make(map[string]bool)
 	for _, l := range own {
@@ -185,13 +185,13 @@
 		return text + "."
 	}
 	if lost := last(TaskPlaced); lost != nil {
-		return fmt.Sprintf("%s has no final word: its entry ended while tasks of it ran.", id)
+		return fmt.Sprintf("%s has no answer: its entry ended while tasks of it ran.", id)
 	}
-	return fmt.Sprintf("%s has no final word, and no task of it was placed.", id)
+	return fmt.Sprintf("%s has no answer, and no task of it was placed.", id)
 }
 
-// because says what kept the job's runs from ending well, the most frequent
-// cause first, or that it waited.
+// because says what kept the job's runs from ending with success, the most frequent
+// cause first, or that it waited. Empty means that nothing did.
 func because(own, others []line) string {
 	counts := make(map[string]int)
 	var waited float64
--- a/event/log.go
+++ b/event/log.go
@@ -1,6 +1,7 @@
 package event
 
 import (
+	"bytes"
 	"context"
 	"io"
 	"log/slog"
@@ -20,19 +21,24 @@
 	flushInterval = 50 * time.Millisecond
 )
 
-// Log writes lines in the background. A reader that stalls stops nobody: lines
-// are dropped then, and counted.
+// failedWrites is the kind under which lines are counted that were lost because the
+// output failed: the log can't say so at once.
+const failedWrites Kind = "failed-writes"
+
+// Log writes lines in the background. A reader that stalls stops nobody: lines are
+// dropped then and counted, routine ones first, and a lines-dropped line says how many
+// as soon as one can be written. Safe for concurrent use.
 type Log struct {
-	out io.Writer
+	out  io.Writer
+	wake chan struct{} // there is something to write
+	now  func() time.Time
 
 	mu      sync.Mutex
-	backlog []byte
-	second  int64
-	counts  map[Kind]int
-	dropped map[Kind]int
-	total   uint64
-	wake    chan struct{}
-	now     func() time.Time
+	backlog []byte       // lines that wait to be written
+	second  int64        // that counts is for, in Unix time
+	counts  map[Kind]int // lines taken in this second
+	dropped map[Kind]int // lines not taken, or lost, since that was last said
+	total   uint64       // lines not taken since the start
 }
 
 // NewLog returns a log that writes to out. Run must be called for lines to
@@ -52,7 +58,7 @@
 	return slog.New(&handler{log: l, inner: slog.NewJSONHandler((*backlogWriter)(l), &slog.HandlerOptions{Level: level})})
 }
 
-// Dropped returns how many lines were not written.
+// Dropped returns how many lines were not taken, or lost, since the start.
 func (l *Log) Dropped() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,19 +84,28 @@
 	}
 }
 
-// flush writes what waits.
+// flush writes what waits. Where the output fails, the lines are lost and counted.
 func (l *Log) flush() {
 	l.mu.Lock()
 	buf := l.backlog
 	l.backlog = nil
 	l.mu.Unlock()
-	if len(buf) > 0 {
-		_, _ = l.out.Write(buf) // nobody can be told
+	if len(buf) == 0 {
+		return
+	}
+	n, err := l.out.Write(buf)
+	if err == nil {
+		return
 	}
+	lost := bytes.Count(buf[min(n, len(buf)):], []byte("\n"))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.dropped[failedWrites] += lost
+	l.total += uint64(lost)
 }
 
-// admit reports whether a line of the kind is taken now. It is called with the
-// lock held.
+// admit reports whether a line of the kind is taken now, and counts it. It is called
+// with the lock held.
 func (l *Log) admit(kind Kind) bool {
 	bound := maxBacklog
 	if routine[kind] {
@@ -105,7 +120,8 @@
 	return true
 }
 
-// turn begins a new second and returns what was dropped in the last.
+// turn begins a new second, if one has begun, and returns what was dropped in the
+// last. It is called with the lock held.
 func (l *Log) turn() map[Kind]int {
 	second := l.now().Unix()
 	if second == l.second {
@@ -121,7 +137,7 @@
 	return dropped
 }
 
-// handler admits records and passes them on.
+// handler is the slog.Handler of a Log: it admits records and passes them on.
 type handler struct {
 	log   *Log
 	inner slog.Handler
--- a/event/log_test.go
+++ b/event/log_test.go
@@ -102,3 +102,36 @@
 	b.Run("written", lines(l, l.Logger(slog.LevelInfo)))
 	b.Run("off", lines(l, l.Logger(slog.LevelError)))
 }
+
+// brokenWriter fails on its first write.
+type brokenWriter struct {
+	bytes.Buffer
+	failed bool
+}
+
+// Write implements io.Writer.
+func (w *brokenWriter) Write(p []byte) (int, error) {
+	if !w.failed {
+		w.failed = true
+		return 0, io.ErrClosedPipe
+	}
+	return w.Buffer.Write(p)
+}
+
+// TestLinesLostInAFailedWriteAreCounted: the log can't say at once that its output
+// failed, but it says so later.
+func TestLinesLostInAFailedWriteAreCounted(t *testing.T) {
+	out := &brokenWriter{}
+	l := NewLog(out)
+	at := time.Unix(1_700_000_000, 0)
+	l.now = func() time.Time { return at }
+	log := l.Logger(slog.LevelInfo)
+	log.Info(JobAnswered)
+	log.Info(JobAnswered)
+	l.flush()
+	assert.Equal(t, l.Dropped(), uint64(2))
+	at = at.Add(time.Second)
+	log.Info(JobAnswered)
+	l.flush()
+	assert.Assert(t, strings.Contains(out.String(), `"kind":"failed-writes","count":2`), out.String())
+}
--- a/node/document.go
+++ b/node/document.go
@@ -52,7 +52,7 @@
 	freeAt time.Duration
 }
 
-// take reports whether so many bytes may be sent now, and counts them.
+// take reports whether that many bytes may be sent now, and counts them.
 func (p *documentPacer) take(now time.Duration, bytes int) bool {
 	if now < p.freeAt {
 		return false
--- a/owner/admission.go
+++ b/owner/admission.go
@@ -7,7 +7,7 @@
 // memory. Not measured.
 const maxJobs = 3000
 
-// admit decides whether an entry that holds so many jobs takes one more. It
+// admit decides whether an entry with the given number of jobs takes one more. It
 // returns code.OK or the reason for the refusal.
 func admit(owned int) code.Code {
 	if owned >= maxJobs {
--- a/owner/job.go
+++ b/owner/job.go
@@ -169,7 +169,7 @@
 	return sum
 }
 
-// work returns the work of so many tasks of a step, in core-seconds.
+// work returns the work of the given number of tasks of a step, in core-seconds.
 func work(s task.Step, tasks int) float64 {
 	return task.Job{Steps: []task.Step{{Count: tasks, Needs: s.Needs, Estimate: s.Estimate}}}.Work()
 }
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -43,7 +43,7 @@
 	return b
 }
 
-// state has an agent tell its target's state, with all orders so far in it.
+// state has an agent report its target's state, with all orders so far in it.
 func (b *bench) state(agent string, cpu int, speed float64, health peer.Health) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
@@ -68,7 +68,7 @@
 	return list
 }
 
-// ended has an agent tell how a run ended.
+// ended has an agent report how a run ended.
 func (b *bench) ended(agent string, o task.Order, end task.End, why code.Code) {
 	b.Receive(b.now, agent, &peer.Frame{Ended: []peer.Ended{{
 		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: end, Reason: why, Took: 100 * ms}}})
@@ -113,7 +113,7 @@
 	assert.Equal(t, len(b.starts("a")), 1) // slow goes before ejected
 }
 
-func TestWithoutRoomItWantsAndTakesOffers(t *testing.T) {
+func TestWithoutRoomItRequestsRoomAndUsesReservations(t *testing.T) {
 	b := newBench(t, "a")
 	b.submit(jobOf("1", 4))
 	b.submit(jobOf("2", 2))
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -1,5 +1,9 @@
-// Package peer carries what entries and agents tell each other: frames of
-// msgpack over TCP, each with the stamps on which leases rest.
+// Package peer carries what entries and agents tell each other: frames of msgpack
+// over TCP, each with the stamps on which leases rest.
+//
+// Structs are encoded as arrays: the order of their fields is the format. A new field
+// goes to the end of its struct; none is moved or removed. testdata/frames.golden
+// holds the bytes.
 package peer
 
 import (
@@ -22,7 +26,7 @@
 // lengthSize is the size of the length prefix, in bytes.
 const lengthSize = 4
 
-// ErrFrameSize is the fault of a frame that is larger than any may be.
+// ErrFrameSize means that a frame is larger than maxFrame.
 var ErrFrameSize = errors.New("peer: frame is larger than the limit")
 
 // Frame is one message. Each part may be absent; a frame without parts is a
@@ -30,8 +34,9 @@
 type Frame struct {
 	// Stamp is the sender's own steady clock.
 	Stamp time.Duration
-	// Echo is the latest stamp that the sender has from the receiver. What
-	// the receiver grants the sender counts from it.
+	// Echo is the latest stamp that the sender has got from the receiver. The
+	// lease that the receiver grants the sender counts from it, on the receiver's
+	// own clock.
 	Echo time.Duration
 	// Seq numbers the frames of one direction of a connection, from 1.
 	Seq uint64
@@ -46,21 +51,21 @@
 	// AskDocument asks the receiver for its document.
 	AskDocument bool
 
-	// Of an entry: runs to start and to stop, the offer that this answers,
-	// and what more is wanted.
+	// From an entry: runs to start and to stop; the id of the reservation that
+	// this frame uses or gives back, zero for none; and what room it still wants.
 	Starts          []task.Order
 	Stops           []task.Ref
 	UsedReservation uint64
 	RoomRequest     *RoomRequest
 
-	// Of an agent: the state of its target, how runs ended, and room that is
-	// held for the receiver.
+	// From an agent: the state of its target, how runs ended, and room that it
+	// reserves for the receiver.
 	State       *State
 	Ended       []Ended
 	Reservation *Reservation
 }
 
-// Role tells what a process is.
+// Role is what a process is.
 type Role string
 
 // Roles.
@@ -72,34 +77,35 @@
 // Hello introduces a process.
 type Hello struct {
 	Role Role
-	Name string
+	Name string // unique in the system
 	// Addr is where the process takes connections of its peers.
 	Addr string
-	// Introduce says that the sender only makes itself known, so that it is
-	// called back, and closes.
+	// Introduce says that the sender only makes itself known: the receiver connects
+	// to it, and this connection closes.
 	Introduce bool
 }
 
-// RoomRequest tells an agent that tasks wait at the sender.
+// RoomRequest tells an agent that tasks wait at the sender, which wants room reserved
+// for them.
 type RoomRequest struct {
-	// Slack is how long the most urgent of them can wait; it orders the
-	// wants of several entries.
+	// Slack is how long the most urgent of them can wait: an agent serves the
+	// request with the least first.
 	Slack time.Duration
 	// Needs is what that task takes.
 	Needs task.Needs
-	// Total is what all waiting tasks take, as far as it matters.
+	// Total is what all waiting tasks take, counted up to the target's capacity.
 	Total task.Needs
 }
 
-// Reservation is room that an agent holds for the receiver for a short time.
+// Reservation is room that an agent reserves for the receiver for a short time.
 type Reservation struct {
-	ID   uint64
+	ID   uint64 // rises from 1
 	Room task.Needs
 }
 
-// Profile is what seldom changes about a target.
+// Profile is the part of a target's state that seldom changes.
 type Profile struct {
-	// Target is the id of the target's life, empty where none is known.
+	// Target is the id of the incarnation, empty where none is known.
 	Target  string
 	Service string
 	Hall    string
@@ -108,52 +114,53 @@
 	Capacity task.Needs
 }
 
-// Equal reports whether p and o say the same.
+// Equal reports whether p and o are the same.
 func (p Profile) Equal(o Profile) bool {
 	return p.Target == o.Target && p.Service == o.Service && p.Hall == o.Hall &&
 		p.Capacity == o.Capacity && slices.Equal(p.Labels, o.Labels)
 }
 
-// State is what an agent tells of its target.
+// State is the state of an agent's target, as the receiver should see it.
 type State struct {
-	// Profile is nil where it is as in the state before on the connection.
+	// Profile is nil where it is as in the last state on the connection.
 	Profile *Profile
-	// Free is the room that is not in use.
+	// Free is the room that the receiver may use.
 	Free task.Needs
 	// Speed is the target's learned speed, 1 being usual.
 	Speed float64
-	// Health is how far the target is trusted.
+	// Health says whether the target is ejected.
 	Health Health
-	// Accepting says that the target may be given work.
+	// Accepting says that the target takes work.
 	Accepting bool
 	// Cleared says that no run of an earlier connection of the receiver is
 	// left here.
 	Cleared bool
-	// SeenSeq is the sequence number of the receiver's last frame that this
-	// state takes account of.
+	// SeenSeq is the number of the receiver's last frame that this state takes into
+	// account.
 	SeenSeq uint64
 }
 
-// Health is how far a target is trusted.
+// Health is the result of an agent's outlier detection.
 type Health uint8
 
-// Healths.
+// Healths of a target.
 const (
 	// Healthy is the usual health.
 	Healthy Health = iota
-	// Ejected targets get single trial tasks only.
+	// Ejected targets get single probes only.
 	Ejected
 )
 
-// Ended tells how a run ended.
+// Ended is the end of a run.
 type Ended struct {
 	Ref task.Ref
 	End task.End
-	// Reason says more.
+	// Reason is how the end is known, or why the run did not begin.
 	Reason code.Code
 	// Took is how long the run was at work, on the agent's clock.
 	Took time.Duration
-	// TargetFault says that the target, not the task, is taken to be at fault.
+	// TargetFault says that a failure counts as the target's fault and not as the
+	// task's.
 	TargetFault bool
 }
 
--- a/seats/client.go
+++ b/seats/client.go
@@ -50,15 +50,6 @@
 	return c.do(req)
 }
 
-// Lookup asks where the job stands.
-func (c *Client) Lookup(ctx context.Context, service, id string) (Answer, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.jobsURL(service)+"/"+url.PathEscape(id), nil)
-	if err != nil {
-		return Answer{}, err
-	}
-	return c.do(req)
-}
-
 func (c *Client) jobsURL(service string) string {
 	return c.base + "/v1/services/" + url.PathEscape(service) + "/jobs"
 }
--- a/seats/testutil/world/world.go
+++ b/seats/testutil/world/world.go
@@ -177,9 +177,6 @@
 	w.events.Run(w.now()+d, func() bool { return w.broken != nil })
 }
 
-// Now returns the time since the world began.
-func (w *World) Now() time.Duration { return w.now() }
-
 func (w *World) now() time.Duration { return w.events.Now() }
 
 func (w *World) fail(format string, args ...any) {
@@ -324,15 +321,3 @@
 func outputOf(job string, k int) string {
 	return fmt.Sprintf("%q", fmt.Sprintf("%s/%d", job, k))
 }
-
-// Dump tells where each process stands.
-func (w *World) Dump(printf func(string, ...any)) {
-	for _, p := range w.procs {
-		if p.home != nil {
-			printf("%s alive %v paused %v standing %v settled %v %+v", p.id, p.alive, p.paused, p.home.Standing(w.moment(p)), p.home.Settled(), p.home.Roster())
-			continue
-		}
-		r, c := p.guard.Revisions()
-		printf("%s alive %v paused %v standing %v roster %d config %d", p.id, p.alive, p.paused, p.guard.Standing(w.moment(p)), r, c)
-	}
-}
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -12,36 +12,36 @@
 	"time"
 )
 
-// Target is one target through all of its lives. It implements http.Handler.
+// Target is one target through all of its incarnations. It implements http.Handler.
 type Target struct {
 	mux     *http.ServeMux
 	service string
 	cpu     int
 
-	mu       sync.Mutex
-	lives    int
-	began    time.Time
-	deadline int64
-	token    uint64
-	runs     map[string]*run
-	highest  map[string]int
-	ended    [][]any
-	count    uint64
-	changed  chan struct{}
-	draining bool
-	failing  bool
-	starts   []string // names of all runs that were ever started
-	twice    []string // names of runs that were started while another ran
+	mu           sync.Mutex
+	incarnations int
+	began        time.Time
+	deadline     int64
+	token        uint64
+	runs         map[string]*run
+	highest      map[string]int
+	ended        [][]any
+	count        uint64
+	changed      chan struct{}
+	draining     bool
+	failing      bool
+	starts       []string // names of all runs that were ever started
+	twice        []string // names of runs that were started while another ran
 }
 
 type run struct {
-	name   string
-	number int
-	life   int
-	timer  *time.Timer
+	name        string
+	number      int
+	incarnation int
+	timer       *time.Timer
 }
 
-// NewTarget returns a target of a service with so much processor, in
+// NewTarget returns a target of a service with the given processor, in
 // thousandths of a core.
 func NewTarget(service string, cpu int) *Target {
 	w := &Target{mux: http.NewServeMux(), service: service, cpu: cpu}
@@ -52,14 +52,14 @@
 	return w
 }
 
-// Restart begins a new life in which nothing runs.
+// Restart begins a new incarnation in which nothing runs.
 func (w *Target) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, r := range w.runs {
 		r.timer.Stop()
 	}
-	w.lives++
+	w.incarnations++
 	w.began = time.Now()
 	w.deadline, w.token, w.count = 0, 0, 0
 	w.runs = make(map[string]*run)
@@ -119,7 +119,7 @@
 }
 
 func (w *Target) id() string {
-	return fmt.Sprintf("i-%p-%d", w, w.lives)
+	return fmt.Sprintf("i-%p-%d", w, w.incarnations)
 }
 
 func (w *Target) clock() int64 {
@@ -198,7 +198,7 @@
 	if err != nil {
 		took, how = 0, "failed"
 	}
-	one := &run{name: o.Task, number: o.Run, life: w.lives}
+	one := &run{name: o.Task, number: o.Run, incarnation: w.incarnations}
 	one.timer = time.AfterFunc(took, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -209,7 +209,7 @@
 
 // finish lists the end of a run. It is called with the lock held.
 func (w *Target) finish(r *run, how string) {
-	if w.runs[r.name] != r || r.life != w.lives {
+	if w.runs[r.name] != r || r.incarnation != w.incarnations {
 		return
 	}
 	if w.clock() > w.deadline {
--- a/supervisor/health.go
+++ b/supervisor/health.go
@@ -24,7 +24,7 @@
 	ejectSlowFactor = 2.5
 	slowWindowJobs  = 4
 	// A run at work is overdue after overdueFactor times its likely time and
-	// overdueSlack more; so many different jobs' overdue runs eject the target.
+	// overdueSlack more; that many different jobs' overdue runs eject the target.
 	// Not measured.
 	overdueFactor    = 2.2
 	overdueSlack     = 30 * time.Millisecond
@@ -74,7 +74,7 @@
 	return math.Exp(-h.logRatio)
 }
 
-// admits reports whether the target may get one more run while so many probes are
+// admits reports whether the target may get one more run while the given number of probes are
 // at work there.
 func (h *health) admits(now time.Duration, probes int) bool {
 	if !h.ejected {
--- a/supervisor/health_test.go
+++ b/supervisor/health_test.go
@@ -11,7 +11,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// end has a run of a job end after so many times its estimate.
+// end has a run of a job end after that many times its estimate.
 func end(h *health, job string, how task.End, times float64, trial bool) bool {
 	r := &run{order: task.Order{Task: task.ID{Job: job}, Estimate: 100 * ms, Guess: 100 * ms}, probe: trial}
 	took := time.Duration(times * float64(100*ms))
@@ -35,7 +35,7 @@
 	assert.Equal(t, h.why, code.TargetFails)
 }
 
-func TestADoubtfulFailureSaysNothing(t *testing.T) {
+func TestAFailureThatFollowsOthersSaysNothing(t *testing.T) {
 	h := newHealth()
 	for k := range 3 * ejectFailedJobs {
 		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, FailedElsewhere: true}}
@@ -80,7 +80,7 @@
 	assert.Equal(t, h.why, code.TargetOverdue)
 }
 
-func TestTrialsDoubleUntilTheTargetIsWell(t *testing.T) {
+func TestProbesDoubleUntilTheTargetHasRecovered(t *testing.T) {
 	h := newHealth()
 	h.eject(code.TargetSlow)
 	now := time.Minute
@@ -94,7 +94,7 @@
 	assert.Assert(t, h.admits(now, 100))
 }
 
-func TestAFailedTrialBeginsAnew(t *testing.T) {
+func TestAFailedProbeBeginsAnew(t *testing.T) {
 	h := newHealth()
 	h.eject(code.TargetSlow)
 	h.recordStart(time.Minute)
--- a/supervisor/renewal.go
+++ b/supervisor/renewal.go
@@ -7,7 +7,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// maxListedEnds is how many ends the target lists at once. A list with so many may
+// maxListedEnds is how many ends the target lists at once. A full list may
 // not be whole. The platform's pages set it.
 const maxListedEnds = 500
 
@@ -51,7 +51,7 @@
 	case RefusedToken:
 		s.renewToken(now)
 	case WrongIncarnation:
-		s.wrongIncarnation(now, "hold")
+		s.wrongIncarnation(now, "renewal")
 	}
 	if s.lease.failedRenewals == 1 {
 		s.logRenewalFailed(reply)
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -47,7 +47,7 @@
 	return b.now - 9*time.Second
 }
 
-// list answers a hold that is asked now.
+// list answers a renewal that is asked now.
 func (b *bench) list(running []RunningRow, ended []EndedRow) {
 	c, _ := b.NextRenewal(b.now)
 	b.now += ms
@@ -77,7 +77,7 @@
 	}
 }
 
-// ends returns the ends that were told to entries.
+// ends returns the ends that entries were sent.
 func (b *bench) ends() []peer.Ended {
 	var list []peer.Ended
 	for _, f := range b.frames {
@@ -151,7 +151,7 @@
 	b.Heartbeat(b.now, r)
 	b.orders(order(0, 1000))
 	assert.Equal(t, len(b.starts), 0)
-	r = b.report("i-1", 3) // a word that was passed by the later one
+	r = b.report("i-1", 3) // a report that was overtaken by the later one
 	b.Heartbeat(b.now, r)
 	b.orders(order(0, 1000))
 	assert.Equal(t, len(b.starts), 0)
@@ -168,9 +168,9 @@
 	assert.Equal(t, b.ends()[1].Reason, code.RunNotTaking) // until it is known to be empty
 }
 
-// TestANewAgentEmptiesTheTarget shows that orders of an earlier agent are fenced
+// TestANewAgentAwaitsAClearedTarget shows that orders of an earlier agent are fenced
 // off, and its runs stopped, before the new one serves.
-func TestANewAgentEmptiesTheTarget(t *testing.T) {
+func TestANewAgentAwaitsAClearedTarget(t *testing.T) {
 	b := newBench(t)
 	earlier := b.target.token
 	again := &bench{Supervisor: NewSupervisor(slog.New(slog.DiscardHandler)), now: b.now + 50*ms}
@@ -223,7 +223,7 @@
 	assert.Equal(t, len(b.starts), 1) // three cores are held for the other
 }
 
-// profiles returns how many frames since the given one told the profile.
+// profiles returns how many frames since the given one carry the profile.
 func (b *bench) profiles(since int) int {
 	count := 0
 	for _, f := range b.frames[since:] {
@@ -280,9 +280,9 @@
 	assert.Equal(t, b.RenewalBackoff(), time.Duration(0))
 }
 
-// TestLostAnswersCallForASecondHold: while the answer of one is lost, the other
+// TestLostAnswersCallForASecondRenewal: while the answer of one is lost, the other
 // tells what has ended.
-func TestLostAnswersCallForASecondHold(t *testing.T) {
+func TestLostAnswersCallForASecondRenewal(t *testing.T) {
 	b := newBench(t)
 	b.orders(order(1, 1000))
 	assert.Assert(t, !b.LosingReplies(b.now))
@@ -301,9 +301,9 @@
 	assert.Assert(t, !b.LosingReplies(b.now+losingRepliesTime))
 }
 
-// TestASilentTargetGetsNoSecondHold: where nothing is answered, more calls tell
+// TestASilentTargetGetsNoSecondRenewal: where nothing is answered, more calls tell
 // nothing more.
-func TestASilentTargetGetsNoSecondHold(t *testing.T) {
+func TestASilentTargetGetsNoSecondRenewal(t *testing.T) {
 	b := newBench(t)
 	b.orders(order(1, 1000))
 	c, _ := b.NextRenewal(b.now)
--- a/task/job.go
+++ b/task/job.go
@@ -1,5 +1,7 @@
-// Package task holds the model of the work: jobs of steps, steps of tasks, what
-// a task needs of a target, and the times by which a job is worth finishing.
+// Package task is the model of the work that entries and agents share: a job has
+// steps, a step has tasks that are alike, a task has runs. It holds what a task needs
+// of a target, and by when a job is worth finishing. Its values are plain data; it
+// relies on nothing.
 package task
 
 import (
@@ -9,11 +11,11 @@
 	"time"
 )
 
-// lateObjectiveFactor is how many times its objective a job may take and still be worth
-// something.
+// lateObjectiveFactor is how many times its objective a job may take and still count.
+// The platform's pages set it.
 const lateObjectiveFactor = 3
 
-// Needs is room on a target: what a task takes, or what a target has.
+// Needs is room on a target: what a task takes of it, or what it has.
 type Needs struct {
 	// CPU is in thousandths of a core.
 	CPU int
@@ -44,8 +46,8 @@
 	Count int
 	// Needs is what each task takes of a target.
 	Needs Needs
-	// Estimate is roughly how long one task takes on a target of speed 1, and
-	// Guess what the caller said of that.
+	// Guess is how long the caller says that one task takes on a target of speed
+	// 1; Estimate is what the entry makes of it.
 	Estimate time.Duration
 	Guess    time.Duration
 	// DependsOn holds the numbers of the earlier steps that must be done first.
@@ -75,12 +77,12 @@
 	Priority int
 	// Attempts is how many runs of a task may fail before the job has.
 	Attempts int
-	// ObjectiveFactor and Latency make the objective: Stretch times the longest
-	// chain of work, and Latency more.
+	// The objective is ObjectiveFactor times the longest chain of work, and
+	// ObjectiveSlack more.
 	ObjectiveFactor float64
 	ObjectiveSlack  time.Duration
-	// CallerTimeout is how long the caller waits for the answer; zero means that
-	// it did not say.
+	// CallerTimeout is how long the caller waits for the answer; zero where it did
+	// not say.
 	CallerTimeout time.Duration
 }
 
@@ -118,7 +120,7 @@
 	return lateObjectiveFactor * j.Objective()
 }
 
-// Work returns the estimate of all of the job's work, in seconds of a core.
+// Work returns the estimate of all of the job's work, in core-seconds.
 func (j Job) Work() float64 {
 	work := 0.0
 	for _, s := range j.Steps {
@@ -151,8 +153,8 @@
 	return cmp.Or(strings.Compare(i.Job, o.Job), cmp.Compare(i.Step, o.Step), cmp.Compare(i.Index, o.Index))
 }
 
-// String returns the name by which a target knows the task. The second part is
-// the number of the job's repetition, which is always 0.
+// String returns the name by which a target knows the task: job, repetition (always
+// 0), step, index.
 func (i ID) String() string {
 	var b strings.Builder
 	b.Grow(len(i.Job) + 12)
@@ -164,20 +166,20 @@
 	return b.String()
 }
 
-// End tells how a run of a task ended.
+// End is how a run of a task ended. Its numbers go over the wire.
 type End uint8
 
 // Ends of a run.
 const (
-	// EndNone is no end.
+	// EndNone is an end of an unknown kind.
 	EndNone End = iota
 	// EndDone is success.
 	EndDone
 	// EndFailed is a failure of the task or of its target.
 	EndFailed
-	// EndStopped is an end by an order to stop.
+	// EndStopped is a run that was ordered to stop.
 	EndStopped
-	// EndLapsed is an end by a lease that ran out.
+	// EndLapsed is a run whose target's lease expired.
 	EndLapsed
 	// EndLost is a run whose target is gone.
 	EndLost
@@ -195,7 +197,7 @@
 	return "end-" + strconv.Itoa(int(e))
 }
 
-// Order asks for a run of a task on a target.
+// Order asks an agent for a run of a task on its target.
 type Order struct {
 	Task ID
 	// Run numbers the task's starts, rising from 1.
@@ -203,16 +205,15 @@
 	Spec string
 	// Needs is what the run takes of the target.
 	Needs Needs
-	// Estimate is how long the run likely takes on a target of speed 1.
+	// Estimate is how long the run is likely to take on a target of speed 1, Guess
+	// what the caller said of that. Targets' speeds are learned against Guess.
 	Estimate time.Duration
-	// Guess is what the caller said of that. Speeds are learned against it:
-	// against learned estimates the two would drift together.
-	Guess time.Duration
+	Guess    time.Duration
 	// FailedElsewhere says that a run of the job has failed on another target: a
-	// further failure says nothing of the target.
+	// failure here says nothing about this one.
 	FailedElsewhere bool
-	// TimeLeft is how long after this order was sent the run may last at most;
-	// zero means any time.
+	// TimeLeft is how long after this order the run may last; zero means any
+	// time.
 	TimeLeft time.Duration
 }
 
--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -17,18 +17,18 @@
 // client is the caller of one job. After no answer or a broken connection it
 // sends the job again, through any entry.
 type client struct {
-	w        *World
-	spec     task.Job
-	calm     bool // sent after the faults
-	tries    int
-	refused  int
-	answered bool
-	started  bool
-	done     map[task.ID]bool
-	failed   map[task.ID]int
-	entry    *entryProcess
-	life     int
-	waiter   uint64
+	w           *World
+	spec        task.Job
+	calm        bool // sent after the faults
+	tries       int
+	refused     int
+	answered    bool
+	started     bool
+	done        map[task.ID]bool
+	failed      map[task.ID]int
+	entry       *entryProcess
+	incarnation int
+	waiter      uint64
 	// Of a workload's job: its class, how long a task and each of its tasks
 	// really take on a target of speed 1, what it is worth, and when it was
 	// first sent.
@@ -91,10 +91,10 @@
 		c.resend()
 		return
 	}
-	c.entry, c.life = e, e.life
+	c.entry, c.incarnation = e, e.incarnation
 	tries := c.tries
 	w.after(3*time.Millisecond, func() {
-		e.do(c.life, func() {
+		e.do(c.incarnation, func() {
 			if c.tries != tries {
 				return // the client has gone on meanwhile
 			}
@@ -114,9 +114,9 @@
 
 // leave breaks the connection.
 func (c *client) leave() {
-	e, life, id, waiter := c.entry, c.life, c.spec.ID, c.waiter
+	e, incarnation, id, waiter := c.entry, c.incarnation, c.spec.ID, c.waiter
 	delete(e.clients, id)
-	e.do(life, func() { e.owner.Cancel(c.w.now(), id, waiter) })
+	e.do(incarnation, func() { e.owner.Cancel(c.w.now(), id, waiter) })
 }
 
 // resend sends the job again in a while.
--- a/testutil/fleet/fault.go
+++ b/testutil/fleet/fault.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// crash ends a target's life; another begins in a while.
+// crash ends a target's incarnation; another begins in a while.
 func (w *World) crash(a *agentProcess) {
 	if !a.target.up {
 		return
@@ -97,7 +97,7 @@
 
 // drain has a target say that it leaves, and leave.
 func (w *World) drain(a *agentProcess) {
-	a.do(a.life, func() {
+	a.do(a.incarnation, func() {
 		if !a.target.up || a.target.draining > 0 {
 			return
 		}
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -66,11 +66,11 @@
 	w := l.w
 	w.conns++
 	id := supervisor.ConnID(w.conns)
-	lifeE, lifeA := l.e.life, l.a.life
+	incarnationE, incarnationA := l.e.incarnation, l.a.incarnation
 	l.openE = true
 	l.echoE, l.echoA, l.seq = 0, 0, 0
 	l.heardE = w.now()
-	l.e.do(lifeE, func() {
+	l.e.do(incarnationE, func() {
 		if !l.openE {
 			return
 		}
@@ -78,37 +78,37 @@
 		l.e.owner.Connected(w.now(), l.a.name)
 	})
 	w.after(l.arrival(&l.toA), func() {
-		l.a.do(lifeA, func() {
+		l.a.do(incarnationA, func() {
 			l.id = id
 			l.openA = true
 			l.heardA = w.now()
 			l.a.supervisor.Connected(w.now(), id, l.e.name)
-			l.watchA(id, lifeA)
+			l.watchA(id, incarnationA)
 		})
 	})
-	l.watchE(id, lifeE)
+	l.watchE(id, incarnationE)
 }
 
 // watchE gives the connection up when the agent is silent.
-func (l *link) watchE(id supervisor.ConnID, life int) {
+func (l *link) watchE(id supervisor.ConnID, incarnation int) {
 	l.w.after(watchInterval, func() {
-		l.e.do(life, func() {
+		l.e.do(incarnation, func() {
 			if !l.openE {
 				return
 			}
 			if l.w.now()-l.heardE > l.w.cfg.Silence {
 				l.closeE()
-				l.w.after(l.arrival(&l.toA), func() { l.a.do(l.a.life, func() { l.closeA(id) }) })
+				l.w.after(l.arrival(&l.toA), func() { l.a.do(l.a.incarnation, func() { l.closeA(id) }) })
 				return
 			}
-			l.watchE(id, life)
+			l.watchE(id, incarnation)
 		})
 	})
 }
 
-func (l *link) watchA(id supervisor.ConnID, life int) {
+func (l *link) watchA(id supervisor.ConnID, incarnation int) {
 	l.w.after(watchInterval, func() {
-		l.a.do(life, func() {
+		l.a.do(incarnation, func() {
 			if l.id != id || !l.openA {
 				return
 			}
@@ -116,7 +116,7 @@
 				l.closeA(id)
 				return
 			}
-			l.watchA(id, life)
+			l.watchA(id, incarnation)
 		})
 	})
 }
@@ -140,19 +140,19 @@
 
 // broken tells the other side that a process has ended; in the dark nobody
 // tells.
-func (l *link) broken(lifeE, lifeA int, dark bool) {
+func (l *link) broken(incarnationE, incarnationA int, dark bool) {
 	id := l.id
-	if lifeE > 0 {
+	if incarnationE > 0 {
 		l.openE = false
 		l.dial()
 		if !dark {
-			l.w.after(l.arrival(&l.toA), func() { l.a.do(l.a.life, func() { l.closeA(id) }) })
+			l.w.after(l.arrival(&l.toA), func() { l.a.do(l.a.incarnation, func() { l.closeA(id) }) })
 		}
 		return
 	}
 	l.openA = false
 	if !dark {
-		l.w.after(l.arrival(&l.toE), func() { l.e.do(l.e.life, l.closeE) })
+		l.w.after(l.arrival(&l.toE), func() { l.e.do(l.e.incarnation, l.closeE) })
 	}
 }
 
@@ -166,10 +166,10 @@
 	sent := *f
 	sent.Seq, sent.Stamp, sent.Echo = l.seq, l.w.now(), l.echoE
 	l.w.sent(l.e.name, &sent)
-	life := l.a.life
+	incarnation := l.a.incarnation
 	conn := l.w.conns
 	l.w.after(l.arrival(&l.toA), func() {
-		l.a.do(life, func() {
+		l.a.do(incarnation, func() {
 			if !l.openA || uint64(l.id) > conn {
 				return
 			}
@@ -190,9 +190,9 @@
 	sent := *f
 	sent.Stamp, sent.Echo = l.w.now(), l.echoA
 	l.w.sent(l.a.name, &sent)
-	life, id := l.e.life, l.id
+	incarnation, id := l.e.incarnation, l.id
 	l.w.after(l.arrival(&l.toE), func() {
-		l.e.do(life, func() {
+		l.e.do(incarnation, func() {
 			if !l.openE || l.id != id {
 				return
 			}
--- a/testutil/fleet/policy_test.go
+++ b/testutil/fleet/policy_test.go
@@ -27,7 +27,7 @@
 	return func(w *World) { w.At(4*time.Second, func() { do(w) }) }
 }
 
-// behaving has the first so many targets be in a mood for a while.
+// behaving has the first so many targets be in a behaviour for a while.
 func behaving(targets int, m Behaviour, lasts time.Duration) func(*World) {
 	return from(func(w *World) {
 		for _, a := range w.agents[:targets] {
@@ -36,7 +36,7 @@
 	})
 }
 
-// surge has jobs come at so many times the rate for three seconds.
+// surge has jobs come at that many times the rate for three seconds.
 func surge(times float64) func(*World) {
 	return from(func(w *World) {
 		w.Surge = times
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -12,23 +12,23 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// process is what entries and agents have in common: lives, and freezes during
+// process is what entries and agents have in common: incarnations, and freezes during
 // which all that comes waits.
 type process struct {
-	w      *World
-	name   string
-	life   int
-	dead   bool
-	frozen time.Duration // until when
+	w           *World
+	name        string
+	incarnation int
+	dead        bool
+	frozen      time.Duration // until when
 }
 
 // do lets the process handle something, now or when it is thawed, unless its
-// life is over by then.
-func (p *process) do(life int, handle func()) {
+// incarnation is over by then.
+func (p *process) do(incarnation int, handle func()) {
 	switch {
-	case p.dead || p.life != life:
+	case p.dead || p.incarnation != incarnation:
 	case p.w.now() < p.frozen:
-		p.w.after(p.frozen-p.w.now(), func() { p.do(life, handle) })
+		p.w.after(p.frozen-p.w.now(), func() { p.do(incarnation, handle) })
 	default:
 		handle()
 	}
@@ -46,9 +46,9 @@
 	return e
 }
 
-// begin begins a life that knows nothing.
+// begin begins a incarnation that knows nothing.
 func (e *entryProcess) begin() {
-	e.life++
+	e.incarnation++
 	e.dead = false
 	e.clients = make(map[string]*client)
 	if e.owner != nil {
@@ -57,10 +57,10 @@
 	e.owner = owner.NewOwner(e.w.cfg.Log.With("node", e.name), e.w.rng.Float64)
 	e.owner.ClearTime = e.w.cfg.Clear
 	e.owner.Send = func(agent string, f *peer.Frame) uint64 { return e.w.linkOf(e.name, agent).fromEntry(f) }
-	life := e.life
+	incarnation := e.incarnation
 	var tick func()
 	tick = func() {
-		e.do(life, func() {
+		e.do(incarnation, func() {
 			now := e.w.now()
 			e.owner.Tick(now)
 			e.owner.Heartbeats(now, now-beatInterval)
@@ -70,7 +70,7 @@
 	tick()
 }
 
-// kill ends the life: its connections break, and a new one begins in a while.
+// kill ends the incarnation: its connections break, and a new one begins in a while.
 func (e *entryProcess) kill(dark bool) {
 	if e.dead {
 		return
@@ -78,7 +78,7 @@
 	e.dead = true
 	for _, l := range e.w.links {
 		if l.e == e {
-			l.broken(l.e.life, 0, dark)
+			l.broken(l.e.incarnation, 0, dark)
 		}
 	}
 	for _, c := range e.sortedClients() {
@@ -114,16 +114,16 @@
 	if a.target.up {
 		a.seq++
 		r := a.target.report(a.seq)
-		a.do(a.life, func() { a.supervisor.Heartbeat(a.w.now(), r) })
+		a.do(a.incarnation, func() { a.supervisor.Heartbeat(a.w.now(), r) })
 	}
 	a.w.after(reportEvery, a.report)
 }
 
 func (a *agentProcess) begin() {
-	a.life++
+	a.incarnation++
 	a.dead = false
 	a.renewingBeside = false
-	life := a.life
+	incarnation := a.incarnation
 	s := supervisor.NewSupervisor(a.w.cfg.Log.With("node", a.name))
 	s.Rules = a.w.cfg.Rules
 	a.supervisor = s
@@ -135,27 +135,27 @@
 		}
 	}
 	s.Start = func(c supervisor.StartCall) {
-		a.w.after(supervisor.StartRetry+time.Millisecond, func() { a.do(life, func() { s.Tick(a.w.now()) }) })
+		a.w.after(supervisor.StartRetry+time.Millisecond, func() { a.do(incarnation, func() { s.Tick(a.w.now()) }) })
 		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.start(c) }, func(r supervisor.Reply) {
-			a.do(life, func() { s.StartAnswered(a.w.now(), c, r); a.later() })
+			a.do(incarnation, func() { s.StartAnswered(a.w.now(), c, r); a.later() })
 		})
 	}
 	s.Stop = func(c supervisor.StopCall) {
 		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.stop(c) }, func(r supervisor.Reply) {
-			a.do(life, func() { s.StopAnswered(a.w.now(), c, r) })
+			a.do(incarnation, func() { s.StopAnswered(a.w.now(), c, r) })
 		})
 	}
-	a.renew(life)
-	a.tick(life)
+	a.renew(incarnation)
+	a.tick(incarnation)
 }
 
-func (a *agentProcess) tick(life int) {
-	a.do(life, func() {
+func (a *agentProcess) tick(incarnation int) {
+	a.do(incarnation, func() {
 		now := a.w.now()
 		a.supervisor.Tick(now)
 		a.supervisor.Heartbeats(now, now-beatInterval)
 		a.later()
-		a.w.after(agentTick, func() { a.tick(life) })
+		a.w.after(agentTick, func() { a.tick(incarnation) })
 	})
 }
 
@@ -163,17 +163,17 @@
 func (a *agentProcess) later() {
 	if !a.renewingBeside && a.supervisor.LosingReplies(a.w.now()) {
 		a.renewingBeside = true
-		a.renewBeside(a.life)
+		a.renewBeside(a.incarnation)
 	}
 	wait, ok := a.supervisor.Pending(a.w.now())
 	if !ok || a.flushing {
 		return
 	}
 	a.flushing = true
-	life := a.life
+	incarnation := a.incarnation
 	a.w.after(wait+time.Millisecond, func() {
 		a.flushing = false
-		a.do(life, func() {
+		a.do(incarnation, func() {
 			a.supervisor.Flush(a.w.now())
 			a.later()
 		})
@@ -181,30 +181,30 @@
 }
 
 // renew keeps the target's lease.
-func (a *agentProcess) renew(life int) {
-	a.renewOnce(life, func(wait time.Duration) { a.w.after(wait, func() { a.renew(life) }) })
+func (a *agentProcess) renew(incarnation int) {
+	a.renewOnce(incarnation, func(wait time.Duration) { a.w.after(wait, func() { a.renew(incarnation) }) })
 }
 
 // renewBeside keeps a second hold under way while answers get lost.
-func (a *agentProcess) renewBeside(life int) {
-	a.renewOnce(life, func(wait time.Duration) {
+func (a *agentProcess) renewBeside(incarnation int) {
+	a.renewOnce(incarnation, func(wait time.Duration) {
 		if !a.supervisor.LosingReplies(a.w.now()) {
 			a.renewingBeside = false
 			return
 		}
-		a.w.after(wait, func() { a.renewBeside(life) })
+		a.w.after(wait, func() { a.renewBeside(incarnation) })
 	})
 }
 
-func (a *agentProcess) renewOnce(life int, next func(wait time.Duration)) {
-	a.do(life, func() {
+func (a *agentProcess) renewOnce(incarnation int, next func(wait time.Duration)) {
+	a.do(incarnation, func() {
 		c, ok := a.supervisor.NextRenewal(a.w.now())
 		if !ok {
 			next(agentTick)
 			return
 		}
 		a.target.renew(c, func(r supervisor.Reply, lists *supervisor.RunLists) {
-			a.do(life, func() {
+			a.do(incarnation, func() {
 				a.supervisor.RenewalAnswered(a.w.now(), c, r, lists)
 				a.later()
 				next(max(time.Millisecond, a.supervisor.RenewalBackoff()))
@@ -220,7 +220,7 @@
 	a.dead = true
 	for _, l := range a.w.links {
 		if l.a == a {
-			l.broken(0, l.a.life, dark)
+			l.broken(0, l.a.incarnation, dark)
 		}
 	}
 	a.w.after(restartAfter+a.w.upTo(time.Second), a.begin)
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -40,23 +40,23 @@
 // its own clock, lists what runs and has ended, and refuses lower fencing
 // tokens. It does not guard its capacity.
 type emulatedTarget struct {
-	w         *World
-	id        string
-	lives     int
-	up        bool
-	rate      float64 // of its clock
-	began     time.Duration
-	capacity  task.Needs
-	speed     float64
-	deadline  time.Duration
-	token     uint64
-	runs      map[string]*emulatedRun
-	ended     []supervisor.EndedRow
-	count     uint64
-	highest   map[string]int // runs that were stopped or ended
-	draining  time.Duration  // when it was acknowledged; zero: not
-	behaviour Behaviour
-	polls     []func() bool // holds that wait for an end
+	w            *World
+	id           string
+	incarnations int
+	up           bool
+	rate         float64 // of its clock
+	began        time.Duration
+	capacity     task.Needs
+	speed        float64
+	deadline     time.Duration
+	token        uint64
+	runs         map[string]*emulatedRun
+	ended        []supervisor.EndedRow
+	count        uint64
+	highest      map[string]int // runs that were stopped or ended
+	draining     time.Duration  // when it was acknowledged; zero: not
+	behaviour    Behaviour
+	polls        []func() bool // holds that wait for an end
 }
 
 type emulatedRun struct {
@@ -71,9 +71,9 @@
 	return e
 }
 
-// begin begins a new life.
+// begin begins a new incarnation.
 func (e *emulatedTarget) begin() {
-	e.lives++
+	e.incarnations++
 	e.w.incarnations++
 	e.id = fmt.Sprintf("i-%d", e.w.incarnations)
 	e.up = true
@@ -88,11 +88,11 @@
 	e.polls = nil
 }
 
-// crash ends the life with all that runs.
+// crash ends the incarnation with all that runs.
 func (e *emulatedTarget) crash() {
 	e.up = false
 	e.runs = make(map[string]*emulatedRun)
-	e.lives++
+	e.incarnations++
 }
 
 // clock returns the target's own clock.
@@ -106,13 +106,13 @@
 		Clock: e.clock(), HasClock: true, Seq: seq}
 }
 
-// call runs do as a call with the target's mood: the answer may be lost, and
+// call runs do as a call with the target's behaviour: the answer may be lost, and
 // what is asked may be done later.
-func (e *emulatedTarget) call(life string, timeout time.Duration, do func() supervisor.Reply, answer func(supervisor.Reply)) {
+func (e *emulatedTarget) call(incarnation string, timeout time.Duration, do func() supervisor.Reply, answer func(supervisor.Reply)) {
 	luck := e.w.rng.Float64()
 	none := supervisor.Reply{Outcome: supervisor.NoAnswer}
 	run := func() supervisor.Reply {
-		if e.id != life {
+		if e.id != incarnation {
 			return supervisor.Reply{Outcome: supervisor.WrongIncarnation}
 		}
 		reply := do()
@@ -194,7 +194,7 @@
 	e.w.after(took, func() { e.finish(r, end) })
 }
 
-// length returns how long a run takes on a target in its usual mood.
+// length returns how long a run takes on a target in its usual behaviour.
 func (e *emulatedTarget) length(r *emulatedRun) time.Duration {
 	if c := e.w.jobs[r.order.Task.Job]; c != nil && c.work > 0 {
 		return time.Duration(float64(c.lengths[r.order.Task.Index]) / e.speed)
@@ -209,9 +209,9 @@
 		return
 	}
 	e.deadline = deadline
-	lives := e.lives
+	incarnations := e.incarnations
 	e.w.after(time.Duration(float64(deadline-e.clock())/e.rate)+time.Millisecond, func() {
-		if e.lives != lives || e.clock() < e.deadline {
+		if e.incarnations != incarnations || e.clock() < e.deadline {
 			return
 		}
 		for _, r := range e.sorted() {
@@ -288,9 +288,9 @@
 // poll calls back at the next end, or after wait.
 func (e *emulatedTarget) poll(wait time.Duration, back func()) {
 	done := false
-	lives := e.lives
+	incarnations := e.incarnations
 	once := func() bool {
-		if !done && e.lives == lives {
+		if !done && e.incarnations == incarnations {
 			done = true
 			e.w.after(0, back)
 		}
@@ -298,7 +298,7 @@
 	}
 	e.polls = append(e.polls, once)
 	e.w.after(wait, func() {
-		if e.lives != lives && !done {
+		if e.incarnations != incarnations && !done {
 			done = true
 			e.w.after(0, func() { back() })
 			return
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -45,7 +45,7 @@
 	mostWorth = 4
 )
 
-// Tracking is a workload of three classes with so many jobs a second on so many
+// Tracking is a workload of three classes with as many jobs a second on so many
 // targets of sixteen cores as makes the given load.
 func Tracking(targets int, load float64) []Class {
 	const coresEach, usual = 16, 0.73 // the load of the rates below on one target
@@ -93,16 +93,7 @@
 		Earned: c.Earned + o.Earned, Held: c.Held + o.Held}
 }
 
-// Total returns the credit of all classes together.
-func (w *World) Total() Credit {
-	var sum Credit
-	for _, c := range w.Credits {
-		sum = sum.Plus(c)
-	}
-	return sum
-}
-
-// Stats returns what the entries of all lives have counted.
+// Stats returns what the entries of all incarnations have counted.
 func (w *World) Stats() owner.Stats {
 	sum := w.ended
 	for _, e := range w.entries {
@@ -187,7 +178,7 @@
 	return time.Duration(stretch*float64(c.work)) + latencyAim
 }
 
-// earn takes note of a job that was completed now.
+// earn records a job that was completed now.
 func (c *client) earn() {
 	if c.work == 0 {
 		return
@@ -207,7 +198,7 @@
 // counts as held.
 const heldShare = 0.25
 
-// unserved takes note of a job that was refused or given up.
+// unserved records a job that was refused or given up.
 func (c *client) unserved() {
 	if c.work > 0 && !c.started && c.w.now()-c.sentAt > time.Duration(heldShare*float64(c.objective())) {
 		c.w.Credits[c.class].Held += c.worth
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -106,7 +106,7 @@
 	Frames  int // sent between entries and agents
 	// Sent, where it is set, is given each frame that a process sends.
 	Sent  func(from string, f *peer.Frame)
-	ended owner.Stats // of the entries' earlier lives
+	ended owner.Stats // of the entries' earlier incarnations
 	// Broken is the first rule that was broken, empty while none is.
 	Broken string
 }
@@ -213,7 +213,7 @@
 	}
 }
 
-// recordEnd takes note of an end on a target.
+// recordEnd records an end on a target.
 func (w *World) recordEnd(r *emulatedRun, end task.End) {
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -53,7 +53,7 @@
 	Agents  []*Process
 }
 
-// Process is one entry or agent, through all of its lives.
+// Process is one entry or agent, through all of its incarnations.
 type Process struct {
 	settings settings.Node
 	run      func(context.Context) error
@@ -160,7 +160,7 @@
 	return n
 }
 
-// Begin begins a new life of p.
+// Begin begins a new incarnation of p.
 func (s *System) Begin(p *Process) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -262,7 +262,7 @@
 	return resp.Close
 }
 
-// Job returns the body of a job of so many tasks, each of which takes so long.
+// Job returns the body of a job of the given number of tasks, each of which takes so long.
 func Job(tasks int, took time.Duration) string {
 	return fmt.Sprintf(`{"spec":%q,"best_effort":true,"steps":[{"count":%d,"cpu":1000,"mem_mb":64,"estimate_ms":%d}]}`,
 		took, tasks, took.Milliseconds())
