--- /dev/null
+++ b/framing/framing_test.go
@@ -0,0 +1,25 @@
+package framing
+
+import (
+	"bytes"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestFramesAreReadAsTheyWereAppended(t *testing.T) {
+	buf, err := Append([]byte("before"), 100, "one", 2)
+	assert.NilError(t, err)
+	assert.Equal(t, string(buf[:6]), "before")
+	body, err := Read(bytes.NewReader(buf[6:]), 100)
+	assert.NilError(t, err)
+	assert.Equal(t, string(body), "\xa3one\x02")
+}
+
+func TestAFrameOverTheLimitIsNeitherAppendedNorRead(t *testing.T) {
+	buf, err := Append([]byte("before"), 4, "long text")
+	assert.ErrorIs(t, err, ErrSize)
+	assert.Equal(t, string(buf), "before")
+	_, err = Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}), 4)
+	assert.ErrorIs(t, err, ErrSize)
+}
--- a/node/agent.go
+++ b/node/agent.go
@@ -13,6 +13,7 @@
 	"github.com/beaconpoint/beaconpoint/event"
 	"github.com/beaconpoint/beaconpoint/peer"
 	"github.com/beaconpoint/beaconpoint/settings"
+	"github.com/beaconpoint/beaconpoint/stage"
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
@@ -30,7 +31,7 @@
 	metrics      *metrics.Set
 	startSeconds *metrics.Histogram
 	renewSeconds *metrics.Histogram
-	stages       [supervisor.Stages]*metrics.Histogram
+	stages       map[stage.Stage]*metrics.Histogram
 
 	// Signals, each due or not.
 	heartbeatSeen chan struct{} // the target has sent a heartbeat
@@ -74,7 +75,7 @@
 	a.supervisor.Start = func(c supervisor.StartCall) { go a.start(c) }
 	a.supervisor.Stop = func(c supervisor.StopCall) { go a.stopRun(c) }
 	a.supervisor.Send = a.send
-	a.supervisor.ObserveStage = func(s supervisor.Stage, took time.Duration) { a.stages[s].Update(took.Seconds()) }
+	a.supervisor.ObserveStage = func(s stage.Stage, took time.Duration) { a.stages[s].Update(took.Seconds()) }
 	return a
 }
 
--- a/node/entry.go
+++ b/node/entry.go
@@ -17,6 +17,7 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 	"github.com/beaconpoint/beaconpoint/routing"
 	"github.com/beaconpoint/beaconpoint/settings"
+	"github.com/beaconpoint/beaconpoint/stage"
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
@@ -51,7 +52,7 @@
 
 	metrics   *metrics.Set
 	submitted *metrics.Histogram
-	stages    [owner.Stages]*metrics.Histogram
+	stages    map[stage.Stage]*metrics.Histogram
 	answers   map[code.Code]*metrics.Counter
 
 	startedAt  time.Duration
@@ -85,7 +86,7 @@
 	e.startedAt = e.clock.now()
 	e.metrics = newEntryMetrics(e)
 	e.owner.Send = e.send
-	e.owner.ObserveStage = func(s owner.Stage, took time.Duration) { e.stages[s].Update(took.Seconds()) }
+	e.owner.ObserveStage = func(s stage.Stage, took time.Duration) { e.stages[s].Update(took.Seconds()) }
 	e.owner.CountAnswer = e.CountAnswer
 	e.owner.FarFactor = s.Far
 	return e
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -12,8 +12,7 @@
 	"github.com/labstack/echo/v4"
 
 	"github.com/beaconpoint/beaconpoint/code"
-	"github.com/beaconpoint/beaconpoint/owner"
-	"github.com/beaconpoint/beaconpoint/supervisor"
+	"github.com/beaconpoint/beaconpoint/stage"
 )
 
 // MetricsPath is where a node's counters are served.
@@ -64,9 +63,7 @@
 	count("beaconpoint_agents", func() uint64 { return uint64(e.linked.Load()) })
 	count("beaconpoint_config_version", e.version)
 	e.submitted = set.NewHistogram("beaconpoint_answer_seconds")
-	for k := range owner.Stages {
-		e.stages[k] = set.NewHistogram(fmt.Sprintf("beaconpoint_stage_seconds{stage=%q}", k))
-	}
+	e.stages = newStageHistograms(set, stage.EntryStages)
 	e.answers = make(map[code.Code]*metrics.Counter)
 	for _, c := range answerCauses {
 		entry, _ := code.Lookup(c)
@@ -99,8 +96,15 @@
 	set.NewGauge("beaconpoint_worker_speed", func() float64 { return a.stats().Speed })
 	a.startSeconds = set.NewHistogram("beaconpoint_start_call_seconds")
 	a.renewSeconds = set.NewHistogram("beaconpoint_hold_call_seconds")
-	for k := range supervisor.Stages {
-		a.stages[k] = set.NewHistogram(fmt.Sprintf("beaconpoint_stage_seconds{stage=%q}", k))
-	}
+	a.stages = newStageHistograms(set, stage.AgentStages)
 	return set
 }
+
+// newStageHistograms returns a histogram for each of the stages.
+func newStageHistograms(set *metrics.Set, stages []stage.Stage) map[stage.Stage]*metrics.Histogram {
+	all := make(map[stage.Stage]*metrics.Histogram)
+	for _, s := range stages {
+		all[s] = set.NewHistogram(fmt.Sprintf("beaconpoint_stage_seconds{stage=%q}", s))
+	}
+	return all
+}
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -15,6 +15,7 @@
 	"gotest.tools/v3/golden"
 
 	"github.com/beaconpoint/beaconpoint/settings"
+	"github.com/beaconpoint/beaconpoint/stage"
 )
 
 // names returns the names of a set's metrics, a histogram by its own.
@@ -54,8 +55,10 @@
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, log)
 	a.startSeconds.UpdateDuration(time.Now())
 	a.renewSeconds.UpdateDuration(time.Now())
-	for _, h := range slices.Concat(e.stages[:], a.stages[:]) {
-		h.Update(1)
+	for _, h := range []map[stage.Stage]*metrics.Histogram{e.stages, a.stages} {
+		for _, one := range h {
+			one.Update(1)
+		}
 	}
 	inCode := append(names(e.metrics), names(a.metrics)...)
 	page, err := os.ReadFile("../docs/metrics-node.md")
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -33,6 +33,7 @@
 	"github.com/beaconpoint/beaconpoint/code"
 	"github.com/beaconpoint/beaconpoint/estimate"
 	"github.com/beaconpoint/beaconpoint/peer"
+	"github.com/beaconpoint/beaconpoint/stage"
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
@@ -55,7 +56,7 @@
 	Random func() float64
 	// ObserveStage is called with the duration of each stage of a job. May be
 	// nil.
-	ObserveStage func(Stage, time.Duration)
+	ObserveStage stage.Observer
 	// CountAnswer is called with the cause of each answer. May be nil.
 	CountAnswer func(code.Code)
 	// Log receives one line for each decision.
@@ -244,7 +245,7 @@
 	o.stats.count(a.Kind)
 	o.logAnswered(now, j, a)
 	if a.Kind == Completed {
-		o.observe(StagePlacing, j.lastOrder-j.firstOrder)
+		o.ObserveStage.Observe(stage.Placing, j.lastOrder-j.firstOrder)
 	}
 	o.countAnswer(a.Why)
 	callers := j.callers
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/beaconpoint/beaconpoint/code"
 	"github.com/beaconpoint/beaconpoint/peer"
+	"github.com/beaconpoint/beaconpoint/stage"
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
@@ -342,9 +343,9 @@
 
 func TestStagesAndCausesAreTold(t *testing.T) {
 	b := newBench(t, "a")
-	took := make(map[Stage][]time.Duration)
+	took := make(map[stage.Stage][]time.Duration)
 	var causes []code.Code
-	b.ObserveStage = func(s Stage, d time.Duration) { took[s] = append(took[s], d) }
+	b.ObserveStage = func(s stage.Stage, d time.Duration) { took[s] = append(took[s], d) }
 	b.CountAnswer = func(why code.Code) { causes = append(causes, why) }
 	b.state("a", 1000, 1, peer.Healthy)
 	b.submit(jobOf("1", 2)) // there is room for one of its tasks
@@ -355,8 +356,8 @@
 	b.now += 70 * ms
 	b.ended("a", first, task.EndDone, code.RunListed)
 	b.ended("a", second, task.EndDone, code.RunListed)
-	assert.DeepEqual(t, took[StageWaiting], []time.Duration{0})
-	assert.DeepEqual(t, took[StagePlacing], []time.Duration{30 * ms})
-	assert.DeepEqual(t, took[StageRunning], []time.Duration{100 * ms, 70 * ms})
+	assert.DeepEqual(t, took[stage.Waiting], []time.Duration{0})
+	assert.DeepEqual(t, took[stage.Placing], []time.Duration{30 * ms})
+	assert.DeepEqual(t, took[stage.Running], []time.Duration{100 * ms, 70 * ms})
 	assert.DeepEqual(t, causes, []code.Code{code.JobAllDone})
 }
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/peer"
+	"github.com/beaconpoint/beaconpoint/stage"
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
@@ -153,7 +154,7 @@
 	j.orders++
 	if j.firstOrder == 0 {
 		j.firstOrder = now
-		o.observe(StageWaiting, now-j.arrived)
+		o.ObserveStage.Observe(stage.Waiting, now-j.arrived)
 	}
 	j.lastOrder = now
 	t.run++
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -6,6 +6,7 @@
 
 	"github.com/beaconpoint/beaconpoint/code"
 	"github.com/beaconpoint/beaconpoint/peer"
+	"github.com/beaconpoint/beaconpoint/stage"
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
@@ -95,7 +96,7 @@
 	switch e.End {
 	case task.EndDone:
 		o.learn(j, id.Step, a, e.Took)
-		o.observe(StageRunning, now-t.sentAt)
+		o.ObserveStage.Observe(stage.Running, now-t.sentAt)
 		o.taskDone(now, j, id)
 		return
 	case task.EndFailed:
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -7,8 +7,6 @@
 package peer
 
 import (
-	"encoding/binary"
-	"errors"
 	"fmt"
 	"io"
 	"slices"
@@ -17,17 +15,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"github.com/beaconpoint/beaconpoint/code"
+	"github.com/beaconpoint/beaconpoint/framing"
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
 // maxFrame is the largest frame, in bytes, without its length prefix.
 const maxFrame = 4 << 20
 
-// lengthSize is the size of the length prefix, in bytes.
-const lengthSize = 4
-
 // ErrFrameSize means that a frame is larger than maxFrame.
-var ErrFrameSize = errors.New("peer: frame is larger than the limit")
+var ErrFrameSize = framing.ErrSize
 
 // Frame is one message. Each part may be absent; a frame without parts is a
 // heartbeat.
@@ -166,35 +162,13 @@
 
 // AppendFrame appends f with its length prefix to buf.
 func AppendFrame(buf []byte, f *Frame) ([]byte, error) {
-	w := &sliceWriter{data: append(buf, 0, 0, 0, 0)}
-	enc := msgpack.GetEncoder()
-	defer msgpack.PutEncoder(enc)
-	enc.Reset(w)
-	enc.UseCompactInts(true)
-	enc.UseArrayEncodedStructs(true)
-	if err := enc.Encode(f); err != nil {
-		return buf, fmt.Errorf("peer: encode: %w", err)
-	}
-	size := len(w.data) - len(buf) - lengthSize
-	if size > maxFrame {
-		return buf, ErrFrameSize
-	}
-	binary.BigEndian.PutUint32(w.data[len(buf):], uint32(size))
-	return w.data, nil
+	return framing.Append(buf, maxFrame, f)
 }
 
-// ReadFrame reads one frame. Its size is checked before memory is taken.
+// ReadFrame reads one frame. Its size is checked before memory is allocated.
 func ReadFrame(r io.Reader) (*Frame, error) {
-	var prefix [lengthSize]byte
-	if _, err := io.ReadFull(r, prefix[:]); err != nil {
-		return nil, err
-	}
-	size := binary.BigEndian.Uint32(prefix[:])
-	if size > maxFrame {
-		return nil, ErrFrameSize
-	}
-	body := make([]byte, size)
-	if _, err := io.ReadFull(r, body); err != nil {
+	body, err := framing.Read(r, maxFrame)
+	if err != nil {
 		return nil, err
 	}
 	return DecodeFrame(body)
@@ -208,17 +182,3 @@
 	}
 	return f, nil
 }
-
-type sliceWriter struct{ data []byte }
-
-// Write implements io.Writer.
-func (w *sliceWriter) Write(p []byte) (int, error) {
-	w.data = append(w.data, p...)
-	return len(p), nil
-}
-
-// WriteByte implements io.ByteWriter.
-func (w *sliceWriter) WriteByte(b byte) error {
-	w.data = append(w.data, b)
-	return nil
-}
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/beaconpoint/beaconpoint/code"
+	"github.com/beaconpoint/beaconpoint/framing"
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
@@ -70,7 +71,7 @@
 func FuzzDecodeFrame(f *testing.F) {
 	buf, err := AppendFrame(nil, whole())
 	assert.NilError(f, err)
-	f.Add(buf[lengthSize:])
+	f.Add(buf[framing.PrefixSize:])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		frame, err := DecodeFrame(body)
@@ -79,7 +80,7 @@
 		}
 		again, err := AppendFrame(nil, frame)
 		assert.NilError(t, err)
-		_, err = DecodeFrame(again[lengthSize:])
+		_, err = DecodeFrame(again[framing.PrefixSize:])
 		assert.NilError(t, err)
 	})
 }
@@ -96,7 +97,7 @@
 				if buf, err = AppendFrame(buf[:0], c.frame); err != nil {
 					b.Fatal(err)
 				}
-				if _, err := DecodeFrame(buf[lengthSize:]); err != nil {
+				if _, err := DecodeFrame(buf[framing.PrefixSize:]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/seats/config/document.go
+++ b/seats/config/document.go
@@ -11,7 +11,6 @@
 	"slices"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/go-playground/validator/v10"
 )
 
@@ -89,24 +88,6 @@
 	History []Line `json:"history,omitempty"`
 }
 
-// Service returns the service called name.
-func (d Document) Service(name string) (Service, bool) {
-	k := slices.IndexFunc(d.Services, func(s Service) bool { return s.Name == name })
-	if k < 0 {
-		return Service{}, false
-	}
-	return d.Services[k], true
-}
-
-// Organisation returns the organisation called name.
-func (d Document) Organisation(name string) (Organisation, bool) {
-	k := slices.IndexFunc(d.Organisations, func(m Organisation) bool { return m.Name == name })
-	if k < 0 {
-		return Organisation{}, false
-	}
-	return d.Organisations[k], true
-}
-
 // HasChange reports whether the change is in the history.
 func (d Document) HasChange(change string) bool {
 	return slices.ContainsFunc(d.History, func(l Line) bool { return l.Change == change })
@@ -142,12 +123,6 @@
 	return d, nil
 }
 
-// Digest returns a hash of the document's content without its history.
-func (d Document) Digest() uint64 {
-	d.History = nil
-	return xxhash.Sum64(d.Encode())
-}
-
 // Validate returns the first fault of the document.
 func (d Document) Validate() error {
 	if err := validate.Struct(d); err != nil {
--- a/seats/entry/entry.go
+++ b/seats/entry/entry.go
@@ -28,7 +28,6 @@
 // Intervals of an entry.
 const (
 	tickInterval = 50 * time.Millisecond
-	drainPoll    = 20 * time.Millisecond
 	drainLinger  = 200 * time.Millisecond
 	httpGrace    = 2 * time.Second
 	// balancerLag is how long a stopping entry serves on as before while the
--- a/seats/guard/guard.go
+++ b/seats/guard/guard.go
@@ -184,16 +184,6 @@
 	return g.view.Revision, g.config
 }
 
-// Target returns the agent's part of the configuration in force.
-func (g *Guard) Target() wire.Target {
-	return g.target
-}
-
-// Running returns how many tasks run and how many accepted ones wait.
-func (g *Guard) Running() (running, queued int) {
-	return g.running, len(g.queue)
-}
-
 func (g *Guard) link(id roster.ID) *link {
 	l := g.links[id]
 	if l == nil {
--- a/seats/load/load.go
+++ b/seats/load/load.go
@@ -74,8 +74,7 @@
 	Wrong    int
 	Ratio    *hdrhistogram.Histogram
 	Took     time.Duration
-	Offered  time.Duration // the tasks' own time, summed
-	Finished int           // tasks of complete jobs
+	Finished int // tasks of complete jobs
 }
 
 // Run puts the load on the entries and waits for every answer.
--- a/seats/roster/roster.go
+++ b/seats/roster/roster.go
@@ -85,11 +85,6 @@
 	return slices.Contains(r.Agents, id)
 }
 
-// HasChange reports whether the change is among the latest ones.
-func (r Roster) HasChange(change string) bool {
-	return slices.Contains(r.Changes, change)
-}
-
 // SeatNamed returns the seat that the entry name holds.
 func (r Roster) SeatNamed(name string) (Seat, bool) {
 	k := slices.IndexFunc(r.Seats, func(s Seat) bool { return s.ID.Name == name })
--- a/seats/wire/codec.go
+++ b/seats/wire/codec.go
@@ -2,66 +2,44 @@
 
 import (
 	"bytes"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"github.com/beaconpoint/beaconpoint/framing"
 )
 
 // MaxFrame is the largest frame, in bytes, without its length prefix.
 const MaxFrame = 8 << 20
 
-// lengthSize is the size of the length prefix, in bytes.
-const lengthSize = 4
-
 // Faults of a frame. A peer that sends such a frame is cut off.
 var (
-	ErrFrameSize = errors.New("wire: frame is larger than the limit")
+	ErrFrameSize = framing.ErrSize
 	ErrFrameKind = errors.New("wire: unknown kind of frame")
 	ErrFrameData = errors.New("wire: broken frame")
 )
 
 // AppendFrame writes f with its length prefix to buf.
 func AppendFrame(buf *bytes.Buffer, f Frame) error {
-	start := buf.Len()
-	buf.Write(make([]byte, lengthSize))
 	f.Header.Kind = f.Body.Kind()
-	enc := msgpack.GetEncoder()
-	defer msgpack.PutEncoder(enc)
-	enc.Reset(buf)
-	enc.UseCompactInts(true)
-	enc.UseArrayEncodedStructs(true)
-	if err := enc.EncodeMulti(&f.Header, f.Body); err != nil {
-		buf.Truncate(start)
-		return fmt.Errorf("wire: encode: %w", err)
-	}
-	size := buf.Len() - start - lengthSize
-	if size > MaxFrame {
-		buf.Truncate(start)
-		return ErrFrameSize
+	raw, err := framing.Append(buf.AvailableBuffer(), MaxFrame, &f.Header, f.Body)
+	if err != nil {
+		return err
 	}
-	binary.BigEndian.PutUint32(buf.Bytes()[start:], uint32(size))
+	buf.Write(raw)
 	return nil
 }
 
-// ReadFrame reads one frame. Its size is checked before memory is taken.
+// ReadFrame reads one frame. Its size is checked before memory is allocated.
 func ReadFrame(r io.Reader) (Frame, error) {
-	var prefix [lengthSize]byte
-	if _, err := io.ReadFull(r, prefix[:]); err != nil {
-		return Frame{}, err
-	}
-	size := binary.BigEndian.Uint32(prefix[:])
-	if size > MaxFrame {
-		return Frame{}, ErrFrameSize
-	}
-	var body bytes.Buffer
-	if _, err := io.CopyN(&body, r, int64(size)); err != nil {
+	body, err := framing.Read(r, MaxFrame)
+	if err != nil {
 		return Frame{}, err
 	}
-	f, err := DecodeFrame(body.Bytes())
-	f.size = int(size) + lengthSize
+	f, err := DecodeFrame(body)
+	f.size = len(body) + framing.PrefixSize
 	return f, err
 }
 
--- a/seats/wire/wire_test.go
+++ b/seats/wire/wire_test.go
@@ -13,6 +13,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/beaconpoint/beaconpoint/code"
+	"github.com/beaconpoint/beaconpoint/framing"
 	"github.com/beaconpoint/beaconpoint/seats"
 	"github.com/beaconpoint/beaconpoint/seats/job"
 	"github.com/beaconpoint/beaconpoint/seats/roster"
@@ -125,7 +126,7 @@
 	for _, m := range samples() {
 		var buf bytes.Buffer
 		assert.NilError(f, AppendFrame(&buf, Frame{Body: m}))
-		f.Add(buf.Bytes()[lengthSize:])
+		f.Add(buf.Bytes()[framing.PrefixSize:])
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		frame, err := DecodeFrame(raw)
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,5 +1,6 @@
-// Package store is a stand-in for the platform's metadata store: keys with
-// revisions, leases, transactions and watches over HTTP. It can be made to fail.
+// Package store is a stand-in for the platform's metadata store: keys with revisions,
+// transactions and watches over HTTP. The product uses no leased keys, and none are
+// played. It can be made to fail.
 package store
 
 import (
@@ -44,7 +45,6 @@
 	items    map[string]Item
 	history  []Item
 	forgot   uint64 // history up to this revision is gone
-	leases   map[uint64]time.Time
 	changed  chan struct{}
 	faults   Faults
 	calls    map[string]int
@@ -52,16 +52,13 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	s := &Store{mux: http.NewServeMux(), items: make(map[string]Item), leases: make(map[uint64]time.Time),
+	s := &Store{mux: http.NewServeMux(), items: make(map[string]Item),
 		changed: make(chan struct{}), calls: make(map[string]int)}
 	for path, handle := range map[string]http.HandlerFunc{
-		"GET /beaconpoint/kv-key":               s.key,
-		"GET /beaconpoint/kv-range":             s.list,
-		"GET /beaconpoint/kv-watch":             s.watch,
-		"POST /beaconpoint/kv-txn":              s.transact,
-		"POST /beaconpoint/kv-lease":            s.lease,
-		"POST /beaconpoint/kv-keep/{id}":        s.keep,
-		"DELETE /beaconpoint/kv-lease-end/{id}": s.end,
+		"GET /beaconpoint/kv-key":   s.key,
+		"GET /beaconpoint/kv-range": s.list,
+		"GET /beaconpoint/kv-watch": s.watch,
+		"POST /beaconpoint/kv-txn":  s.transact,
 	} {
 		s.mux.HandleFunc(path, handle)
 	}
@@ -163,31 +160,9 @@
 	s.history = append(s.history, Item{Key: key, Revision: s.revision, Gone: true})
 }
 
-// expire ends the leases whose time is over.
-func (s *Store) expire() {
-	now := time.Now()
-	for id, until := range s.leases {
-		if now.Before(until) {
-			continue
-		}
-		s.endLease(id)
-	}
-}
-
-func (s *Store) endLease(id uint64) {
-	delete(s.leases, id)
-	for key, i := range s.items {
-		if i.Lease == id {
-			s.remove(key)
-		}
-	}
-	s.wake()
-}
-
 func (s *Store) key(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
 	i, ok := s.items[r.URL.Query().Get("key")]
 	if !ok {
 		reply(w, http.StatusNotFound, Item{At: s.revision})
@@ -200,7 +175,6 @@
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
 	prefix, after := r.URL.Query().Get("path_prefix"), r.URL.Query().Get("depends_on")
 	var items []Item
 	for key, i := range s.items {
@@ -227,7 +201,6 @@
 	defer timer.Stop()
 	for over := false; ; {
 		s.mu.Lock()
-		s.expire()
 		events := []Item{}
 		for _, i := range s.history {
 			if i.Revision > from && strings.HasPrefix(i.Key, q.Get("path_prefix")) {
@@ -271,7 +244,6 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
 	var current []Item
 	for _, c := range body.Expected {
 		if s.items[c.Key].Revision != c.Revision {
@@ -283,8 +255,8 @@
 		return
 	}
 	for _, i := range body.Put {
-		if _, ok := s.leases[i.Lease]; i.Lease != 0 && !ok {
-			w.WriteHeader(http.StatusNotFound)
+		if i.Lease != 0 {
+			w.WriteHeader(http.StatusNotFound) // no lease is ever given here
 			return
 		}
 	}
@@ -302,43 +274,6 @@
 	reply(w, http.StatusOK, map[string]any{"revision": s.revision})
 }
 
-func (s *Store) lease(w http.ResponseWriter, r *http.Request) {
-	var body struct {
-		TTL int64 `json:"ttl_ms"`
-	}
-	if json.NewDecoder(r.Body).Decode(&body) != nil {
-		w.WriteHeader(http.StatusBadRequest)
-		return
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.revision++
-	s.leases[s.revision] = time.Now().Add(time.Duration(body.TTL) * time.Millisecond)
-	reply(w, http.StatusOK, map[string]any{"lease": s.revision, "ttl_ms": body.TTL})
-}
-
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
-	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.expire()
-	if _, ok := s.leases[id]; !ok {
-		w.WriteHeader(http.StatusNotFound)
-		return
-	}
-	const renewal = 3 * time.Second
-	s.leases[id] = time.Now().Add(renewal)
-	reply(w, http.StatusOK, map[string]any{"ttl_ms": renewal.Milliseconds()})
-}
-
-func (s *Store) end(w http.ResponseWriter, r *http.Request) {
-	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.endLease(id)
-	reply(w, http.StatusOK, struct{}{})
-}
-
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -7,6 +7,7 @@
 
 	"github.com/beaconpoint/beaconpoint/code"
 	"github.com/beaconpoint/beaconpoint/peer"
+	"github.com/beaconpoint/beaconpoint/stage"
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
@@ -116,7 +117,7 @@
 	case Accepted:
 		if !r.answered {
 			r.answered = true
-			s.observe(StageStarting, now-r.began)
+			s.ObserveStage.Observe(stage.Starting, now-r.began)
 			r.began = now
 		}
 		r.markCannotBegin(now)
@@ -236,7 +237,7 @@
 	delete(s.runs, r.name)
 	s.room.used = s.room.used.Minus(r.order.Needs)
 	if r.stopping {
-		s.observe(StageEnding, now-r.stoppedAt)
+		s.ObserveStage.Observe(stage.Ending, now-r.stoppedAt)
 	}
 	targetFault := s.recordHealth(now, r, end)
 	if s.sessions[r.session.id] == r.session {
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -39,6 +39,7 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/peer"
+	"github.com/beaconpoint/beaconpoint/stage"
 )
 
 // TickInterval is how often Tick should be called: it bounds how late leases and
@@ -75,7 +76,7 @@
 	// Send sends a frame to an entry.
 	Send func(ConnID, *peer.Frame)
 	// ObserveStage is called with the duration of each stage of a run. May be nil.
-	ObserveStage func(Stage, time.Duration)
+	ObserveStage stage.Observer
 	// Log receives one line for each decision.
 	Log *slog.Logger
 	// Rules are as DefaultRules returns them, except in tests.
