--- a/node/agent.go
+++ b/node/agent.go
@@ -34,9 +34,10 @@
 	stages       map[stage.Stage]*metrics.Histogram
 
 	// Signals, each due or not.
-	heartbeatSeen chan struct{} // the target has sent a heartbeat
-	repliesLost   chan struct{} // the target's replies get lost
-	entryMissing  chan struct{} // a known entry may not be connected
+	heartbeatSeen       chan struct{} // the target has sent a heartbeat: for the first renewal
+	heartbeatSeenBeside chan struct{} // the same, for the second one
+	repliesLost         chan struct{} // the target's replies get lost
+	entryMissing        chan struct{} // a known entry may not be connected
 
 	mu              sync.Mutex // guards what follows
 	supervisor      *supervisor.Supervisor
@@ -59,17 +60,18 @@
 // NewAgent returns an agent that is not running yet.
 func NewAgent(s settings.Node, d Directory, target TargetCalls, log *slog.Logger) *Agent {
 	a := &Agent{
-		settings:      s,
-		directory:     d,
-		target:        target,
-		log:           log,
-		clock:         newSteadyClock(),
-		heartbeatSeen: make(chan struct{}, 1),
-		repliesLost:   make(chan struct{}, 1),
-		entryMissing:  make(chan struct{}, 1),
-		supervisor:    supervisor.NewSupervisor(log),
-		conns:         make(map[supervisor.ConnID]*agentConn),
-		entries:       make(map[string]string),
+		settings:            s,
+		directory:           d,
+		target:              target,
+		log:                 log,
+		clock:               newSteadyClock(),
+		heartbeatSeen:       make(chan struct{}, 1),
+		heartbeatSeenBeside: make(chan struct{}, 1),
+		repliesLost:         make(chan struct{}, 1),
+		entryMissing:        make(chan struct{}, 1),
+		supervisor:          supervisor.NewSupervisor(log),
+		conns:               make(map[supervisor.ConnID]*agentConn),
+		entries:             make(map[string]string),
 	}
 	a.metrics = newAgentMetrics(a)
 	a.supervisor.Start = func(c supervisor.StartCall) { go a.start(c) }
@@ -85,6 +87,7 @@
 	defer a.mu.Unlock()
 	a.supervisor.Heartbeat(a.clock.now(), r)
 	notify(a.heartbeatSeen)
+	notify(a.heartbeatSeenBeside)
 	a.scheduleFlush()
 }
 
--- a/node/renewal.go
+++ b/node/renewal.go
@@ -11,7 +11,7 @@
 // known it waits for a heartbeat.
 func (a *Agent) renewLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if a.renewOnce(ctx) {
+		if a.renewOnce(ctx, a.heartbeatSeen) {
 			continue
 		}
 		select {
@@ -30,11 +30,20 @@
 			return nil
 		case <-a.repliesLost:
 		}
-		for a.losingReplies() && a.renewOnce(ctx) {
+		select {
+		case <-a.heartbeatSeenBeside: // from before: it must not end a pause
+		default:
+		}
+		for a.losingReplies() && a.renewBeside(ctx) {
 		}
 	}
 }
 
+// renewBeside makes one renewal beside the first.
+func (a *Agent) renewBeside(ctx context.Context) bool {
+	return a.renewOnce(ctx, a.heartbeatSeenBeside)
+}
+
 // losingReplies reports whether the target's replies get lost.
 func (a *Agent) losingReplies() bool {
 	a.mu.Lock()
@@ -42,9 +51,9 @@
 	return a.supervisor.LosingReplies(a.clock.now())
 }
 
-// renewOnce makes one renewal, and the pause after one that failed. It reports
-// whether a target is known.
-func (a *Agent) renewOnce(ctx context.Context) bool {
+// renewOnce makes one renewal, and the pause after one that failed, which a heartbeat
+// ends. It reports whether a target is known.
+func (a *Agent) renewOnce(ctx context.Context, heartbeat <-chan struct{}) bool {
 	a.mu.Lock()
 	c, ok := a.supervisor.NextRenewal(a.clock.now())
 	a.mu.Unlock()
@@ -59,22 +68,17 @@
 	pause := a.supervisor.RenewalBackoff() - time.Since(began)
 	a.scheduleFlush()
 	a.mu.Unlock()
-	a.pause(ctx, pause)
-	return true
-}
-
-// pause waits, but no longer than until the target's next heartbeat.
-func (a *Agent) pause(ctx context.Context, d time.Duration) {
-	if d <= 0 {
-		return
+	if pause <= 0 {
+		return true
 	}
-	timer := time.NewTimer(d)
+	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-a.heartbeatSeen:
+	case <-heartbeat:
 	case <-timer.C:
 	}
+	return true
 }
 
 // start calls the target to start a run. The supervisor looks for its answer when it
--- /dev/null
+++ b/node/renewal_test.go
@@ -0,0 +1,54 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"github.com/beaconpoint/beaconpoint/settings"
+	"github.com/beaconpoint/beaconpoint/supervisor"
+)
+
+// TestAHeartbeatReachesBothRenewals: a heartbeat that ends the pause of the second
+// renewal must not be lost to the first, which waits for it to serve the target's new
+// incarnation.
+func TestAHeartbeatReachesBothRenewals(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var served time.Time
+		calls := 0
+		renew := func(c supervisor.RenewCall) (supervisor.Reply, *supervisor.RunLists) {
+			calls++
+			switch {
+			case c.Incarnation == "i-2":
+				if served.IsZero() {
+					served = time.Now()
+				}
+				time.Sleep(time.Second)
+			case calls == 1: // the second renewal, which pauses
+				return supervisor.Reply{Outcome: supervisor.NoAnswer, Err: errors.New("lost")}, nil
+			}
+			time.Sleep(time.Millisecond)
+			return supervisor.Reply{Outcome: supervisor.WrongIncarnation}, nil
+		}
+		a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{Renew: renew}, slog.New(slog.DiscardHandler))
+		a.Heartbeat(supervisor.Report{ID: "i-1", Seq: 1})
+		<-a.heartbeatSeen
+		ctx, end := context.WithCancel(t.Context())
+		defer end()
+		go a.renewBeside(ctx)
+		synctest.Wait()
+		go func() { _ = a.renewLoop(ctx) }()
+		time.Sleep(5 * time.Millisecond) // the target has answered as another incarnation
+		began := time.Now()
+		a.Heartbeat(supervisor.Report{ID: "i-2", Seq: 1})
+		time.Sleep(10 * time.Millisecond)
+		assert.Check(t, !served.IsZero() && served.Sub(began) < 10*time.Millisecond, "not served at once")
+		end()
+		time.Sleep(2 * time.Second) // the calls under way end
+	})
+}
