--- a/owner/job.go
+++ b/owner/job.go
@@ -150,12 +150,13 @@
 	return 0, 0, false
 }
 
-// waitingTasks returns how many tasks of j are to be started, those of steps that
-// are not ready included.
+// waitingTasks returns how many tasks of j may be started now.
 func (j *job) waitingTasks() int {
 	count := 0
 	for k := range j.steps {
-		count += j.steps[k].waiting
+		if j.steps[k].waiting > 0 && j.ready(k) {
+			count += j.steps[k].waiting
+		}
 	}
 	return count
 }
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -130,3 +130,14 @@
 	assert.Assert(t, !attemptsUsedUp(6, 0, 2), "failures of targets count for little")
 	assert.Assert(t, attemptsUsedUp(7, 0, 2))
 }
+
+// TestOnlyStartsThatCanBeMadeCountForTheirSpan: tasks of a step that waits for another
+// are not started now, so that they don't make the first starts more urgent.
+func TestOnlyStartsThatCanBeMadeCountForTheirSpan(t *testing.T) {
+	j := newJob(0, task.Job{Steps: []task.Step{{Count: 2}, {Count: 5, DependsOn: []int{0}}}})
+	assert.Equal(t, j.waitingTasks(), 2)
+	for n := range 2 {
+		j.setPhase(0, n, done)
+	}
+	assert.Equal(t, j.waitingTasks(), 5)
+}
