--- a/cmd/beaconpoint/main.go
+++ b/cmd/beaconpoint/main.go
@@ -1,5 +1,6 @@
-// Command beaconpoint is the dispatcher's one binary: its roles, and the tools
-// of callers and operators.
+// Command beaconpoint is the dispatcher's one binary. `node` is what the deploy file
+// runs, explain.go its tool; the files seats_*.go are the commands of the earlier
+// engine (seats/README.md).
 package main
 
 import (
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -43,8 +43,9 @@
 	return nil
 }
 
-// newEntryMetrics returns the set of an entry: counts and gauges are read when
-// they are asked for.
+// newEntryMetrics returns the metrics of an entry. Counts and gauges are read when they
+// are asked for. docs/metrics-node.md says what each means; the names are the
+// operators', and some carry earlier words (worker, sick, bounced).
 func newEntryMetrics(e *Entry) *metrics.Set {
 	set := metrics.NewSet()
 	count := func(name string, read func() uint64) {
@@ -78,15 +79,15 @@
 	code.JobUnsupported, code.JobNoConfig, code.JobBehind, code.QueueFull,
 }
 
-// CountAnswer counts an answer by its cause. It is called for requests that are
-// turned away before they become jobs, too.
+// CountAnswer counts an answer by its cause, also that to a request which is refused
+// before it becomes a job.
 func (e *Entry) CountAnswer(why code.Code) {
 	if c := e.answers[why]; c != nil {
 		c.Inc()
 	}
 }
 
-// newAgentMetrics returns the set of an agent.
+// newAgentMetrics returns the metrics of an agent.
 func newAgentMetrics(a *Agent) *metrics.Set {
 	set := metrics.NewSet()
 	set.NewGauge("beaconpoint_entries", func() float64 { return float64(a.connected()) })
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -12,7 +12,7 @@
 // Bounds of a connection.
 const (
 	// userTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken.
+	// connection counts as broken. Not measured; peers' silence is noticed sooner.
 	userTimeout = 3 * time.Second
 	// maxBacklog is how many bytes may wait to be written; a peer that reads
 	// too slowly is cut off.
@@ -21,18 +21,20 @@
 	readBuffer = 8 << 10
 )
 
-// Conn is one connection between an entry and an agent. Frames are sent in
-// order and never block the sender.
+// Conn is one connection between an entry and an agent. Frames are sent in order and
+// never block the sender: they are queued, and a peer that reads too slowly is cut
+// off. Send and Close are safe for concurrent use; Receive and Run are for one
+// goroutine each.
 type Conn struct {
 	raw  net.Conn
 	in   *bufio.Reader
-	once sync.Once
+	once sync.Once     // closes raw
+	wake chan struct{} // there is something to write, or the connection is closed
 
 	mu      sync.Mutex
-	backlog []byte
-	seq     uint64
+	backlog []byte // encoded frames that wait to be written
+	seq     uint64 // of the last frame sent
 	closed  bool
-	wake    chan struct{}
 }
 
 // NewConn wraps raw. Run must be called for frames to be sent.
@@ -41,8 +43,8 @@
 	return &Conn{raw: raw, in: bufio.NewReaderSize(raw, readBuffer), wake: make(chan struct{}, 1)}
 }
 
-// SetUserTimeout bounds how long a cut goes unnoticed on a TCP connection that
-// has bytes under way.
+// SetUserTimeout bounds how long a cut goes unnoticed on a TCP connection that has
+// bytes under way. Connections of other kinds, as in tests, are left as they are.
 func SetUserTimeout(raw net.Conn, d time.Duration) {
 	tcp, ok := raw.(*net.TCPConn)
 	if !ok {
@@ -57,8 +59,8 @@
 	})
 }
 
-// Send numbers f and queues it. It returns the number, or zero when the
-// connection is closed.
+// Send numbers f and queues it. It returns the number, zero when the connection is
+// closed. A frame that can't be encoded, or a full queue, closes it.
 func (c *Conn) Send(f *Frame) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/settings/node.go
+++ b/settings/node.go
@@ -19,20 +19,20 @@
 	DefaultLogLevel = "info"
 )
 
-// Node are the settings of a process that runs on the platform. Addresses are
-// "IP:port".
+// Node are the settings of a node: an entry or an agent. Addresses are "IP:port". The
+// keys are those of the deploy templates; two of them carry the platform's word.
 type Node struct {
 	// Role is "entry" or "agent".
 	Role peer.Role `yaml:"role" validate:"required,oneof=entry agent"`
-	// Name is the machine's name, unique in the system.
+	// Name is the host's name, unique in the system.
 	Name string `yaml:"name" validate:"required,max=64"`
-	// Hall says where the machine stands.
+	// Hall is the data hall in which the host stands; the key is the platform's word.
 	Hall string `yaml:"zone" validate:"required,max=64"`
 	// Peers is where other processes of the system reach this one.
 	Peers string `yaml:"peers" validate:"required,tcp_addr"`
 	// Store is the platform's key-value store.
 	Store string `yaml:"store" validate:"required,tcp_addr"`
-	// Grace is the time from a stop's announcement to its end.
+	// Grace is the time from SIGTERM to SIGKILL.
 	Grace time.Duration `yaml:"grace" validate:"min=1s,max=30m"`
 	// Far is how many times as long a task takes away from its data.
 	Far float64 `yaml:"far" validate:"min=1,max=100"`
@@ -40,12 +40,12 @@
 	Metrics string `yaml:"metrics" validate:"omitempty,tcp_addr"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level" validate:"oneof=debug info warn error"`
-	// Callers and Readiness are an entry's addresses for callers' jobs and for
-	// the question whether it takes any.
+	// Callers is an entry's address for callers, Readiness the one at which the
+	// balancer asks whether it takes requests.
 	Callers   string `yaml:"callers" validate:"required_if=Role entry,omitempty,tcp_addr"`
 	Readiness string `yaml:"readiness" validate:"required_if=Role entry,omitempty,tcp_addr"`
-	// Reports and Target are an agent's: its address for its target's
-	// heartbeats, and the target's own.
+	// Reports is an agent's address for its target's heartbeats, Target the target's
+	// own; its key is the platform's word.
 	Reports string `yaml:"reports" validate:"required_if=Role agent,omitempty,tcp_addr"`
 	Target  string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
 }
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -36,27 +36,27 @@
 	Hanging bool
 }
 
-// emulatedTarget is a target as the platform's pages describe it: it keeps a lease on
-// its own clock, lists what runs and has ended, and refuses lower fencing
-// tokens. It does not guard its capacity.
+// emulatedTarget plays a target: it keeps a lease on its own clock, lists the runs that
+// are at work and those that have ended, and refuses lower fencing tokens. It does not
+// guard its capacity: starting too much there is a fault that the world sees.
 type emulatedTarget struct {
 	w            *World
 	id           string
 	incarnations int
 	up           bool
-	rate         float64 // of its clock
-	began        time.Duration
+	rate         float64       // of its clock, against the world's
+	began        time.Duration // when the incarnation began
 	capacity     task.Needs
-	speed        float64
-	deadline     time.Duration
-	token        uint64
+	speed        float64       // 1 being usual
+	deadline     time.Duration // of its lease, on its own clock
+	token        uint64        // the highest fencing token seen
 	runs         map[string]*emulatedRun
-	ended        []supervisor.EndedRow
-	count        uint64
-	highest      map[string]int // runs that were stopped or ended
-	draining     time.Duration  // when it was acknowledged; zero: not
+	ended        []supervisor.EndedRow // that no renewal has named as seen
+	count        uint64                // ends of the incarnation
+	highest      map[string]int        // by task, the last run that was stopped or ended
+	draining     time.Duration         // when the agent was told; zero: not yet
 	behaviour    Behaviour
-	polls        []func() bool // holds that wait for an end
+	polls        []func() bool // renewals that wait for an end
 }
 
 type emulatedRun struct {
