--- a/cmd/beaconpoint/explain.go
+++ b/cmd/beaconpoint/explain.go
@@ -7,7 +7,7 @@
 	"io"
 	"os"
 
-	"github.com/beaconpoint/beaconpoint/event"
+	"github.com/beaconpoint/beaconpoint/explain"
 )
 
 // explainCommand tells what became of a job from the logs of all processes.
@@ -22,8 +22,8 @@
 		if err != nil {
 			return fault(exitUsage, err)
 		}
-		story, err := event.Explain(id, logs...)
-		if errors.Is(err, event.ErrUnknownJob) {
+		story, err := explain.Job(id, logs...)
+		if errors.Is(err, explain.ErrUnknownJob) {
 			return fault(exitUnknown, err)
 		}
 		if err != nil {
--- a/doc.go
+++ b/doc.go
@@ -10,7 +10,8 @@
 //	node             the processes around the two state machines
 //	platform         the adapter to the users' platform
 //	estimate         how long work takes
-//	event, code      log lines and explain; numbered results
+//	event, explain   log lines; what they say about a job
+//	code             numbered results
 //	settings, stage, backoff
 //
 // testutil/fleet plays the state machines in virtual time, testutil/system the whole
--- a/event/event.go
+++ b/event/event.go
@@ -1,6 +1,5 @@
-// Package event is the log of the processes: the kinds of lines, a log that is
-// bounded and never blocks, and explain, which tells from the lines what became of
-// a job.
+// Package event is the log of the processes: the kinds of lines, and a log that is
+// bounded and never blocks.
 //
 // Each decision is one JSON line. The kinds are the typed constants here, and the
 // catalogue says what each means; docs/log-events.md is made from it.
--- a/event/explain.go
+++ b/explain/explain.go
@@ -1,4 +1,7 @@
-package event
+// Package explain says from the log lines of all processes what became of a job. It
+// relies on the kinds and fields that package event and the state machines' log.go
+// files give their lines.
+package explain
 
 import (
 	"bufio"
@@ -11,12 +14,15 @@
 	"slices"
 	"strings"
 	"time"
+
+	"github.com/beaconpoint/beaconpoint/event"
 )
 
 // maxLine is the longest line of a log that is read, in bytes.
 const maxLine = 1 << 20
 
-// ErrUnknownJob means that no line of the logs names the job.
+// ErrUnknownJob means that no line of the logs names the job. The command prints its
+// text.
 var ErrUnknownJob = errors.New("event: no line speaks of this job")
 
 // Story is what the logs say about one job.
@@ -30,7 +36,7 @@
 // line is one line of a log.
 type line struct {
 	at     time.Time
-	kind   Kind
+	kind   event.Kind
 	text   string
 	node   string // what stands before the JSON, such as a host's name
 	fields fields
@@ -57,14 +63,14 @@
 const around = 500 * time.Millisecond
 
 // causes are the kinds of other lines that may explain what became of a job.
-var causes = map[Kind]bool{
-	AgentLost: true, EntryLost: true, AgentTargetEjected: true, TargetHealth: true, TargetIncarnation: true, TargetIncarnationOver: true,
-	TargetDraining: true, Stopping: true, Start: true, StoreLost: true, LinesDropped: true,
+var causes = map[event.Kind]bool{
+	event.AgentLost: true, event.EntryLost: true, event.AgentTargetEjected: true, event.TargetHealth: true, event.TargetIncarnation: true, event.TargetIncarnationOver: true,
+	event.TargetDraining: true, event.Stopping: true, event.Start: true, event.StoreLost: true, event.LinesDropped: true,
 }
 
-// Explain gathers what the logs say about a job, named by its id or by that of a
+// Job gathers what the logs say about a job, named by its id or by that of a
 // request that submitted it. The error is ErrUnknownJob, or that of reading.
-func Explain(id string, logs ...[]byte) (Story, error) {
+func Job(id string, logs ...[]byte) (Story, error) {
 	var all []line
 	for _, raw := range logs {
 		if err := read(bytes.NewReader(raw), func(l line) { all = append(all, l) }); err != nil {
@@ -161,7 +167,7 @@
 
 // sentence says what decided about the job.
 func sentence(id string, own, others []line) string {
-	last := func(kind Kind) *line {
+	last := func(kind event.Kind) *line {
 		for k := len(own) - 1; k >= 0; k-- {
 			if own[k].kind == kind {
 				return &own[k]
@@ -169,7 +175,7 @@
 		}
 		return nil
 	}
-	if answer := last(JobAnswered); answer != nil {
+	if answer := last(event.JobAnswered); answer != nil {
 		f := answer.fields
 		text := fmt.Sprintf("%s was answered after %.0f ms (objective %.0f ms): %s", id, f.number("age_ms"), f.number("objective_ms"), f.text("why"))
 		if because := because(own, others); because != "" && (f.text("kind") != "1" || f.number("age_ms") > f.number("objective_ms")) {
@@ -177,14 +183,14 @@
 		}
 		return text + "."
 	}
-	if cancelled := last(JobCancelled); cancelled != nil {
+	if cancelled := last(event.JobCancelled); cancelled != nil {
 		text := fmt.Sprintf("%s was cancelled after %.0f ms: its caller had gone", id, cancelled.fields.number("age_ms"))
 		if because := because(own, others); because != "" {
 			text += "; " + because
 		}
 		return text + "."
 	}
-	if lost := last(TaskPlaced); lost != nil {
+	if lost := last(event.TaskPlaced); lost != nil {
 		return fmt.Sprintf("%s has no answer: its entry ended while tasks of it ran.", id)
 	}
 	return fmt.Sprintf("%s has no answer, and no task of it was placed.", id)
@@ -197,16 +203,16 @@
 	var waited float64
 	for _, l := range own {
 		switch l.kind {
-		case TaskMoved, TaskWaits:
+		case event.TaskMoved, event.TaskWaits:
 			counts[l.fields.text("why")+" at "+l.fields.text("agent")]++
-		case StartUnanswered:
+		case event.StartUnanswered:
 			counts["a start without an answer at "+process(l)]++
-		case TaskPlaced:
+		case event.TaskPlaced:
 			waited = max(waited, l.fields.number("waited_ms"))
 		}
 	}
 	for _, l := range others {
-		if l.kind == AgentLost {
+		if l.kind == event.AgentLost {
 			counts["the agent "+l.fields.text("agent")+" was lost"]++
 		}
 	}
@@ -221,7 +227,7 @@
 		parts = parts[:3]
 	}
 	if len(parts) == 0 && waited == 0 {
-		if accepted := first(own, JobAccepted); accepted != nil {
+		if accepted := first(own, event.JobAccepted); accepted != nil {
 			return fmt.Sprintf("it found no room; %.0f jobs waited when it came", accepted.fields.number("waiting"))
 		}
 		return ""
@@ -233,7 +239,7 @@
 	return text
 }
 
-func first(lines []line, kind Kind) *line {
+func first(lines []line, kind event.Kind) *line {
 	for k := range lines {
 		if lines[k].kind == kind {
 			return &lines[k]
--- a/event/explain_test.go
+++ b/explain/explain_test.go
@@ -1,4 +1,4 @@
-package event
+package explain
 
 import (
 	"os"
@@ -16,13 +16,13 @@
 	want, err := os.ReadFile("testdata/story.txt")
 	assert.NilError(t, err)
 	for _, id := range []string{"5c0e7a21d94b36f8", "of-the-request"} {
-		story, err := Explain(id, entry, agent)
+		story, err := Job(id, entry, agent)
 		assert.NilError(t, err)
 		assert.Equal(t, strings.Join(story.Lines, "\n")+"\n"+story.Sentence+"\n", string(want))
 	}
 }
 
 func TestExplainKnowsNoOtherJob(t *testing.T) {
-	_, err := Explain("00", []byte("no JSON\n{\"msg\":\"start\"}\n"))
+	_, err := Job("00", []byte("no JSON\n{\"msg\":\"start\"}\n"))
 	assert.ErrorIs(t, err, ErrUnknownJob)
 }
