--- a/cmd/beaconpoint/node.go
+++ b/cmd/beaconpoint/node.go
@@ -26,27 +26,13 @@
 		if err != nil {
 			return fault(exitUsage, fmt.Errorf("%s: %w", path, err))
 		}
-		lines := event.NewLog(os.Stdout)
-		written := make(chan struct{})
-		logging, stopLogging := context.WithCancel(context.Background())
-		go func() {
-			defer close(written)
-			lines.Run(logging)
-		}()
-		defer func() {
-			stopLogging()
-			<-written
-		}()
+		lines, stopLog := startLog()
+		defer stopLog()
 		level := new(slog.LevelVar)
 		level.Set(levelOf(s))
 		log := lines.Logger(level).With("node", s.Name)
 		go reload(ctx, path, level, log)
-		if s.Role == peer.RoleEntry {
-			err = newEntryNode(s, log).Run(ctx)
-		} else {
-			err = newAgentNode(s, log).Run(ctx)
-		}
-		if err != nil && !errors.Is(err, context.Canceled) {
+		if err := runNode(ctx, s, log); err != nil && !errors.Is(err, context.Canceled) {
 			log.Error(event.Fault, "why", err.Error())
 			return fault(exitFailed, err)
 		}
@@ -55,6 +41,31 @@
 	return c
 }
 
+// startLog returns a log on standard output, and a function that writes what is left
+// of it and ends it.
+func startLog() (lines *event.Log, stop func()) {
+	lines = event.NewLog(os.Stdout)
+	ctx, cancel := context.WithCancel(context.Background())
+	written := make(chan struct{})
+	go func() {
+		defer close(written)
+		lines.Run(ctx)
+	}()
+	return lines, func() {
+		cancel()
+		<-written
+	}
+}
+
+// runNode runs the process of the settings' role until the context ends.
+func runNode(ctx context.Context, s settings.Node, log *slog.Logger) error {
+	if s.Role == peer.RoleEntry {
+		return newEntryNode(s, log).Run(ctx)
+	}
+	return newAgentNode(s, log).Run(ctx)
+}
+
+// newEntryNode returns an entry with the adapter to the platform around it.
 func newEntryNode(s settings.Node, log *slog.Logger) *node.Entry {
 	store := platform.NewStore(s.Store, log)
 	e := node.NewEntry(s, store.Directory(), store.Source(), log)
@@ -62,6 +73,7 @@
 	return e
 }
 
+// newAgentNode returns an agent with the adapter to the platform around it.
 func newAgentNode(s settings.Node, log *slog.Logger) *node.Agent {
 	store := platform.NewStore(s.Store, log)
 	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.Target).Calls(), log)
@@ -69,8 +81,8 @@
 	return a
 }
 
-// reload reads the settings again at each SIGHUP. What a running process can't
-// change is left as it is, and said.
+// reload reads the settings again at each SIGHUP until the context ends. The log's
+// level takes effect at once, the rest at the next start.
 func reload(ctx context.Context, path string, level *slog.LevelVar, log *slog.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -90,7 +102,7 @@
 	}
 }
 
-// levelOf returns the level of the settings.
+// levelOf returns the log's level; settings that passed their check have one.
 func levelOf(s settings.Node) slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(s.LogLevel)); err != nil {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -64,8 +64,17 @@
 
 // causes are the kinds of other lines that may explain what became of a job.
 var causes = map[event.Kind]bool{
-	event.AgentLost: true, event.EntryLost: true, event.AgentTargetEjected: true, event.TargetHealth: true, event.TargetIncarnation: true, event.TargetIncarnationOver: true,
-	event.TargetDraining: true, event.Stopping: true, event.Start: true, event.StoreLost: true, event.LinesDropped: true,
+	event.Start:                 true,
+	event.Stopping:              true,
+	event.StoreLost:             true,
+	event.LinesDropped:          true,
+	event.AgentLost:             true,
+	event.EntryLost:             true,
+	event.AgentTargetEjected:    true,
+	event.TargetHealth:          true,
+	event.TargetIncarnation:     true,
+	event.TargetIncarnationOver: true,
+	event.TargetDraining:        true,
 }
 
 // Job gathers what the logs say about a job, named by its id or by that of a
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -338,12 +338,7 @@
 
 // sortedJobs returns the jobs by id, so that histories repeat exactly.
 func (o *Owner) sortedJobs() []*job {
-	list := make([]*job, 0, len(o.jobs))
-	for _, j := range o.jobs {
-		list = append(list, j)
-	}
-	slices.SortFunc(list, func(a, b *job) int { return strings.Compare(a.spec.ID, b.spec.ID) })
-	return list
+	return slices.SortedFunc(maps.Values(o.jobs), func(a, b *job) int { return strings.Compare(a.spec.ID, b.spec.ID) })
 }
 
 // queue returns the queue of a service.
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -1,6 +1,7 @@
 package supervisor
 
 import (
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -286,10 +287,5 @@
 
 // sortedRuns returns the runs by name, so that histories repeat exactly.
 func (s *Supervisor) sortedRuns() []*run {
-	list := make([]*run, 0, len(s.runs))
-	for _, r := range s.runs {
-		list = append(list, r)
-	}
-	slices.SortFunc(list, func(a, b *run) int { return strings.Compare(a.name, b.name) })
-	return list
+	return slices.SortedFunc(maps.Values(s.runs), func(a, b *run) int { return strings.Compare(a.name, b.name) })
 }
--- a/supervisor/session.go
+++ b/supervisor/session.go
@@ -1,6 +1,7 @@
 package supervisor
 
 import (
+	"maps"
 	"slices"
 	"time"
 
@@ -116,10 +117,5 @@
 
 // sortedSessions returns the sessions by id, so that histories repeat exactly.
 func (s *Supervisor) sortedSessions() []*session {
-	list := make([]*session, 0, len(s.sessions))
-	for _, c := range s.sessions {
-		list = append(list, c)
-	}
-	slices.SortFunc(list, func(a, b *session) int { return int(a.id) - int(b.id) })
-	return list
+	return slices.SortedFunc(maps.Values(s.sessions), func(a, b *session) int { return int(a.id) - int(b.id) })
 }
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -176,7 +176,7 @@
 			l.heardA = l.w.now()
 			l.echoA = max(l.echoA, sent.Stamp)
 			l.a.supervisor.Receive(l.w.now(), l.id, &sent)
-			l.a.later()
+			l.a.scheduleFlush()
 		})
 	})
 	return l.seq
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -64,7 +65,7 @@
 			now := e.w.now()
 			e.owner.Tick(now)
 			e.owner.Heartbeats(now, now-beatInterval)
-			e.w.after(entryTick, tick)
+			e.w.after(owner.TickInterval, tick)
 		})
 	}
 	tick()
@@ -137,7 +138,7 @@
 	s.Start = func(c supervisor.StartCall) {
 		a.w.after(supervisor.StartRetry+time.Millisecond, func() { a.do(incarnation, func() { s.Tick(a.w.now()) }) })
 		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.start(c) }, func(r supervisor.Reply) {
-			a.do(incarnation, func() { s.StartAnswered(a.w.now(), c, r); a.later() })
+			a.do(incarnation, func() { s.StartAnswered(a.w.now(), c, r); a.scheduleFlush() })
 		})
 	}
 	s.Stop = func(c supervisor.StopCall) {
@@ -154,13 +155,14 @@
 		now := a.w.now()
 		a.supervisor.Tick(now)
 		a.supervisor.Heartbeats(now, now-beatInterval)
-		a.later()
-		a.w.after(agentTick, func() { a.tick(incarnation) })
+		a.scheduleFlush()
+		a.w.after(supervisor.TickInterval, func() { a.tick(incarnation) })
 	})
 }
 
-// later has a state that waits to be told sent in time.
-func (a *agentProcess) later() {
+// scheduleFlush has a changed state sent when it is due, and a second renewal begun
+// where replies get lost.
+func (a *agentProcess) scheduleFlush() {
 	if !a.renewingBeside && a.supervisor.LosingReplies(a.w.now()) {
 		a.renewingBeside = true
 		a.renewBeside(a.incarnation)
@@ -175,7 +177,7 @@
 		a.flushing = false
 		a.do(incarnation, func() {
 			a.supervisor.Flush(a.w.now())
-			a.later()
+			a.scheduleFlush()
 		})
 	})
 }
@@ -185,7 +187,7 @@
 	a.renewOnce(incarnation, func(wait time.Duration) { a.w.after(wait, func() { a.renew(incarnation) }) })
 }
 
-// renewBeside keeps a second hold under way while answers get lost.
+// renewBeside keeps a second renewal under way while replies get lost.
 func (a *agentProcess) renewBeside(incarnation int) {
 	a.renewOnce(incarnation, func(wait time.Duration) {
 		if !a.supervisor.LosingReplies(a.w.now()) {
@@ -200,13 +202,13 @@
 	a.do(incarnation, func() {
 		c, ok := a.supervisor.NextRenewal(a.w.now())
 		if !ok {
-			next(agentTick)
+			next(supervisor.TickInterval)
 			return
 		}
 		a.target.renew(c, func(r supervisor.Reply, lists *supervisor.RunLists) {
 			a.do(incarnation, func() {
 				a.supervisor.RenewalAnswered(a.w.now(), c, r, lists)
-				a.later()
+				a.scheduleFlush()
 				next(max(time.Millisecond, a.supervisor.RenewalBackoff()))
 			})
 		})
@@ -229,10 +231,5 @@
 // sortedClients returns the entry's callers in the order of their jobs, so that
 // a seed plays the same each time.
 func (e *entryProcess) sortedClients() []*client {
-	list := make([]*client, 0, len(e.clients))
-	for _, c := range e.clients {
-		list = append(list, c)
-	}
-	slices.SortFunc(list, func(a, b *client) int { return strings.Compare(a.spec.ID, b.spec.ID) })
-	return list
+	return slices.SortedFunc(maps.Values(e.clients), func(a, b *client) int { return strings.Compare(a.spec.ID, b.spec.ID) })
 }
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"slices"
 	"time"
 
@@ -222,12 +223,7 @@
 
 // sorted returns what runs, by name.
 func (e *emulatedTarget) sorted() []*emulatedRun {
-	list := make([]*emulatedRun, 0, len(e.runs))
-	for _, r := range e.runs {
-		list = append(list, r)
-	}
-	slices.SortFunc(list, func(a, b *emulatedRun) int { return cmp.Compare(a.name, b.name) })
-	return list
+	return slices.SortedFunc(maps.Values(e.runs), func(a, b *emulatedRun) int { return cmp.Compare(a.name, b.name) })
 }
 
 // finish lists the end of a run.
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -23,8 +23,6 @@
 const (
 	latency      = time.Millisecond
 	resendAfter  = 1300 * time.Millisecond
-	entryTick    = 20 * time.Millisecond
-	agentTick    = 30 * time.Millisecond
 	beatInterval = 110 * time.Millisecond
 	reportEvery  = 1500 * time.Millisecond
 	redial       = 50 * time.Millisecond
