--- a/testutil/fleet/policy_test.go
+++ b/testutil/fleet/policy_test.go
@@ -58,9 +58,9 @@
 		{"late orders", 0.75, 3, small, 8, behaving(small, Behaviour{Late: 0.06}, 8*time.Second), 0.965, 0.945, 0.16},
 		{"lost answers", 0.75, 3, small, 8, behaving(small, Behaviour{Lost: 0.06}, 8*time.Second), 0.965, 0.945, 0.16},
 		{"all killed", 0.75, 3, small, 8, from((*World).KillAll), 0.81, 0.76, 0.18},
-		{"a worker hangs", 0.75, 3, small, 8, behaving(1, Behaviour{Hanging: true}, 4*time.Second), 0.96, 0.94, 0.18},
-		{"a worker is slow", 0.75, 3, small, 8, behaving(1, Behaviour{Slow: 6}, 4*time.Second), 0.96, 0.945, 0.18},
-		{"a worker fails all", 0.75, 3, small, 8, behaving(1, Behaviour{Failing: 1}, 4*time.Second), 0.96, 0.935, 0.18},
+		{"a target hangs", 0.75, 3, small, 8, behaving(1, Behaviour{Hanging: true}, 4*time.Second), 0.96, 0.94, 0.18},
+		{"a target is slow", 0.75, 3, small, 8, behaving(1, Behaviour{Slow: 6}, 4*time.Second), 0.96, 0.945, 0.18},
+		{"a target fails all", 0.75, 3, small, 8, behaving(1, Behaviour{Failing: 1}, 4*time.Second), 0.96, 0.935, 0.18},
 	} {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
