--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -126,7 +126,7 @@
 	last = b.frames["a"][len(b.frames["a"])-1]
 	assert.Equal(t, last.UsedReservation, uint64(7))
 	assert.Equal(t, len(last.Starts), 1)      // the second does not fit
-	assert.Assert(t, last.RoomRequest != nil) // and is wanted on
+	assert.Assert(t, last.RoomRequest != nil) // and room for it is requested again
 }
 
 func TestTheMostUrgentGoesFirst(t *testing.T) {
@@ -155,7 +155,7 @@
 	assert.Equal(t, b.starts("a")[2].Task.Step, 1)
 }
 
-func TestAFailedRunIsTriedElsewhereAsOftenAsAllowed(t *testing.T) {
+func TestAFailedRunIsRetriedElsewhereAsOftenAsAllowed(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.submit(jobOf("1", 1))
 	first := "a"
@@ -172,7 +172,7 @@
 	assert.Equal(t, b.answers["1"].Why, code.JobAttempts)
 }
 
-func TestARefusedOrderGoesElsewhere(t *testing.T) {
+func TestARejectedOrderGoesElsewhere(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.state("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
@@ -189,9 +189,9 @@
 	assert.Equal(t, b.starts("b")[0].Run, 3)
 }
 
-// TestALostAgentsTasksWaitUntilTheyAreSurelyOver is what keeps a task from
+// TestALostAgentsTasksWaitUntilTheyAreCertainlyOver is what keeps a task from
 // running at two targets.
-func TestALostAgentsTasksWaitUntilTheyAreSurelyOver(t *testing.T) {
+func TestALostAgentsTasksWaitUntilTheyAreCertainlyOver(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.state("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
@@ -207,7 +207,7 @@
 	assert.Equal(t, len(b.starts("b")), 1)
 }
 
-func TestAnAgentsWordThatAllIsOverFreesAtOnce(t *testing.T) {
+func TestAnAgentThatIsClearFreesItsTasksAtOnce(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.state("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
@@ -258,7 +258,7 @@
 	assert.Equal(t, b.answers["begun"].Kind, GivenUp)
 }
 
-func TestAnOverdueRunIsStoppedAndTriedElsewhere(t *testing.T) {
+func TestAnOverdueRunIsStoppedAndRetriedElsewhere(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.state("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
@@ -272,7 +272,7 @@
 	assert.Equal(t, b.Stats().Moved, uint64(1))
 }
 
-func TestAEjectedTargetsRunsAreMoved(t *testing.T) {
+func TestAnEjectedTargetsRunsAreMoved(t *testing.T) {
 	b := newBench(t, "a", "b")
 	b.state("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 2))
@@ -308,9 +308,9 @@
 	assert.Assert(t, !b.CancelJob(b.now, "1"))
 }
 
-// TestAJobWhoseCallerLeavesTooSoonIsNotBegun: nobody would take its answer, and a
+// TestAJobWhoseCallerLeavesTooSoonIsNotStarted: nobody would take its answer, and a
 // resend often comes with little time left.
-func TestAJobWhoseCallerLeavesTooSoonIsNotBegun(t *testing.T) {
+func TestAJobWhoseCallerLeavesTooSoonIsNotStarted(t *testing.T) {
 	b := newBench(t, "a")
 	j := jobOf("1", 2)
 	j.CallerTimeout = 50 * ms // its tasks take 100
@@ -324,9 +324,9 @@
 	assert.Equal(t, len(b.starts("a")), 2)
 }
 
-// TestAJobThatWasOnlyTurnedDownIsRefused: no agent has asked its target to start
+// TestAJobWhoseOrdersWereOnlyRejectedIsRefused: no agent has asked its target to start
 // a task of it, so the refusal is true, and need not wait until it is too late.
-func TestAJobThatWasOnlyTurnedDownIsRefused(t *testing.T) {
+func TestAJobWhoseOrdersWereOnlyRejectedIsRefused(t *testing.T) {
 	for why, kind := range map[code.Code]Kind{
 		code.RunNoRoom: Refused, code.RunNotTaking: Refused, code.RunStaleOwner: Refused,
 		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunOld: GivenUp, // a target may have been asked
@@ -341,7 +341,7 @@
 	}
 }
 
-func TestStagesAndCausesAreTold(t *testing.T) {
+func TestStagesAndCausesAreObserved(t *testing.T) {
 	b := newBench(t, "a")
 	took := make(map[stage.Stage][]time.Duration)
 	var causes []code.Code
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -17,9 +17,9 @@
 	backlogSince time.Duration
 }
 
-// startSpan returns the time from the first to the last start of the given number of tasks at
-// the present rate of starts; zero while no job waits or the rate is not known.
-// Measured in a burst: 0.857 earned without it, 0.875 with it.
+// startSpan returns the time from the first to the last start of the given number of
+// tasks at the present rate of starts; zero while no job waits or the rate is not
+// known. Measured in a burst: 0.857 earned without it, 0.875 with it.
 func (q *queue) startSpan(now time.Duration, tasks int) time.Duration {
 	if tasks < 2 || q.backlogSince == 0 {
 		return 0
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// refuseHopeless refuses waiting jobs of a queue that the jobs before them leave no
-// time. While the rate of starts is not known, none is.
+// refuseHopeless refuses those waiting jobs of a queue that the jobs before them leave
+// no time. It refuses none while the rate of starts is not known.
 func (o *Owner) refuseHopeless(now time.Duration, q *queue) {
 	q.trackBacklog(now)
 	if len(q.waiting) == 0 {
@@ -157,16 +157,9 @@
 	ahead := 0.0 // core-seconds
 	othersMeet := false
 	for _, j := range order {
-		p := place{
-			waited:           now - j.arrived,
-			objective:        j.spec.Objective(),
-			untilLatestStart: j.urgency(now).latestStart() - now,
-			wait:             time.Duration(ahead / rate * float64(time.Second)),
-			missesObjective:  j.missesObjective(),
-			othersMeet:       othersMeet,
-		}
-		if !j.started() && p.refuse() {
-			o.giveUp(now, j, code.JobBehind, max(retryAfter, p.wait))
+		wait := time.Duration(ahead / rate * float64(time.Second))
+		if !j.started() && j.place(now, wait, othersMeet).refuse() {
+			o.giveUp(now, j, code.JobBehind, max(retryAfter, wait))
 			continue
 		}
 		othersMeet = othersMeet || !j.missesObjective()
@@ -175,6 +168,18 @@
 	q.reorder()
 }
 
+// place returns j's place behind jobs that take the given time.
+func (j *job) place(now, wait time.Duration, othersMeet bool) place {
+	return place{
+		waited:           now - j.arrived,
+		objective:        j.spec.Objective(),
+		untilLatestStart: j.urgency(now).latestStart() - now,
+		wait:             wait,
+		missesObjective:  j.missesObjective(),
+		othersMeet:       othersMeet,
+	}
+}
+
 // giveUp answers j without its work being done: refused if no order of it has
 // reached a target, given up otherwise.
 func (o *Owner) giveUp(now time.Duration, j *job, why code.Code, retry time.Duration) {
--- a/supervisor/health.go
+++ b/supervisor/health.go
@@ -74,8 +74,8 @@
 	return math.Exp(-h.logRatio)
 }
 
-// admits reports whether the target may get one more run while the given number of probes are
-// at work there.
+// admits reports whether the target may get one more run while the given number of
+// probes are at work there.
 func (h *health) admits(now time.Duration, probes int) bool {
 	if !h.ejected {
 		return true
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -115,7 +115,7 @@
 	assert.Assert(t, len(b.starts) > 1) // the same run again
 	assert.Equal(t, b.starts[1].Order.Run, 1)
 	b.list(nil, nil)
-	assert.Equal(t, len(b.runs), 1) // a start may still be done
+	assert.Equal(t, len(b.runs), 1) // a start may still take effect
 	for range 14 {
 		b.beat(100 * ms)
 		b.list(nil, nil)
@@ -136,7 +136,7 @@
 	assert.Equal(t, len(b.stops), 1)
 }
 
-func TestAnOrderOfAStaleOwnerIsRefused(t *testing.T) {
+func TestAnOrderUnderAnExpiredLeaseIsRejected(t *testing.T) {
 	b := newBench(t)
 	b.now += OwnerLease + ms
 	b.Receive(b.now, 1, &peer.Frame{Seq: 1, Starts: []task.Order{order(0, 1000)}})
@@ -157,7 +157,7 @@
 	assert.Equal(t, len(b.starts), 0)
 }
 
-func TestANewLifeEndsAllRuns(t *testing.T) {
+func TestANewIncarnationEndsAllRuns(t *testing.T) {
 	b := newBench(t)
 	b.orders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
@@ -165,7 +165,7 @@
 	assert.Equal(t, b.ends()[0].End, task.EndLost)
 	assert.Equal(t, b.ends()[0].Reason, code.RunTargetGone)
 	b.orders(order(1, 1000))
-	assert.Equal(t, b.ends()[1].Reason, code.RunNotTaking) // until it is known to be empty
+	assert.Equal(t, b.ends()[1].Reason, code.RunNotTaking) // until it is known to be cleared
 }
 
 // TestANewAgentAwaitsAClearedTarget shows that orders of an earlier agent are fenced
@@ -174,7 +174,7 @@
 	b := newBench(t)
 	earlier := b.target.token
 	again := &bench{Supervisor: NewSupervisor(slog.New(slog.DiscardHandler)), now: b.now + 50*ms}
-	again.Start = func(StartCall) { t.Error("a start before the worker is empty") }
+	again.Start = func(StartCall) { t.Error("a start before the target is cleared") }
 	again.Stop = func(c StopCall) { again.stops = append(again.stops, c) }
 	again.Send = func(ConnID, *peer.Frame) {}
 	again.Heartbeat(again.now, again.report("i-1", 9))
@@ -202,7 +202,7 @@
 	assert.Equal(t, b.ends()[0].Reason, code.RunTargetSilent)
 }
 
-func TestRoomIsOfferedToTheMostUrgent(t *testing.T) {
+func TestRoomIsReservedForTheMostUrgent(t *testing.T) {
 	b := newBench(t)
 	b.Connected(b.now, 2, "other")
 	b.orders(order(0, 4000))
@@ -220,7 +220,7 @@
 	b.list(nil, []EndedRow{{N: 1, Name: order(0, 0).Task.String(), Run: 1, End: task.EndDone}})
 	assert.Equal(t, first, ConnID(2))
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, Starts: []task.Order{order(1, 2000)}})
-	assert.Equal(t, len(b.starts), 1) // three cores are held for the other
+	assert.Equal(t, len(b.starts), 1) // three cores are reserved for the other
 }
 
 // profiles returns how many frames since the given one carry the profile.
@@ -234,25 +234,25 @@
 	return count
 }
 
-// TestAProfileIsToldWhenItChanges and not with each state: most of a state's
+// TestAProfileIsSentWhenItChanges and not with each state: most of a state's
 // bytes would be the same again.
-func TestAProfileIsToldWhenItChanges(t *testing.T) {
+func TestAProfileIsSentWhenItChanges(t *testing.T) {
 	b := newBench(t)
 	assert.Equal(t, b.profiles(0), 1)
-	told := len(b.frames)
+	sent := len(b.frames)
 	b.orders(order(1, 1000))
 	b.beat(300 * ms)
-	assert.Assert(t, len(b.frames) > told)
-	assert.Equal(t, b.profiles(told), 0)
+	assert.Assert(t, len(b.frames) > sent)
+	assert.Equal(t, b.profiles(sent), 0)
 	larger := b.report("i-1", 2)
 	larger.Capacity.CPU = 6000
 	b.Heartbeat(b.now, larger)
 	b.beat(100 * ms)
-	assert.Equal(t, b.profiles(told), 1)
-	told = len(b.frames)
+	assert.Equal(t, b.profiles(sent), 1)
+	sent = len(b.frames)
 	b.Connected(b.now, 2, "edge-2")
 	b.beat(100 * ms)
-	assert.Equal(t, b.profiles(told), 1) // the new connection knows nothing
+	assert.Equal(t, b.profiles(sent), 1) // the new connection knows nothing
 }
 
 // TestStatesAreFewerWithManyEntries: each costs a frame for each of them.
@@ -265,9 +265,9 @@
 	assert.Equal(t, b.stateInterval(), 60*ms)
 }
 
-// TestACallThatFailsIsTriedLessOften: a target that turns every connection away
+// TestACallThatFailsIsRetriedLessOften: a target that turns every connection away
 // must not be called fifty times a second.
-func TestACallThatFailsIsTriedLessOften(t *testing.T) {
+func TestACallThatFailsIsRetriedLessOften(t *testing.T) {
 	b := newBench(t)
 	var waits []time.Duration
 	for range 6 {
@@ -296,7 +296,7 @@
 	lists := &RunLists{Ended: []EndedRow{{N: 1, Name: b.starts[0].Order.Task.String(), Run: 1, End: task.EndDone}}}
 	b.RenewalAnswered(b.now, second, b.reply(Accepted), lists)
 	b.RenewalAnswered(b.now, first, b.reply(Accepted), lists)
-	assert.Equal(t, len(b.ends()), 1)         // told once
+	assert.Equal(t, len(b.ends()), 1)         // sent once
 	assert.Assert(t, !b.LosingReplies(b.now)) // nothing runs
 	assert.Assert(t, !b.LosingReplies(b.now+losingRepliesTime))
 }
