--- a/cmd/beaconpoint/seats_roles.go
+++ b/cmd/beaconpoint/seats_roles.go
@@ -17,6 +17,11 @@
 	nodesettings "github.com/beaconpoint/beaconpoint/settings"
 )
 
+// The commands of the files seats_*.go are those of the earlier engine, which the
+// deploy file does not run (seats/README.md): its processes here, its callers' tools in
+// seats_submit.go, its operators' in seats_operate.go.
+
+// settingsFlag adds the flag that names a settings file; `node` has it, too.
 func settingsFlag(s *flaggy.Subcommand, path *string) {
 	s.String(path, "s", "settings", "the YAML file with the process's settings")
 }
--- a/node/link.go
+++ b/node/link.go
@@ -12,8 +12,8 @@
 
 // Times of the connections between entries and agents.
 const (
-	// heartbeatInterval is how often a connection carries a frame at least: two
-	// lost ones are borne by the leases. docs/CAPACITY.md counts its bytes.
+	// heartbeatInterval is how often a connection carries a frame at least, so that
+	// leases go on. docs/CAPACITY.md counts its bytes. Not measured.
 	heartbeatInterval = 110 * time.Millisecond
 	// peerSilence is how long a peer may be silent before its connection is given
 	// up: longer than the entry's lease. Not measured.
--- a/owner/agent.go
+++ b/owner/agent.go
@@ -10,9 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// maxStateAge is how long after its last frame an agent is still given work. The
-// agents send a frame each 110 ms at least, so that two lost ones are borne. Not
-// measured.
+// maxStateAge is how long after its last frame an agent is still given work. The agents
+// send a frame each 110 ms at least. Not measured.
 const maxStateAge = 300 * time.Millisecond
 
 // minSpeed bounds a target's speed from below: a target that reported no speed yet
--- a/supervisor/session.go
+++ b/supervisor/session.go
@@ -11,9 +11,9 @@
 )
 
 // OwnerLease is how long an entry may be silent before its runs are stopped,
-// counted from the agent's own stamp that the entry echoed. A shorter one would
-// lose runs on links that lose packets: two losses in a row are 600 ms.
-// docs/design/platform.md has the sum of the leases.
+// counted from the agent's own stamp that the entry echoed. A shorter one would stop
+// more runs on links that lose packets, where a second loss in a row takes 600 ms to
+// repair. docs/design/platform.md has the sum of the leases.
 const OwnerLease = 500 * time.Millisecond
 
 // ConnID names one connection of an entry. An entry that connects again owns
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -43,7 +43,7 @@
 )
 
 // TickInterval is how often Tick should be called: it bounds how late leases and
-// timeouts are noticed. docs/design/platform.md counts it among the late timers.
+// timeouts are noticed. Not measured.
 const TickInterval = 30 * time.Millisecond
 
 // Rules are the mechanisms that keep a task from running twice. They are as
