--- a/cmd/beaconpoint/main.go
+++ b/cmd/beaconpoint/main.go
@@ -61,12 +61,14 @@
 	flaggy.ShowHelpAndExit("name one of the subcommands")
 }
 
+// newCommand returns a subcommand without flags.
 func newCommand(name, description string) *flaggy.Subcommand {
 	s := flaggy.NewSubcommand(name)
 	s.Description = description
 	return s
 }
 
+// codesCommand prints the table of result codes, as docs/result-codes.md holds it.
 func codesCommand() *command {
 	c := &command{sub: newCommand("codes", "prints the table of result codes")}
 	c.run = func(context.Context) int {
@@ -76,6 +78,7 @@
 	return c
 }
 
+// eventsCommand prints the table of log events, as docs/log-events.md holds it.
 func eventsCommand() *command {
 	c := &command{sub: newCommand("events", "prints the table of log events")}
 	c.run = func(context.Context) int {
@@ -85,6 +88,7 @@
 	return c
 }
 
+// versionCommand prints the version.
 func versionCommand() *command {
 	c := &command{sub: newCommand("version", "prints the version")}
 	c.run = func(context.Context) int {
--- a/code/code.go
+++ b/code/code.go
@@ -125,17 +125,16 @@
 	TargetRecovered Code = 824
 )
 
-// Entry describes one code for people: the table in docs/result-codes.md is
-// made from these.
-type Entry struct {
+// Row describes one code: docs/result-codes.md is made from these.
+type Row struct {
 	Code    Code
 	Name    string
 	Status  int
 	Meaning string
 }
 
-// Lookup returns the entry of c, and whether c is known.
-func Lookup(c Code) (Entry, bool) {
+// Lookup returns the row of c, and whether c is known.
+func Lookup(c Code) (Row, bool) {
 	e, ok := byCode[c]
 	return e, ok
 }
--- a/code/table.go
+++ b/code/table.go
@@ -7,7 +7,7 @@
 )
 
 // Table lists every code in order of its number.
-var Table = []Entry{
+var Table = []Row{
 	{OK, "ok", http.StatusOK, "The answer is complete."},
 
 	{BadJSON, "bad-json", http.StatusBadRequest, "The body is not the JSON that the call expects."},
@@ -102,8 +102,9 @@
 
 var byCode = index(Table)
 
-func index(table []Entry) map[Code]Entry {
-	m := make(map[Code]Entry, len(table))
+// index returns the rows by their code.
+func index(table []Row) map[Code]Row {
+	m := make(map[Code]Row, len(table))
 	for _, e := range table {
 		m[e.Code] = e
 	}
--- a/event/event.go
+++ b/event/event.go
@@ -73,9 +73,8 @@
 	UnknownEnd            Kind = "unknown-end"
 )
 
-// Entry describes a kind of line for people: docs/log-events.md is made from
-// these.
-type Entry struct {
+// Row describes a kind of line: docs/log-events.md is made from these.
+type Row struct {
 	Kind Kind
 	// Routine lines are the first to be dropped where there are too many.
 	Routine bool
@@ -83,7 +82,7 @@
 }
 
 // Catalogue lists every kind.
-var Catalogue = []Entry{
+var Catalogue = []Row{
 	{Start, false, "A process begins: its role, name and data hall."},
 	{Stopping, false, "It was told to stop, and finishes what it has."},
 	{Stop, false, "It ends."},
@@ -135,8 +134,10 @@
 	{UnknownEnd, false, "The target listed an end of a kind that is not known; the task is started again."},
 }
 
+// routine has the kinds whose lines are dropped first.
 var routine = index()
 
+// index returns the routine kinds of the catalogue.
 func index() map[Kind]bool {
 	m := make(map[Kind]bool)
 	for _, e := range Catalogue {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -45,6 +45,7 @@
 // fields are the attributes of a line.
 type fields map[string]any
 
+// text returns an attribute as text, empty where the line has none.
 func (f fields) text(key string) string {
 	v, ok := f[key]
 	if !ok {
@@ -53,6 +54,7 @@
 	return fmt.Sprint(v)
 }
 
+// number returns a number, zero where the line has none.
 func (f fields) number(key string) float64 {
 	n, _ := f[key].(float64)
 	return n
@@ -248,6 +250,7 @@
 	return text
 }
 
+// first returns the first line of a kind, or nil.
 func first(lines []line, kind event.Kind) *line {
 	for k := range lines {
 		if lines[k].kind == kind {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -67,8 +67,8 @@
 	e.stages = newStageHistograms(set, stage.EntryStages)
 	e.answers = make(map[code.Code]*metrics.Counter)
 	for _, c := range answerCauses {
-		entry, _ := code.Lookup(c)
-		e.answers[c] = set.NewCounter(fmt.Sprintf("beaconpoint_answers_total{why=%q}", entry.Name))
+		row, _ := code.Lookup(c) // answerCauses are known
+		e.answers[c] = set.NewCounter(fmt.Sprintf("beaconpoint_answers_total{why=%q}", row.Name))
 	}
 	return set
 }
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -56,6 +56,7 @@
 
 var linePrefix = regexp.MustCompile(`^line (\d+): (.*)$`)
 
+// lineFault splits the line number off the decoder's message.
 func lineFault(text string) Fault {
 	if m := linePrefix.FindStringSubmatch(text); m != nil {
 		line, _ := strconv.Atoi(m[1])
@@ -84,6 +85,7 @@
 
 var validate = newValidator()
 
+// newValidator returns a validator whose messages name the keys of the file.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("yaml") })
@@ -154,6 +156,7 @@
 	return line
 }
 
+// child returns the value of a key with the key's line, or nil.
 func child(n *yaml.Node, key string) (int, *yaml.Node) {
 	for k := 0; k+1 < len(n.Content); k += 2 {
 		if n.Content[k].Value == key {
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -24,15 +24,15 @@
 	At       uint64 `json:"at,omitempty"`
 }
 
-// Faults is how the store misbehaves.
+// Faults is how the store fails.
 type Faults struct {
 	// Down refuses every call; Silent leaves every call without an answer
 	// until its caller gives up.
 	Down, Silent bool
-	// LoseAnswers is how many writes take effect without an answer.
+	// LoseAnswers is how many more writes take effect without an answer.
 	LoseAnswers int
-	// BeforeWrite is called before a transaction is looked at, as if that had
-	// been under way for long.
+	// BeforeWrite is called before a transaction is carried out, as if it had been
+	// under way for long.
 	BeforeWrite func()
 }
 
@@ -65,7 +65,7 @@
 	return s
 }
 
-// SetFaults changes how the store misbehaves.
+// SetFaults changes how the store fails.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,6 +134,7 @@
 	s.mux.ServeHTTP(w, r)
 }
 
+// wake wakes the watches. It is called with the lock held.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -151,6 +152,7 @@
 	s.history = append(s.history, i)
 }
 
+// remove removes a key, if it is there.
 func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
@@ -160,6 +162,7 @@
 	s.history = append(s.history, Item{Key: key, Revision: s.revision, Gone: true})
 }
 
+// key answers with one key.
 func (s *Store) key(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,6 +175,7 @@
 	reply(w, http.StatusOK, i)
 }
 
+// list answers with a page of the keys of a prefix.
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,6 +197,7 @@
 // pageSize is how many items a page has.
 const pageSize = 500
 
+// watch answers with the changes of a prefix after a revision, and waits for one.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, _ := strconv.ParseUint(q.Get("depends_on"), 10, 64)
@@ -232,6 +237,7 @@
 	Revision uint64 `json:"revision"`
 }
 
+// transact carries out a transaction, if its conditions hold.
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Expected []condition `json:"expected_rev"`
@@ -274,6 +280,7 @@
 	reply(w, http.StatusOK, map[string]any{"revision": s.revision})
 }
 
+// reply writes a JSON answer.
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -34,6 +34,7 @@
 	doubled      []string // those that were started while another run of the task was at work
 }
 
+// run is a run that is at work.
 type run struct {
 	name        string
 	number      int
@@ -44,65 +45,65 @@
 // NewTarget returns a target of a service with the given processor, in
 // thousandths of a core.
 func NewTarget(service string, cpu int) *Target {
-	w := &Target{mux: http.NewServeMux(), service: service, cpu: cpu}
-	w.mux.HandleFunc("POST /beaconpoint/run-start", w.start)
-	w.mux.HandleFunc("POST /beaconpoint/run-stop", w.stop)
-	w.mux.HandleFunc("POST /beaconpoint/hold", w.hold)
-	w.Restart()
-	return w
+	t := &Target{mux: http.NewServeMux(), service: service, cpu: cpu}
+	t.mux.HandleFunc("POST /beaconpoint/run-start", t.start)
+	t.mux.HandleFunc("POST /beaconpoint/run-stop", t.stop)
+	t.mux.HandleFunc("POST /beaconpoint/hold", t.hold)
+	t.Restart()
+	return t
 }
 
 // Restart begins a new incarnation in which nothing runs.
-func (w *Target) Restart() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, r := range w.runs {
+func (t *Target) Restart() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, r := range t.runs {
 		r.timer.Stop()
 	}
-	w.incarnations++
-	w.began = time.Now()
-	w.deadline, w.token, w.count = 0, 0, 0
-	w.runs = make(map[string]*run)
-	w.highest = make(map[string]int)
-	w.ended = nil
-	w.draining = false
-	w.wake()
+	t.incarnations++
+	t.began = time.Now()
+	t.deadline, t.token, t.count = 0, 0, 0
+	t.runs = make(map[string]*run)
+	t.highest = make(map[string]int)
+	t.ended = nil
+	t.draining = false
+	t.wake()
 }
 
 // SetFailing makes all runs that begin from now on fail.
-func (w *Target) SetFailing(failing bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.failing = failing
+func (t *Target) SetFailing(failing bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.failing = failing
 }
 
 // Starts returns the names of all runs that were ever started.
-func (w *Target) Starts() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]string(nil), w.starts...)
+func (t *Target) Starts() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return append([]string(nil), t.starts...)
 }
 
 // Doubled returns the names of the tasks that were started while another run of them
 // was at work here.
-func (w *Target) Doubled() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]string(nil), w.doubled...)
+func (t *Target) Doubled() []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return append([]string(nil), t.doubled...)
 }
 
 // Report sends one heartbeat to the agent at addr.
-func (w *Target) Report(addr string, seq int) error {
-	w.mu.Lock()
+func (t *Target) Report(addr string, seq int) error {
+	t.mu.Lock()
 	state := "ready"
-	if w.draining {
+	if t.draining {
 		state = "draining"
 	}
-	body, err := json.Marshal(map[string]any{"service": w.service, "address": "127.0.0.1:1", "zone": "z", "version": "v1",
-		"slots": 8, "state": state, "capacity": map[string]int{"cpu": w.cpu, "mem_mb": 4096}, "labels": []string{"a"},
-		"clock_ms": w.clock(), "seq": seq})
-	id := w.id()
-	w.mu.Unlock()
+	body, err := json.Marshal(map[string]any{"service": t.service, "address": "127.0.0.1:1", "zone": "z", "version": "v1",
+		"slots": 8, "state": state, "capacity": map[string]int{"cpu": t.cpu, "mem_mb": 4096}, "labels": []string{"a"},
+		"clock_ms": t.clock(), "seq": seq})
+	id := t.id()
+	t.mu.Unlock()
 	if err != nil {
 		return err
 	}
@@ -114,33 +115,37 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (w *Target) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	w.mu.Lock()
+func (t *Target) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	t.mu.Lock()
 	expected := r.Header.Get("Beaconpoint-Expect-Instance")
-	other := expected != "" && expected != w.id()
-	w.mu.Unlock()
+	other := expected != "" && expected != t.id()
+	t.mu.Unlock()
 	if other {
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	w.mux.ServeHTTP(rw, r)
+	t.mux.ServeHTTP(rw, r)
 }
 
-func (w *Target) id() string {
-	return fmt.Sprintf("i-%p-%d", w, w.incarnations)
+// id returns the id of the incarnation.
+func (t *Target) id() string {
+	return fmt.Sprintf("i-%p-%d", t, t.incarnations)
 }
 
-func (w *Target) clock() int64 {
-	return time.Since(w.began).Milliseconds() + 1000
+// clock returns the target's own clock, in milliseconds.
+func (t *Target) clock() int64 {
+	return time.Since(t.began).Milliseconds() + 1000
 }
 
-func (w *Target) wake() {
-	if w.changed != nil {
-		close(w.changed)
+// wake ends the waits of renewals. It is called with the lock held.
+func (t *Target) wake() {
+	if t.changed != nil {
+		close(t.changed)
 	}
-	w.changed = make(chan struct{})
+	t.changed = make(chan struct{})
 }
 
+// order is the body of every call, each with the parts that it has.
 type order struct {
 	Task     string `json:"task"`
 	Run      int    `json:"run"`
@@ -152,123 +157,128 @@
 }
 
 // take reads an order and checks its token. It returns with the lock held.
-func (w *Target) take(rw http.ResponseWriter, r *http.Request) (order, bool) {
+func (t *Target) take(rw http.ResponseWriter, r *http.Request) (order, bool) {
 	var o order
 	err := json.NewDecoder(r.Body).Decode(&o)
-	w.mu.Lock()
+	t.mu.Lock()
 	switch {
 	case err != nil:
 		rw.WriteHeader(http.StatusBadRequest)
 		return o, false
-	case o.Token < w.token:
-		w.reply(rw, http.StatusConflict, map[string]any{"reason": "fence"})
+	case o.Token < t.token:
+		t.reply(rw, http.StatusConflict, map[string]any{"reason": "fence"})
 		return o, false
 	}
-	w.token = o.Token
+	t.token = o.Token
 	return o, true
 }
 
-func (w *Target) reply(rw http.ResponseWriter, status int, body map[string]any) {
-	body["clock_ms"] = w.clock()
+// reply answers, with the target's clock.
+func (t *Target) reply(rw http.ResponseWriter, status int, body map[string]any) {
+	body["clock_ms"] = t.clock()
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
 	_ = json.NewEncoder(rw).Encode(body) // the caller may have gone
 }
 
-func (w *Target) start(rw http.ResponseWriter, r *http.Request) {
-	o, ok := w.take(rw, r)
-	defer w.mu.Unlock()
-	switch present := w.runs[o.Task]; {
+// start starts a run, unless it is there, late or old.
+func (t *Target) start(rw http.ResponseWriter, r *http.Request) {
+	o, ok := t.take(rw, r)
+	defer t.mu.Unlock()
+	switch present := t.runs[o.Task]; {
 	case !ok:
 	case present != nil && present.number == o.Run:
-		w.reply(rw, http.StatusOK, map[string]any{})
-	case o.Deadline < w.clock():
-		w.reply(rw, http.StatusConflict, map[string]any{"reason": "late"})
-	case o.Run <= w.highest[o.Task]:
-		w.reply(rw, http.StatusConflict, map[string]any{"reason": "old"})
+		t.reply(rw, http.StatusOK, map[string]any{})
+	case o.Deadline < t.clock():
+		t.reply(rw, http.StatusConflict, map[string]any{"reason": "late"})
+	case o.Run <= t.highest[o.Task]:
+		t.reply(rw, http.StatusConflict, map[string]any{"reason": "old"})
 	default:
-		w.begin(o)
-		w.reply(rw, http.StatusOK, map[string]any{})
+		t.begin(o)
+		t.reply(rw, http.StatusOK, map[string]any{})
 	}
 }
 
-func (w *Target) begin(o order) {
-	w.deadline = max(w.deadline, o.Deadline)
-	if w.runs[o.Task] != nil {
-		w.doubled = append(w.doubled, o.Task)
+// begin begins a run, which ends by itself after the time that its spec says.
+func (t *Target) begin(o order) {
+	t.deadline = max(t.deadline, o.Deadline)
+	if t.runs[o.Task] != nil {
+		t.doubled = append(t.doubled, o.Task)
 	}
-	w.starts = append(w.starts, o.Task)
+	t.starts = append(t.starts, o.Task)
 	how := "done"
-	if w.failing {
+	if t.failing {
 		how = "failed"
 	}
 	took, err := time.ParseDuration(o.Spec)
 	if err != nil {
 		took, how = 0, "failed"
 	}
-	one := &run{name: o.Task, number: o.Run, incarnation: w.incarnations}
+	one := &run{name: o.Task, number: o.Run, incarnation: t.incarnations}
 	one.timer = time.AfterFunc(took, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.finish(one, how)
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		t.finish(one, how)
 	})
-	w.runs[o.Task] = one
+	t.runs[o.Task] = one
 }
 
 // finish lists the end of a run. It is called with the lock held.
-func (w *Target) finish(r *run, how string) {
-	if w.runs[r.name] != r || r.incarnation != w.incarnations {
+func (t *Target) finish(r *run, how string) {
+	if t.runs[r.name] != r || r.incarnation != t.incarnations {
 		return
 	}
-	if w.clock() > w.deadline {
+	if t.clock() > t.deadline {
 		how = "lapsed"
 	}
 	r.timer.Stop()
-	delete(w.runs, r.name)
-	w.highest[r.name] = max(w.highest[r.name], r.number)
-	w.count++
-	w.ended = append(w.ended, []any{w.count, r.name, r.number, how, ""})
-	w.wake()
+	delete(t.runs, r.name)
+	t.highest[r.name] = max(t.highest[r.name], r.number)
+	t.count++
+	t.ended = append(t.ended, []any{t.count, r.name, r.number, how, ""})
+	t.wake()
 }
 
-func (w *Target) stop(rw http.ResponseWriter, r *http.Request) {
-	o, ok := w.take(rw, r)
-	defer w.mu.Unlock()
+// stop ends a run, and keeps it from beginning later.
+func (t *Target) stop(rw http.ResponseWriter, r *http.Request) {
+	o, ok := t.take(rw, r)
+	defer t.mu.Unlock()
 	if !ok {
 		return
 	}
-	w.highest[o.Task] = max(w.highest[o.Task], o.Run)
-	if present := w.runs[o.Task]; present != nil && present.number == o.Run {
-		w.finish(present, "stopped")
+	t.highest[o.Task] = max(t.highest[o.Task], o.Run)
+	if present := t.runs[o.Task]; present != nil && present.number == o.Run {
+		t.finish(present, "stopped")
 	}
-	w.reply(rw, http.StatusOK, map[string]any{})
+	t.reply(rw, http.StatusOK, map[string]any{})
 }
 
-func (w *Target) hold(rw http.ResponseWriter, r *http.Request) {
-	o, ok := w.take(rw, r)
-	defer w.mu.Unlock()
+// hold renews the lease and answers with the lists, once there is an end to list.
+func (t *Target) hold(rw http.ResponseWriter, r *http.Request) {
+	o, ok := t.take(rw, r)
+	defer t.mu.Unlock()
 	if !ok {
 		return
 	}
-	w.deadline = max(w.deadline, o.Deadline)
-	for len(w.ended) > 0 && w.ended[0][0].(uint64) <= o.LastSeen {
-		w.ended = w.ended[1:]
+	t.deadline = max(t.deadline, o.Deadline)
+	for len(t.ended) > 0 && t.ended[0][0].(uint64) <= o.LastSeen {
+		t.ended = t.ended[1:]
 	}
-	if len(w.ended) == 0 && o.Wait > 0 {
-		w.wait(r, time.Duration(o.Wait)*time.Millisecond)
+	if len(t.ended) == 0 && o.Wait > 0 {
+		t.wait(r, time.Duration(o.Wait)*time.Millisecond)
 	}
 	running := [][]any{}
-	for _, one := range w.runs {
+	for _, one := range t.runs {
 		running = append(running, []any{one.name, one.number, "", 100})
 	}
-	w.reply(rw, http.StatusOK, map[string]any{"running": running, "ended": append([][]any{}, w.ended...)})
+	t.reply(rw, http.StatusOK, map[string]any{"running": running, "ended": append([][]any{}, t.ended...)})
 }
 
 // wait waits for an end, without the lock.
-func (w *Target) wait(r *http.Request, d time.Duration) {
-	changed := w.changed
-	w.mu.Unlock()
-	defer w.mu.Lock()
+func (t *Target) wait(r *http.Request, d time.Duration) {
+	changed := t.changed
+	t.mu.Unlock()
+	defer t.mu.Lock()
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -30,6 +30,7 @@
 	seq     uint64
 }
 
+// linkOf returns the link between an entry and an agent.
 func (w *World) linkOf(entry, agent string) *link {
 	for _, l := range w.links {
 		if l.e.name == entry && l.a.name == agent {
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -60,12 +60,14 @@
 	polls        []func() bool // renewals that wait for an end
 }
 
+// emulatedRun is a run at work on an emulated target.
 type emulatedRun struct {
 	order task.Order
 	name  string
 	left  bool // is over
 }
 
+// newEmulatedTarget returns a target in its first incarnation.
 func newEmulatedTarget(w *World, capacity task.Needs) *emulatedTarget {
 	e := &emulatedTarget{w: w, capacity: capacity, speed: 1, rate: 0.98 + 0.02*w.rng.Float64()}
 	e.begin()
@@ -303,6 +305,7 @@
 	})
 }
 
+// lists returns the answer to a renewal.
 func (e *emulatedTarget) lists() *supervisor.RunLists {
 	a := &supervisor.RunLists{Ended: slices.Clone(e.ended)}
 	for _, r := range e.sorted() {
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -102,6 +102,7 @@
 	return sum
 }
 
+// addStats returns the sum of two counts.
 func addStats(a, b owner.Stats) owner.Stats {
 	a.Submitted += b.Submitted
 	a.Completed += b.Completed
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -109,6 +109,7 @@
 		"services":[{"name":%q}],"limits":{"max_body_bytes":4096}}`, version, Host, prefix, Service, Service))
 }
 
+// addAgent starts agent k with its target, which sends heartbeats until the test ends.
 func (s *System) addAgent(k int) {
 	w := target.NewTarget(Service, 4000)
 	server := httptest.NewServer(s.wrap(w))
@@ -139,6 +140,7 @@
 	}()
 }
 
+// addEntry starts entry k.
 func (s *System) addEntry(k int) {
 	n := s.node(peer.RoleEntry, fmt.Sprintf("edge-%d", k))
 	n.Callers, n.Readiness = ownAddr(s.tb), ownAddr(s.tb)
@@ -154,6 +156,7 @@
 	s.Begin(p)
 }
 
+// node returns settings with addresses that nobody else uses.
 func (s *System) node(role peer.Role, name string) settings.Node {
 	n := settings.DefaultNode()
 	n.Role, n.Name, n.Hall, n.Peers, n.Store = role, name, "z", ownAddr(s.tb), s.store
