--- a/node/outside.go
+++ b/node/outside.go
@@ -15,7 +15,7 @@
 //	retry.go             calls to the store, repeated
 //	metrics.go           what is counted
 //
-// Each state machine has one lock. Its functions fields are called with the lock
+// Each state machine has one lock. Its function fields are called with the lock
 // held; they start goroutines or queue frames and never block.
 package node
 
