--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -3,19 +3,16 @@
 import (
 	"bytes"
 	"log/slog"
-	"os"
 	"regexp"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
-	"gotest.tools/v3/assert"
-	"gotest.tools/v3/golden"
 
 	"github.com/beaconpoint/beaconpoint/settings"
 	"github.com/beaconpoint/beaconpoint/stage"
+	"github.com/beaconpoint/beaconpoint/testutil/page"
 )
 
 // names returns the names of a set's metrics, a histogram by its own.
@@ -61,14 +58,5 @@
 		}
 	}
 	inCode := append(names(e.metrics), names(a.metrics)...)
-	page, err := os.ReadFile("../docs/metrics-node.md")
-	assert.NilError(t, err)
-	var inPage []string
-	for _, m := range regexp.MustCompile("(?m)^\\| `(beaconpoint_[^`]+)`").FindAllStringSubmatch(string(page), -1) {
-		inPage = append(inPage, m[1])
-	}
-	slices.Sort(inCode)
-	golden.Assert(t, strings.Join(inCode, "\n")+"\n", "metrics.golden")
-	slices.Sort(inPage)
-	assert.DeepEqual(t, inCode, inPage)
+	page.CheckMetrics(t, "../docs/metrics-node.md", inCode)
 }
--- a/seats/agent/agent_test.go
+++ b/seats/agent/agent_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"net"
 	"testing"
 
 	"gotest.tools/v3/assert"
@@ -10,6 +9,7 @@
 	"github.com/beaconpoint/beaconpoint/seats/roster"
 	"github.com/beaconpoint/beaconpoint/seats/settings"
 	"github.com/beaconpoint/beaconpoint/seats/wire"
+	"github.com/beaconpoint/beaconpoint/testutil/loopback"
 )
 
 // TestAConnectionThatComesAfterTheCloseIsTurnedAway: nobody would ever close it,
@@ -21,7 +21,7 @@
 	a, err := NewAgent(cfg, slog.New(slog.DiscardHandler))
 	assert.NilError(t, err)
 	defer a.listener.Close()
-	near, far := connection(t)
+	near, far := loopback.Pair(t)
 	defer far.Close()
 	go func() {
 		_, _ = wire.Handshake(far, wire.Hello{Role: wire.RoleEntry, ID: roster.NewID("entry1", 1), Region: "test"}, new(wire.Stats))
@@ -32,16 +32,3 @@
 	a.closeAll()
 	assert.Assert(t, !a.linkUp(c))
 }
-
-// connection returns both ends of a TCP connection.
-func connection(t *testing.T) (near, far net.Conn) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(t, err)
-	defer l.Close()
-	near, err = net.Dial("tcp", l.Addr().String())
-	assert.NilError(t, err)
-	far, err = l.Accept()
-	assert.NilError(t, err)
-	return near, far
-}
--- a/seats/entry/close_test.go
+++ b/seats/entry/close_test.go
@@ -2,20 +2,20 @@
 
 import (
 	"io"
-	"net"
 	"testing"
 
 	"gotest.tools/v3/assert"
 
 	"github.com/beaconpoint/beaconpoint/seats/roster"
 	"github.com/beaconpoint/beaconpoint/seats/wire"
+	"github.com/beaconpoint/beaconpoint/testutil/loopback"
 )
 
 // TestAConnectionThatComesAfterTheCloseIsTurnedAway: nobody would ever close it,
 // and the stopping process would wait for its end for good.
 func TestAConnectionThatComesAfterTheCloseIsTurnedAway(t *testing.T) {
 	e := newTestEntry(t, io.Discard)
-	near, far := connection(t)
+	near, far := loopback.Pair(t)
 	defer far.Close()
 	go func() {
 		_, _ = wire.Handshake(far, wire.Hello{Role: wire.RoleAgent, ID: roster.NewID("worker1", 1), Region: "test"}, new(wire.Stats))
@@ -27,16 +27,3 @@
 	_, ok := e.linkUp(c, e.self)
 	assert.Assert(t, !ok)
 }
-
-// connection returns both ends of a TCP connection.
-func connection(t *testing.T) (near, far net.Conn) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(t, err)
-	defer l.Close()
-	near, err = net.Dial("tcp", l.Addr().String())
-	assert.NilError(t, err)
-	far, err = l.Accept()
-	assert.NilError(t, err)
-	return near, far
-}
--- a/seats/entry/metrics_test.go
+++ b/seats/entry/metrics_test.go
@@ -6,16 +6,14 @@
 	"log/slog"
 	"os"
 	"path/filepath"
-	"regexp"
-	"slices"
 	"strings"
 	"testing"
 
 	"gotest.tools/v3/assert"
-	"gotest.tools/v3/golden"
 
 	"github.com/beaconpoint/beaconpoint/seats/settings"
 	"github.com/beaconpoint/beaconpoint/seats/wire"
+	"github.com/beaconpoint/beaconpoint/testutil/page"
 )
 
 const testToken = "a-token-for-the-tests-of-entry"
@@ -45,14 +43,5 @@
 	for line := range strings.Lines(out.String()) {
 		inCode = append(inCode, line[:strings.LastIndexByte(line, ' ')])
 	}
-	page, err := os.ReadFile("../docs/metrics.md")
-	assert.NilError(t, err)
-	var inPage []string
-	for _, m := range regexp.MustCompile("(?m)^\\| `(beaconpoint_[^`]+)`").FindAllStringSubmatch(string(page), -1) {
-		inPage = append(inPage, m[1])
-	}
-	slices.Sort(inCode)
-	golden.Assert(t, strings.Join(inCode, "\n")+"\n", "metrics.golden")
-	slices.Sort(inPage)
-	assert.DeepEqual(t, inCode, inPage)
+	page.CheckMetrics(t, "../docs/metrics.md", inCode)
 }
