--- a/estimate/estimator.go
+++ b/estimate/estimator.go
@@ -32,18 +32,18 @@
 // Estimator learns from the jobs of one queue. NewEstimator makes one. It is not safe
 // for concurrent use.
 type Estimator struct {
-	seen       float64       // jobs learned from, maxJobs at the most
-	work       movingAverage // of the logarithm of the time taken
-	guessError movingAverage // of the logarithm of the guess over the time taken
+	seen       float64 // jobs learned from, maxJobs at the most
+	work       moments // of the logarithm of the time taken
+	guessError moments // of the logarithm of the guess over the time taken
 }
 
-// movingAverage is an exponentially weighted mean and variance.
-type movingAverage struct {
+// moments is an exponentially weighted mean and variance.
+type moments struct {
 	mean, variance float64
 }
 
 // add takes x in with a weight between 0 and 1.
-func (a *movingAverage) add(x, weight float64) {
+func (a *moments) add(x, weight float64) {
 	d := x - a.mean
 	a.mean += weight * d
 	a.variance = (1 - weight) * (a.variance + weight*d*d)
@@ -51,7 +51,7 @@
 
 // NewEstimator returns an estimator that knows nothing yet.
 func NewEstimator() *Estimator {
-	return &Estimator{work: movingAverage{variance: priorWorkVariance}, guessError: movingAverage{variance: priorGuessVariance}}
+	return &Estimator{work: moments{variance: priorWorkVariance}, guessError: moments{variance: priorGuessVariance}}
 }
 
 // Learn records how long a task with this guess took.
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -29,14 +29,14 @@
 		if a.roomRequested && j.rank >= a.requestRank-requestStep {
 			continue
 		}
-		a.requestRoom(now, q, j, step)
+		a.addRoomRequest(now, q, j, step)
 		a.dirty = true
 	}
 }
 
-// requestRoom adds a request for room for the step's tasks, and in all for the
+// addRoomRequest adds a request for room for the step's tasks, and in all for the
 // queue's, to the next frame.
-func (a *agent) requestRoom(now time.Duration, q *queue, j *job, step int) {
+func (a *agent) addRoomRequest(now time.Duration, q *queue, j *job, step int) {
 	a.roomRequested = true
 	a.requestRank = j.rank
 	a.out.RoomRequest = &peer.RoomRequest{
@@ -70,7 +70,7 @@
 		}
 		needs := j.spec.Steps[step].Needs
 		if !needs.Fits(room) || !o.allowed(now, j, step, &j.steps[step].tasks[index], a) {
-			a.requestRoom(now, q, j, step)
+			a.addRoomRequest(now, q, j, step)
 			return
 		}
 		o.start(now, j, step, index, a)
--- a/seats/entry/store.go
+++ b/seats/entry/store.go
@@ -26,7 +26,7 @@
 	hostsInterval = time.Second
 )
 
-// post hands work to the store's worker. When too much waits the work is not
+// post hands work to the goroutine that calls the store. When too much waits the work is not
 // done, and the home asks again.
 func (e *Entry) post(work func(context.Context)) {
 	select {
--- a/seats/testutil/policy/experiment_test.go
+++ b/seats/testutil/policy/experiment_test.go
@@ -38,7 +38,7 @@
 	assert.NilError(t, WriteOverload(&table, rows))
 	for k := 0; k < len(rows); k += 2 {
 		obeying, fixed := rows[k], rows[k+1]
-		assert.Assert(t, obeying.Goodput(workers*slots) >= 0.95, "\n%s", &table)
+		assert.Assert(t, obeying.Goodput(targets*slots) >= 0.95, "\n%s", &table)
 		assert.Assert(t, obeying.Refusals < fixed.Refusals, "\n%s", &table)
 		assert.Equal(t, obeying.Unanswered, 0)
 	}
--- a/seats/testutil/policy/fleet.go
+++ b/seats/testutil/policy/fleet.go
@@ -28,7 +28,7 @@
 // Fleet is entries and agents, run in virtual time by the real state machines.
 type Fleet struct {
 	Name                  string
-	Homes, Workers, Slots int
+	Homes, Targets, Slots int
 	// AgentQueue is how many accepted tasks may wait at an agent.
 	AgentQueue int
 	// Delay is one way between two processes.
@@ -42,10 +42,10 @@
 	FixedRetry time.Duration
 	// Beside is another organisation's workload, which is not counted.
 	Beside *Workload
-	// Slow is how many times longer tasks run on the first worker; zero or
+	// Slow is how many times longer tasks run on the first target; zero or
 	// one for the common pace.
 	Slow float64
-	// LoseAt is when the last worker dies; zero for never.
+	// LoseAt is when the last target dies; zero for never.
 	LoseAt time.Duration
 }
 
@@ -98,7 +98,7 @@
 		}
 	}
 	if f.LoseAt > 0 {
-		r.q.After(f.LoseAt, func() { r.lose(f.Homes + f.Workers - 1) })
+		r.q.After(f.LoseAt, func() { r.lose(f.Homes + f.Targets - 1) })
 	}
 	r.q.Run(warmUp+all[len(all)-1].at+patience, func() bool { return r.left == 0 })
 	r.result.Unanswered = r.left
@@ -120,7 +120,7 @@
 		r.homes = append(r.homes, home.NewHome(c, home.WithPolicy(r.fleet.Policy)))
 		r.add(id)
 	}
-	for k := range r.fleet.Workers {
+	for k := range r.fleet.Targets {
 		id := roster.NewID(fmt.Sprintf("worker%02d", k), 1)
 		r.guards = append(r.guards, guard.NewGuard(guard.Config{
 			Self: id, Lease: lease, Queue: r.fleet.AgentQueue, OutputBytes: 1 << 20,
@@ -158,7 +158,7 @@
 	if r.fleet.Queue > 0 {
 		s.Bounds.Queue = r.fleet.Queue
 	}
-	for k := range r.fleet.Workers {
+	for k := range r.fleet.Targets {
 		s.Targets = append(s.Targets, config.Target{
 			Name: fmt.Sprintf("worker%02d", k), Agent: "fake", Slots: r.fleet.Slots, Connections: 64,
 		})
@@ -286,7 +286,7 @@
 	})
 }
 
-// lose lets a worker die: its connections break and nothing more comes of it.
+// lose lets a target die: its connections break and nothing more comes of it.
 func (r *run) lose(n int) {
 	r.lost[n] = true
 	for k, h := range r.homes {
--- a/seats/testutil/policy/suite.go
+++ b/seats/testutil/policy/suite.go
@@ -13,7 +13,7 @@
 // Sizes of today, for each of the two users.
 const (
 	entries   = 3
-	workers   = 11
+	targets   = 11
 	slots     = 8
 	oneWay    = 500 * time.Microsecond
 	largeJob  = 200
@@ -28,9 +28,9 @@
 
 // Systems returns the system in service and the baselines.
 func Systems() []System {
-	ours := Fleet{Name: "beaconpoint", Homes: entries, Workers: workers, Slots: slots,
+	ours := Fleet{Name: "beaconpoint", Homes: entries, Targets: targets, Slots: slots,
 		AgentQueue: agentRoom, Delay: oneWay, Policy: dispatch.DefaultPolicy()}
-	knowing := Fleet{Name: "all-knowing, fewest unstarted", Homes: 1, Workers: workers, Slots: slots,
+	knowing := Fleet{Name: "all-knowing, fewest unstarted", Homes: 1, Targets: targets, Slots: slots,
 		Policy: dispatch.Policy{Order: dispatch.FewestUnstarted, Choose: dispatch.LeastLoaded}}
 	firstCome := knowing
 	firstCome.Name, firstCome.Policy.Order = "all-knowing, first come", dispatch.FirstCome
@@ -47,12 +47,12 @@
 		name string
 		with func(*Fleet)
 	}{
-		{"a worker at half speed", func(f *Fleet) { f.Slow = 2 }},
-		{"a worker lost", func(f *Fleet) { f.LoseAt = span / 2 }},
+		{"a target at half speed", func(f *Fleet) { f.Slow = 2 }},
+		{"a target lost", func(f *Fleet) { f.LoseAt = span / 2 }},
 	} {
-		ours := Fleet{Name: "beaconpoint, " + s.name, Homes: entries, Workers: workers, Slots: slots,
+		ours := Fleet{Name: "beaconpoint, " + s.name, Homes: entries, Targets: targets, Slots: slots,
 			AgentQueue: agentRoom, Delay: oneWay, Policy: dispatch.DefaultPolicy()}
-		knowing := Fleet{Name: "all-knowing, " + s.name, Homes: 1, Workers: workers, Slots: slots,
+		knowing := Fleet{Name: "all-knowing, " + s.name, Homes: 1, Targets: targets, Slots: slots,
 			Policy: dispatch.Policy{Order: dispatch.FewestUnstarted, Choose: dispatch.LeastLoaded}}
 		s.with(&ours)
 		s.with(&knowing)
@@ -71,7 +71,7 @@
 // Overloads returns the system in service with a bounded queue and jobs that
 // expire, its callers obeying the time to come back or waiting a fixed time.
 func Overloads() []System {
-	obeying := Fleet{Name: "come back when told", Homes: entries, Workers: workers, Slots: slots, Delay: oneWay,
+	obeying := Fleet{Name: "come back when told", Homes: entries, Targets: targets, Slots: slots, Delay: oneWay,
 		Policy: dispatch.DefaultPolicy(), Queue: overloadQueue, Expiry: overloadExpiry}
 	fixed := obeying
 	fixed.Name, fixed.FixedRetry = "come back after 1 s", fixedRetry
@@ -86,7 +86,7 @@
 	for _, r := range rows {
 		jobs := float64(r.Ratio.TotalCount()) + float64(r.Unserved+r.Failed)
 		fmt.Fprintf(&b, "| %.0f%% | %s | %.1f%% | %.2f | %.1f%% | %.1f%% | %.2f | %.2f |\n",
-			100*r.Load, r.Name, 100*r.Goodput(workers*slots), float64(r.Refusals)/jobs,
+			100*r.Load, r.Name, 100*r.Goodput(targets*slots), float64(r.Refusals)/jobs,
 			100*float64(r.Unserved)/jobs, 100*float64(r.Failed)/jobs, r.Mean(), r.Quantile(99))
 	}
 	_, err := io.WriteString(out, b.String())
@@ -103,9 +103,9 @@
 
 // Floods returns a quiet organisation alone and beside a flooding one.
 func Floods(w Workload) []System {
-	alone := Fleet{Name: "quiet member alone", Homes: entries, Workers: workers, Slots: slots, Delay: oneWay, Policy: dispatch.DefaultPolicy()}
+	alone := Fleet{Name: "quiet organisation alone", Homes: entries, Targets: targets, Slots: slots, Delay: oneWay, Policy: dispatch.DefaultPolicy()}
 	beside := alone
-	beside.Name = "quiet member beside a flood of 150%"
+	beside.Name = "quiet organisation beside a flood of 150%"
 	flood := Workload{Load: floodLoad, Slots: w.Slots, Seed: w.Seed + 1, LargestJob: floodJob, Organisation: floodOrganisation}
 	return []System{{alone.Name, alone.Run}, {beside.Name, func(w Workload) *Result {
 		// As many jobs as come while the quiet organisation's do.
@@ -143,7 +143,7 @@
 
 // DefaultWorkload returns the workload of today's sizes.
 func DefaultWorkload(jobs int, seed uint64) Workload {
-	return Workload{Slots: workers * slots, Jobs: jobs, Seed: seed, LargestJob: largeJob}
+	return Workload{Slots: targets * slots, Jobs: jobs, Seed: seed, LargestJob: largeJob}
 }
 
 // WriteTable writes the rows as a Markdown table.
--- a/supervisor/health.go
+++ b/supervisor/health.go
@@ -23,12 +23,12 @@
 	// slowWindowJobs different jobs must take on average. Not measured.
 	ejectSlowFactor = 2.5
 	slowWindowJobs  = 4
-	// A run at work is overdue after overdueFactor times its likely time and
-	// overdueSlack more; that many different jobs' overdue runs eject the target.
+	// A run at work is overdue after ejectOverdueFactor times its likely time and
+	// ejectOverdueSlack more; that many different jobs' overdue runs eject the target.
 	// Not measured.
-	overdueFactor    = 2.2
-	overdueSlack     = 30 * time.Millisecond
-	ejectOverdueJobs = 3
+	ejectOverdueFactor = 2.2
+	ejectOverdueSlack  = 30 * time.Millisecond
+	ejectOverdueJobs   = 3
 	// probeInterval is the time between the first probes. Not measured.
 	probeInterval = 300 * time.Millisecond
 	// probesToRecover is how many probes in a row must end well. Not measured.
@@ -207,7 +207,7 @@
 	overdue := make(map[string]bool)
 	for _, r := range running {
 		likely := float64(r.order.Estimate) * math.Exp(h.logRatio)
-		if listedAt-r.began > time.Duration(overdueFactor*likely)+overdueSlack {
+		if listedAt-r.began > time.Duration(ejectOverdueFactor*likely)+ejectOverdueSlack {
 			overdue[r.order.Task.Job] = true
 		}
 	}
