--- a/explain/explain.go
+++ b/explain/explain.go
@@ -159,7 +159,8 @@
 		if l.at.Before(begin) || l.at.After(end) {
 			return true
 		}
-		return !names[l.fields.text("target")] && !names[l.fields.text("agent")] && !names[l.fields.text("entry")] && !names[process(l)]
+		return !names[l.fields.text("target")] && !names[l.fields.text("agent")] &&
+			!names[l.fields.text("entry")] && !names[process(l)]
 	})
 }
 
@@ -188,8 +189,10 @@
 	}
 	if answer := last(event.JobAnswered); answer != nil {
 		f := answer.fields
-		text := fmt.Sprintf("%s was answered after %.0f ms (objective %.0f ms): %s", id, f.number("age_ms"), f.number("objective_ms"), f.text("why"))
-		if because := because(own, others); because != "" && (f.text("kind") != "1" || f.number("age_ms") > f.number("objective_ms")) {
+		text := fmt.Sprintf("%s was answered after %.0f ms (objective %.0f ms): %s",
+			id, f.number("age_ms"), f.number("objective_ms"), f.text("why"))
+		inTime := f.text("kind") == "1" && f.number("age_ms") <= f.number("objective_ms")
+		if because := because(own, others); because != "" && !inTime {
 			text += "; " + because
 		}
 		return text + "."
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -20,7 +20,7 @@
 //
 // Invariants: a task has at most one run that may still be at work (phases placed
 // and uncertain); a job is refused only while no order of it has reached a target;
-// every job gets exactly one answer.
+// every caller that still waits gets exactly one answer.
 package owner
 
 import (
@@ -86,7 +86,8 @@
 
 // Stats counts outcomes since the start.
 type Stats struct {
-	// Submitted jobs were accepted; each ends as one of the next five.
+	// Submitted jobs were accepted; each ends as one of the next five. Refused
+	// counts those that were not accepted, too.
 	Submitted, Completed, Failed, GivenUp, Refused, Cancelled uint64
 	// Starts are orders sent to agents, Rejected those that did not begin, Moved
 	// the runs that were stopped to be retried elsewhere.
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// peek returns the job that goes first, or nil. Ranks only grow with time, so that
-// only those that come to the top need to be brought up to date.
+// peek returns the job that goes first, or nil. Ranks mostly grow with time: the job on
+// top is ranked anew until one stays there. A job whose rank has fallen, because the rate
+// of starts has, keeps its place until refuseHopeless ranks all of them.
 func (q *queue) peek(now time.Duration) *job {
 	for len(q.waiting) > 0 {
 		j := q.waiting[0]
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -7,9 +7,9 @@
 //
 // Supervisor is a state machine without goroutines, clock or sockets. Its process
 // (package node) calls it under one lock, passes the time of its steady clock and
-// carries out its calls; package testutil/fleet calls it in virtual time. After
-// every method but Stats and Idle it may have sent frames and begun calls. The
-// process
+// carries out its calls; package testutil/fleet calls it in virtual time. A method that
+// handles something may send frames and begin calls before it returns; Stats, Idle,
+// Pending, NextRenewal, LosingReplies and RenewalBackoff do not. The process
 //
 //   - passes on what comes: Heartbeat and Deregister from the target, Connected,
 //     Receive and Disconnected from entries, StartAnswered and StopAnswered for the
@@ -21,7 +21,7 @@
 //
 // The parts, each with its own invariant:
 //
-//	incarnation.go  which life of the target is up, and whether it may get work
+//	incarnation.go  which incarnation of the target is up, and whether it may get work
 //	lease.go        what the target was promised, and what its silence means
 //	session.go      connections of entries, each with a lease of its own
 //	run.go          one run, from its order until its end is certain
@@ -64,7 +64,13 @@
 
 // DefaultRules returns the rules of a real system.
 func DefaultRules() Rules {
-	return Rules{OwnerLease: OwnerLease, TargetLease: TargetLease, AwaitCleared: true, FencingTokens: true, KeepUnanswered: true}
+	return Rules{
+		OwnerLease:     OwnerLease,
+		TargetLease:    TargetLease,
+		AwaitCleared:   true,
+		FencingTokens:  true,
+		KeepUnanswered: true,
+	}
 }
 
 // Supervisor guards one target.
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -14,7 +14,7 @@
 // stopTime is how long a stop takes at most.
 const stopTime = 50 * time.Millisecond
 
-// drainTime is how long after the word that it drains a target may be given
+// drainTime is how long after it has reported that it drains a target may be given
 // work.
 const drainTime = 2 * time.Second
 
