--- a/event/event.go
+++ b/event/event.go
@@ -31,6 +31,8 @@
 	DocumentDeferred Kind = "document-deferred"
 	ConfigAwaited    Kind = "config-awaited"
 
+	ConnectionEnded    Kind = "connection-ended"
+	AgentUnreachable   Kind = "agent-unreachable"
 	IntroductionFailed Kind = "introduction-failed"
 	ForgetFailed       Kind = "forget-failed"
 )
@@ -97,6 +99,8 @@
 	{LinesDropped, false, "How many lines of a kind were not written in the last second."},
 	{DocumentAsked, false, "A peer knows a newer configuration and was asked for it."},
 	{DocumentDeferred, false, "A peer asked for the configuration and did not get it: too much was sent just before."},
+	{ConnectionEnded, false, "A connection between an entry and an agent ended, and why; agent-lost or entry-lost follows."},
+	{AgentUnreachable, false, "An entry can't connect to an agent, the first failure in a row; it tries again, ever less often."},
 	{IntroductionFailed, false, "An agent could not make itself known to an entry; it tries again, ever less often."},
 	{ForgetFailed, false, "The address of an agent that can't be reached could not be removed; it is tried again."},
 	{ConfigAwaited, false, "A request came before the first configuration; it waits for it, as do those after it."},
--- a/node/agent.go
+++ b/node/agent.go
@@ -163,18 +163,20 @@
 	c := peer.NewConn(raw)
 	defer c.Close()
 	defer context.AfterFunc(ctx, c.Close)()
-	watchdog := time.AfterFunc(peerSilence, c.Close)
+	watchdog := time.AfterFunc(peerSilence, func() { c.CloseFor(errSilent) })
 	defer watchdog.Stop()
 	f, err := c.Receive()
 	if err != nil || f.Hello == nil || f.Hello.Role != peer.RoleEntry {
 		return // not an entry, or one that has gone: it connects again
 	}
+	hello := f.Hello
 	go c.Run()
-	id := a.connect(c, f.Hello)
+	id := a.connect(c, hello)
 	for {
 		f, err := c.Receive()
 		if err != nil {
-			break // the end is logged as entry-lost
+			a.log.Info(event.ConnectionEnded, "entry", hello.Name, "error", c.Cause(err).Error())
+			break
 		}
 		watchdog.Reset(peerSilence)
 		a.receive(id, f)
--- a/node/entry.go
+++ b/node/entry.go
@@ -225,7 +225,9 @@
 			return err
 		})
 		if !registered {
-			untilDone(ctx, e.log, "register", func(try context.Context) error { return e.directory.Register(try, peer.RoleEntry, own) })
+			untilDone(ctx, e.log, "register", func(try context.Context) error {
+				return e.directory.Register(try, peer.RoleEntry, own)
+			})
 			registered = true
 		}
 		if !sleep(ctx, listInterval) {
--- a/node/introduce.go
+++ b/node/introduce.go
@@ -29,7 +29,9 @@
 			a.addEntries(entries)
 			return err
 		})
-		untilDone(ctx, a.log, "register", func(try context.Context) error { return a.directory.Register(try, peer.RoleAgent, own) })
+		untilDone(ctx, a.log, "register", func(try context.Context) error {
+			return a.directory.Register(try, peer.RoleAgent, own)
+		})
 		for alone := time.Duration(0); alone < aloneTime && sleep(ctx, alonePoll); alone += alonePoll {
 			if a.connected() > 0 {
 				alone = 0
--- a/node/link.go
+++ b/node/link.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"time"
 
@@ -29,6 +30,9 @@
 	forgetTime = 2 * time.Minute
 )
 
+// errSilent means that a peer sent nothing for peerSilence.
+var errSilent = errors.New("node: the peer was silent for too long")
+
 // link is an entry's connection to one agent, which it keeps connecting.
 type link struct {
 	registration Registration
@@ -73,6 +77,7 @@
 			reached = e.clock.now()
 		} else {
 			failures++
+			e.logUnreachable(ctx, l, failures, err)
 		}
 		select {
 		case <-ctx.Done():
@@ -83,6 +88,13 @@
 	}
 }
 
+// logUnreachable says why an agent can't be reached, the first time in a row.
+func (e *Entry) logUnreachable(ctx context.Context, l *link, failures int, err error) {
+	if failures == 1 && ctx.Err() == nil {
+		e.log.Info(event.AgentUnreachable, "agent", l.registration.Name, "error", err.Error())
+	}
+}
+
 // forget removes an agent that can't be reached from the directory and from this
 // entry. It reports whether it did: not while the store is down, nor where the agent
 // has made itself known at another address.
@@ -109,13 +121,14 @@
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
 	go c.Run()
-	watchdog := time.AfterFunc(peerSilence, c.Close)
+	watchdog := time.AfterFunc(peerSilence, func() { c.CloseFor(errSilent) })
 	defer watchdog.Stop()
 	e.connect(l, c)
 	for {
 		f, err := c.Receive()
 		if err != nil {
-			break // the end is logged as agent-lost
+			e.log.Info(event.ConnectionEnded, "agent", l.registration.Name, "error", c.Cause(err).Error())
+			break
 		}
 		watchdog.Reset(peerSilence)
 		e.receive(l, c, f)
--- a/owner/agent.go
+++ b/owner/agent.go
@@ -73,7 +73,8 @@
 
 // usable reports whether the agent may be given work of a service at now.
 func (a *agent) usable(now time.Duration, service string) bool {
-	return a.connected && a.state.Accepting && a.state.Cleared && a.profile.Service == service && now-a.heardAt <= maxStateAge
+	return a.connected && a.state.Accepting && a.state.Cleared &&
+		a.profile.Service == service && now-a.heardAt <= maxStateAge
 }
 
 // stop adds the order to stop a run to the next frame.
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -74,7 +74,13 @@
 		if !a.usable(now, j.spec.Service) || !s.Needs.Fits(a.freeRoom()) || !o.allowed(now, j, step, t, a) {
 			continue
 		}
-		c := candidate{speed: a.speed(), capacity: a.profile.Capacity, free: a.freeRoom(), far: a.far(s), ejected: a.state.Health == peer.Ejected}
+		c := candidate{
+			speed:    a.speed(),
+			capacity: a.profile.Capacity,
+			free:     a.freeRoom(),
+			far:      a.far(s),
+			ejected:  a.state.Health == peer.Ejected,
+		}
 		if cost := c.cost(s, o.FarFactor, o.Random()); best == nil || cost < least {
 			best, least = a, cost
 		}
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"net"
 	"sync"
 	"time"
@@ -35,8 +36,12 @@
 	backlog []byte // encoded frames that wait to be written
 	seq     uint64 // of the last frame sent
 	closed  bool
+	cause   error // why it was closed here, if for a reason
 }
 
+// errBacklog means that the peer read too slowly.
+var errBacklog = errors.New("peer: too many bytes wait to be written")
+
 // NewConn wraps raw. Run must be called for frames to be sent.
 func NewConn(raw net.Conn) *Conn {
 	SetUserTimeout(raw, userTimeout)
@@ -69,8 +74,12 @@
 	}
 	f.Seq = c.seq + 1
 	buf, err := AppendFrame(c.backlog, f)
-	if err != nil || len(buf) > maxBacklog {
+	if err == nil && len(buf) > maxBacklog {
+		err = errBacklog
+	}
+	if err != nil {
 		c.closed = true
+		c.cause = err
 		go c.Close()
 		return 0
 	}
@@ -103,6 +112,7 @@
 		}
 		if len(buf) > 0 {
 			if _, err := c.raw.Write(buf); err != nil {
+				c.CloseFor(err)
 				return
 			}
 		}
@@ -112,9 +122,28 @@
 
 // Close ends the connection.
 func (c *Conn) Close() {
+	c.CloseFor(nil)
+}
+
+// Cause returns why the connection ended: what it was closed for here, or else the
+// error of its last Receive.
+func (c *Conn) Cause(received error) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.cause != nil {
+		return c.cause
+	}
+	return received
+}
+
+// CloseFor ends the connection for a cause. The first cause stays.
+func (c *Conn) CloseFor(cause error) {
 	c.once.Do(func() {
 		c.mu.Lock()
 		c.closed = true
+		if c.cause == nil {
+			c.cause = cause
+		}
 		c.mu.Unlock()
 		select {
 		case c.wake <- struct{}{}:
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"errors"
+	"io"
 	"net"
 	"testing"
 	"time"
@@ -104,3 +106,22 @@
 		})
 	}
 }
+
+// TestAConnectionSaysWhyItEnded: the first cause on this side goes before what reading
+// says of it.
+func TestAConnectionSaysWhyItEnded(t *testing.T) {
+	one, other := net.Pipe()
+	c, far := NewConn(one), NewConn(other)
+	far.Close()
+	_, err := c.Receive()
+	assert.ErrorIs(t, c.Cause(err), io.EOF)
+	silent := errors.New("silent")
+	c.CloseFor(silent)
+	c.CloseFor(errors.New("later"))
+	assert.ErrorIs(t, c.Cause(err), silent)
+
+	one, _ = net.Pipe()
+	c = NewConn(one)
+	assert.Equal(t, c.Send(&Frame{Document: make([]byte, maxFrame+1)}), uint64(0))
+	assert.ErrorIs(t, c.Cause(nil), ErrFrameSize)
+}
--- a/supervisor/incarnation.go
+++ b/supervisor/incarnation.go
@@ -38,7 +38,8 @@
 // does not stop.
 func (s *Supervisor) accepting(now time.Duration) bool {
 	t := &s.target
-	return t.report != nil && t.cleared && !t.report.Draining && !s.leaving && now-t.reportAt < maxHeartbeatAge && !s.lease.silent(now)
+	return t.report != nil && t.cleared && !t.report.Draining && !s.leaving &&
+		now-t.reportAt < maxHeartbeatAge && !s.lease.silent(now)
 }
 
 // Heartbeat handles a target's report of itself. Reports that were overtaken by a
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -178,7 +178,12 @@
 // sendStop sends the stop of r to the target.
 func (s *Supervisor) sendStop(now time.Duration, r *run) {
 	r.sentAt = now
-	s.Stop(StopCall{Incarnation: s.target.id(), Ref: task.Ref{Task: r.order.Task, Run: r.order.Run}, Name: r.name, Token: s.target.token})
+	s.Stop(StopCall{
+		Incarnation: s.target.id(),
+		Ref:         task.Ref{Task: r.order.Task, Run: r.order.Run},
+		Name:        r.name,
+		Token:       s.target.token,
+	})
 }
 
 // StopAnswered handles the answer to a stop. An accepted stop keeps the run from
