--- a/event/log_test.go
+++ b/event/log_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// TestAStalledReaderStopsNobody logs into a pipe that nobody reads.
+// TestAStalledReaderStopsNobody logs into a pipe that nobody reads. Its sleeps, as those
+// of the next test, are in virtual time.
 func TestAStalledReaderStopsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, writer := io.Pipe()
--- a/node/document_test.go
+++ b/node/document_test.go
@@ -59,7 +59,8 @@
 func asks(f *peer.Frame) bool      { return f.AskDocument }
 func documents(f *peer.Frame) bool { return len(f.Document) > 0 }
 
-// TestAnAgentAsksOneEntryForANewConfiguration: sent by all entries to all agents
+// TestAnAgentAsksOneEntryForANewConfiguration (its sleeps, as all in this package, are
+// in virtual time): sent by all entries to all agents
 // at once, a large one filled the narrow links, whose connections broke and began
 // anew with the same document.
 func TestAnAgentAsksOneEntryForANewConfiguration(t *testing.T) {
