--- a/owner/owner.go
+++ b/owner/owner.go
@@ -157,7 +157,7 @@
 	o.stats.Refused++
 	o.logRejectedJob(spec, why)
 	o.countAnswer(why)
-	answer(Answer{Kind: Refused, Why: why, Retry: retryAfter})
+	answer(Answer{Kind: Refused, Why: why, Retry: RetryAfter})
 }
 
 // accept makes spec a job of this entry and queues it.
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -23,9 +23,9 @@
 	// answerMargin is how long before the caller stops waiting it gets the answer.
 	// One tick of the entry. Not measured.
 	answerMargin = 20 * time.Millisecond
-	// retryAfter is when a refused caller should come back at the earliest. Not
-	// measured.
-	retryAfter = time.Second
+	// RetryAfter is when a refused caller should come back at the earliest, also one
+	// that package platform refuses before its request is a job. Not measured.
+	RetryAfter = time.Second
 
 	// refuseAfterShare is the share of its objective after which a job that the
 	// jobs before it leave no time is refused: until then waiting costs its caller
@@ -128,7 +128,7 @@
 		p.remaining = j.remaining()
 	}
 	if why := p.verdict(); why != code.OK {
-		o.giveUp(now, j, why, retryAfter)
+		o.giveUp(now, j, why, RetryAfter)
 		return
 	}
 	for k := range j.steps {
@@ -159,7 +159,7 @@
 	for _, j := range order {
 		wait := time.Duration(ahead / rate * float64(time.Second))
 		if !j.started() && j.place(now, wait, othersMeet).refuse() {
-			o.giveUp(now, j, code.JobBehind, max(retryAfter, wait))
+			o.giveUp(now, j, code.JobBehind, max(RetryAfter, wait))
 			continue
 		}
 		othersMeet = othersMeet || !j.missesObjective()
