--- a/code/code.go
+++ b/code/code.go
@@ -1,5 +1,5 @@
-// Package code holds the numbered result codes that beaconpoint gives to
-// callers, operators and its own processes.
+// Package code defines the numbered result codes that callers receive and that logs and
+// metrics contain.
 package code
 
 import (
@@ -7,11 +7,10 @@
 	"strconv"
 )
 
-// Code is a numbered result. Numbers are stable: one is never reused for
-// another meaning.
+// Code is a result code. The number of a code is never reused for another meaning.
 type Code uint16
 
-// Codes about the request itself (1xx).
+// Codes for invalid requests (1xx).
 const (
 	OK                  Code = 0
 	BadJSON             Code = 101
@@ -31,7 +30,7 @@
 	UnsupportedType     Code = 115
 )
 
-// Codes about load and bounds (2xx).
+// Codes for overload and limits (2xx).
 const (
 	QueueFull        Code = 201
 	QuotaInFlight    Code = 202
@@ -41,7 +40,7 @@
 	Leaving          Code = 206
 )
 
-// Codes about ownership and standing (3xx).
+// Codes for unavailable owners and stores (3xx).
 const (
 	NotConfirmed    Code = 301
 	HomeUnreachable Code = 302
@@ -49,7 +48,7 @@
 	StoreDown       Code = 304
 )
 
-// Codes about what happened to a job after it was accepted (4xx).
+// Codes for accepted jobs (4xx).
 const (
 	TaskFailed    Code = 401
 	AgentLost     Code = 402
@@ -60,7 +59,7 @@
 	AnswerLarge   Code = 407
 )
 
-// Codes of the operators' interface (5xx).
+// Codes of the operator API (5xx).
 const (
 	Unauthorized  Code = 501
 	Forbidden     Code = 502
@@ -70,7 +69,7 @@
 	ChangeUnknown Code = 506
 )
 
-// Codes with which an agent refuses a start (6xx); each means "not run".
+// Codes for starts refused by an agent (6xx). The task did not run.
 const (
 	AgentNotConfirmed Code = 601
 	NotASeat          Code = 602
@@ -84,7 +83,7 @@
 	AgentDraining     Code = 610
 )
 
-// Reasons why a run of a task did not begin or has ended (7xx).
+// Reasons why a run was not started or has ended (7xx).
 const (
 	RunListed          Code = 700
 	RunNoRoom          Code = 701
@@ -109,7 +108,7 @@
 	RunTargetLeft      Code = 720
 )
 
-// Reasons of an entry's and an agent's judgements (8xx).
+// Reasons for decisions of entries and agents (8xx).
 const (
 	JobAllDone      Code = 801
 	JobAttempts     Code = 802
@@ -132,7 +131,7 @@
 	TargetRecovered Code = 824
 )
 
-// Row describes one code: docs/result-codes.md is made from these.
+// Row describes one code. docs/result-codes.md is generated from the rows.
 type Row struct {
 	Code    Code
 	Name    string
@@ -140,13 +139,13 @@
 	Meaning string
 }
 
-// Lookup returns the row of c, and whether c is known.
+// Lookup returns the row of c and whether c is known.
 func Lookup(c Code) (Row, bool) {
 	e, ok := byCode[c]
 	return e, ok
 }
 
-// Name returns the code's name, or its number when it is unknown.
+// Name returns the name of the code, or "code-" and its number if it is unknown.
 func (c Code) Name() string {
 	if e, ok := byCode[c]; ok {
 		return e.Name
@@ -154,7 +153,7 @@
 	return "code-" + strconv.Itoa(int(c))
 }
 
-// Status returns the HTTP status that fits the code.
+// Status returns the HTTP status of the code, or 500 if it is unknown.
 func (c Code) Status() int {
 	if e, ok := byCode[c]; ok {
 		return e.Status
@@ -162,7 +161,7 @@
 	return http.StatusInternalServerError
 }
 
-// String returns the number and the name, as logs show it.
+// String returns the number and the name of the code.
 func (c Code) String() string {
 	return strconv.Itoa(int(c)) + " " + c.Name()
 }
--- a/code/code_test.go
+++ b/code/code_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestPageFitsTable(t *testing.T) {
+func TestResultCodesPageMatchesTable(t *testing.T) {
 	page, err := os.ReadFile("../docs/result-codes.md")
 	assert.NilError(t, err)
 	assert.Equal(t, string(page), Markdown())
 }
 
-func TestTableIsInOrderAndUnique(t *testing.T) {
+func TestTableIsSortedWithUniqueNames(t *testing.T) {
 	names := make(map[string]bool)
 	for k, e := range Table {
 		assert.Assert(t, k == 0 || e.Code > Table[k-1].Code, e.Name)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestErrorCarriesItsCode(t *testing.T) {
+func TestOfReturnsCodeOfError(t *testing.T) {
 	assert.Equal(t, Of(Errorf(Conflict, "job %s", "a"), OK), Conflict)
 	assert.Equal(t, Of(os.ErrNotExist, BadJSON), BadJSON)
 }
--- a/code/table.go
+++ b/code/table.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Table lists every code in order of its number.
+// Table lists all codes in ascending order.
 var Table = []Row{
 	{OK, "ok", http.StatusOK, "The answer is complete."},
 
@@ -107,10 +107,9 @@
 	{TargetRecovered, "target-recovered", http.StatusOK, "Its probes ended well."},
 }
 
-var byCode = index(Table)
+var byCode = indexByCode(Table)
 
-// index returns the rows by their code.
-func index(table []Row) map[Code]Row {
+func indexByCode(table []Row) map[Code]Row {
 	m := make(map[Code]Row, len(table))
 	for _, e := range table {
 		m[e.Code] = e
@@ -118,7 +117,7 @@
 	return m
 }
 
-// Markdown returns the table as docs/result-codes.md holds it.
+// Markdown returns the content of docs/result-codes.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\n")
--- a/settings/fault.go
+++ b/settings/fault.go
@@ -4,12 +4,12 @@
 
 // Fault is one error in a settings file.
 type Fault struct {
-	// Line is the line in the file, zero where there is none.
+	// Line is the line in the file, or zero if unknown.
 	Line int
 	Text string
 }
 
-// String returns the fault with its line, as the command line prints it.
+// String returns the message, prefixed with the line if it is known.
 func (f Fault) String() string {
 	if f.Line == 0 {
 		return f.Text
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("line %d: %s", f.Line, f.Text)
 }
 
-// Faults are all errors of one settings file.
+// Faults are all errors of a settings file.
 type Faults []Fault
 
 // Error implements error.
--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -10,16 +10,16 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestKeysOfTheSettings holds the keys of each settings file with their defaults.
-func TestKeysOfTheSettings(t *testing.T) {
+// TestNodeKeysMatchGolden guards against renamed settings keys and changed defaults.
+func TestNodeKeysMatchGolden(t *testing.T) {
 	node, err := yaml.Marshal(DefaultNode())
 	assert.NilError(t, err)
 	golden.Assert(t, string(node), "node-keys.golden")
 }
 
-// TestDeployFiles holds the deploy file and its templates, which the platform
-// fills in.
-func TestDeployFiles(t *testing.T) {
+// TestDeployFilesMatchGolden guards against unintended changes of the deploy file and the
+// settings templates.
+func TestDeployFilesMatchGolden(t *testing.T) {
 	var all strings.Builder
 	for _, name := range []string{"system.toml", "entry.yaml", "agent.yaml"} {
 		raw, err := os.ReadFile("../deploy/" + name)
--- a/settings/node.go
+++ b/settings/node.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks the YAML settings of a node, the process that
-// the deploy file runs. Decode, StructFaults and LineOf carry no key of their own:
-// the settings of package seats are checked by them too.
+// Package settings reads and validates the YAML settings of a node, the process that
+// deploy/system.toml runs. Decode, StructFaults and LineOf work on any settings struct and
+// are also used by the packages under seats.
 package settings
 
 import (
@@ -12,60 +12,61 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// Defaults of a node's settings.
+// Default node settings.
 const (
 	DefaultGrace    = 6 * time.Second
 	DefaultFar      = 1.5
 	DefaultLogLevel = "info"
 )
 
-// Node are the settings of a node: an entry or an agent. Addresses are "IP:port". The
-// keys are those of the deploy templates; two of them carry the platform's word.
+// Node holds the settings of an entry or an agent. Addresses have the form "IP:port". The
+// keys are used by the templates in deploy.
 type Node struct {
 	// Role is "entry" or "agent".
 	Role peer.Role `yaml:"role" validate:"required,oneof=entry agent"`
-	// Name is the host's name, unique in the system.
+	// Name is the unique name of the host.
 	Name string `yaml:"name" validate:"required,max=64"`
-	// Hall is the data hall in which the host stands; the key is the platform's word.
+	// Hall is the data hall of the host. The key is the platform's term.
 	Hall string `yaml:"zone" validate:"required,max=64"`
-	// Peers is where other processes of the system reach this one.
+	// Peers is the address for other processes of the system.
 	Peers string `yaml:"peers" validate:"required,tcp_addr"`
-	// Store is the platform's key-value store.
+	// Store is the address of the platform's key-value store.
 	Store string `yaml:"store" validate:"required,tcp_addr"`
-	// Grace is the time from SIGTERM to SIGKILL.
+	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration `yaml:"grace" validate:"min=1s,max=30m"`
-	// Far is how many times as long a task takes away from its data.
+	// Far is the factor by which a task takes longer if it runs away from its data.
 	Far float64 `yaml:"far" validate:"min=1,max=100"`
-	// LinkMbps is the rate of the host's link, in megabits a second; zero: not known, and
-	// taken to be fast.
+	// LinkMbps is the bandwidth of the host's link in megabits per second. Zero means
+	// unknown; the link is then assumed to be fast.
 	LinkMbps float64 `yaml:"link_mbps" validate:"min=0"`
-	// Descriptors is how many files and connections the process may have open; zero: not known.
+	// Descriptors is the limit of open file descriptors of the process. Zero means
+	// unknown.
 	Descriptors int `yaml:"descriptors" validate:"min=0"`
-	// Contracts are the parts of the platform's rules that are in force; Term says what counts
-	// most for the callers where they do not: "worth" or "served".
+	// Contracts are the platform contracts in force. Term is the optimisation objective,
+	// "worth" or "served"; if empty, the contracts determine it.
 	Contracts []string `yaml:"contracts" validate:"max=100"`
 	Term      string   `yaml:"term" validate:"omitempty,oneof=worth served"`
-	// Metrics is where counters are served, empty for nowhere.
+	// Metrics is the address on which metrics are served. If empty, they are not served.
 	Metrics string `yaml:"metrics" validate:"omitempty,tcp_addr"`
-	// LogLevel is debug, info, warn or error.
+	// LogLevel is the minimum log level: debug, info, warn or error.
 	LogLevel string `yaml:"log_level" validate:"oneof=debug info warn error"`
-	// Callers is an entry's address for callers, Readiness the one at which the
-	// balancer asks whether it takes requests.
+	// Callers is an entry's address for callers, Readiness the one for readiness checks of
+	// the load balancer.
 	Callers   string `yaml:"callers" validate:"required_if=Role entry,omitempty,tcp_addr"`
 	Readiness string `yaml:"readiness" validate:"required_if=Role entry,omitempty,tcp_addr"`
-	// Reports is an agent's address for its target's heartbeats, Target the target's
-	// own; its key is the platform's word.
+	// Reports is an agent's address for heartbeats of its target, Target the address of
+	// the target. The key worker is the platform's term for a target.
 	Reports string `yaml:"reports" validate:"required_if=Role agent,omitempty,tcp_addr"`
 	Target  string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
 }
 
-// DefaultNode returns the settings that a node's file starts from.
+// DefaultNode returns the default settings.
 func DefaultNode() Node {
 	return Node{Grace: DefaultGrace, Far: DefaultFar, LogLevel: DefaultLogLevel}
 }
 
-// LoadNode reads and checks the node's settings at path. The error is of type
-// Faults where the file's content is at fault.
+// LoadNode reads and validates the settings file at path. The error has type Faults if the
+// content is invalid.
 func LoadNode(path string) (Node, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -74,8 +75,8 @@
 	return ParseNode(raw)
 }
 
-// ParseNode reads and checks a node's settings. The error holds every fault,
-// with its line.
+// ParseNode decodes and validates node settings. The error lists all faults, sorted by
+// line.
 func ParseNode(raw []byte) (Node, error) {
 	s := DefaultNode()
 	root, err := Decode(raw, &s, reflect.TypeFor[Node]())
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -14,10 +14,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Decode reads YAML into a struct that holds the defaults, and returns the tree
-// in which later checks look up line numbers. Keys that the struct does not have
-// are faults; the message suggests a similar key of the given types. The error is
-// of type Faults.
+// Decode decodes YAML into a struct that holds the defaults, and returns the YAML tree for
+// LineOf. Unknown keys are faults; their messages suggest similar keys of the given types.
+// The error has type Faults.
 func Decode(raw []byte, into any, known ...reflect.Type) (*yaml.Node, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(raw))
 	dec.KnownFields(true)
@@ -40,7 +39,7 @@
 
 var unknownField = regexp.MustCompile(`^line (\d+): field (\S+) not found in type \S+$`)
 
-// typeFaults rewords the decoder's errors for the person who wrote the file.
+// typeFaults converts decoding errors to faults.
 func typeFaults(e *yaml.TypeError, known []reflect.Type) Faults {
 	var faults Faults
 	for _, text := range e.Errors {
@@ -56,7 +55,7 @@
 
 var linePrefix = regexp.MustCompile(`^line (\d+): (.*)$`)
 
-// lineFault splits the line number off the decoder's message.
+// lineFault converts a decoder message with an optional line prefix to a fault.
 func lineFault(text string) Fault {
 	if m := linePrefix.FindStringSubmatch(text); m != nil {
 		line, _ := strconv.Atoi(m[1])
@@ -65,17 +64,17 @@
 	return Fault{0, text}
 }
 
-// suggestionPrefix is how many bytes an unknown key must share with a known one
-// for that one to be suggested.
-const suggestionPrefix = 3
+// minSuggestionPrefix is the number of leading bytes that an unknown key must share with a
+// suggested one.
+const minSuggestionPrefix = 3
 
-// suggestion returns the known key that begins like the unknown one, worded as
-// the end of a message, or nothing.
+// suggestion returns a message suffix that suggests a known key with the same prefix, or
+// an empty string.
 func suggestion(key string, known []reflect.Type) string {
 	for _, t := range known {
 		for k := range t.NumField() {
 			name := t.Field(k).Tag.Get("yaml")
-			if len(key) >= suggestionPrefix && strings.HasPrefix(name, key[:suggestionPrefix]) {
+			if len(key) >= minSuggestionPrefix && strings.HasPrefix(name, key[:minSuggestionPrefix]) {
 				return fmt.Sprintf("; did you mean %q?", name)
 			}
 		}
@@ -85,15 +84,15 @@
 
 var validate = newValidator()
 
-// newValidator returns a validator whose messages name the keys of the file.
+// newValidator returns a validator that reports fields by their YAML keys.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("yaml") })
 	return v
 }
 
-// StructFaults checks the values of a struct by its validate tags. part is the
-// key under which the struct lies in the file, empty at the top.
+// StructFaults validates the fields of v by their validate tags. part is the key of v in
+// the file, or empty for the top level.
 func StructFaults(v any, part string, root *yaml.Node) Faults {
 	var invalid validator.ValidationErrors
 	if !errors.As(validate.Struct(v), &invalid) {
@@ -106,18 +105,18 @@
 			path = []string{part, e.Field()}
 		}
 		line := LineOf(root, path...)
-		faults = append(faults, Fault{line, strings.Join(path, ".") + " " + wording(e)})
+		faults = append(faults, Fault{line, strings.Join(path, ".") + " " + faultText(e)})
 	}
 	return faults
 }
 
-// wording returns the message for a failed check.
-func wording(e validator.FieldError) string {
+// faultText returns the message for a failed validation.
+func faultText(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "is missing"
 	case "required_if":
-		return "is not set, and " + article(e.Param()) + " needs it"
+		return "is not set, and " + withArticle(e.Param()) + " needs it"
 	case "oneof":
 		return fmt.Sprintf("is %q, not one of: %s", e.Value(), e.Param())
 	case "min":
@@ -134,21 +133,21 @@
 	return fmt.Sprintf("is %v, not a %s", e.Value(), e.Tag())
 }
 
-// article returns the role of a condition such as "Role agent" with its article.
-func article(condition string) string {
+// withArticle returns the role of a condition such as "Role agent", prefixed with an
+// article.
+func withArticle(condition string) string {
 	_, role, _ := strings.Cut(condition, " ")
 	return "an " + role
 }
 
-// LineOf returns the line of the key at path, zero where the file does not have
-// it.
+// LineOf returns the line of the key at path, or zero if the file does not have it.
 func LineOf(n *yaml.Node, path ...string) int {
 	if n.Kind == yaml.DocumentNode {
 		n = n.Content[0]
 	}
 	line := 0
 	for _, key := range path {
-		line, n = child(n, key)
+		line, n = childNode(n, key)
 		if n == nil {
 			return 0
 		}
@@ -156,8 +155,8 @@
 	return line
 }
 
-// child returns the value of a key with the key's line, or nil.
-func child(n *yaml.Node, key string) (int, *yaml.Node) {
+// childNode returns the value of a key and the line of the key, or a nil node.
+func childNode(n *yaml.Node, key string) (int, *yaml.Node) {
 	for k := 0; k+1 < len(n.Content); k += 2 {
 		if n.Content[k].Value == key {
 			return n.Content[k].Line, n.Content[k+1]
