--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain says from the log lines of all processes what became of a job. It
-// relies on the kinds and fields that package event and the state machines' log.go
-// files give their lines.
+// Package explain explains the outcome of a job from the logs of all processes. It relies
+// on the kinds in package event and on the attributes set in the log.go files of packages
+// owner and supervisor.
 package explain
 
 import (
@@ -18,34 +18,34 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// maxLine is the longest line of a log that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 1 << 20
 
-// ErrUnknownJob means that no line of the logs names the job. The command prints its
-// text.
-var ErrUnknownJob = errors.New("event: no line speaks of this job")
+// ErrUnknownJob is returned if no log line mentions the job.
+var ErrUnknownJob = errors.New("explain: no log line mentions this job")
 
-// Story is what the logs say about one job.
+// Story is the history of a job in the logs.
 type Story struct {
-	// Lines are those of the job, and those that explain them, in order of time.
+	// Lines are the lines of the job and the related lines of its processes, sorted by
+	// time.
 	Lines []string
-	// Sentence says what decided.
+	// Sentence explains the outcome.
 	Sentence string
 }
 
-// line is one line of a log.
+// line is a parsed log line.
 type line struct {
 	at     time.Time
 	kind   event.Kind
 	text   string
-	node   string // what stands before the JSON, such as a host's name
+	node   string // prefix before the JSON, such as a host name
 	fields fields
 }
 
 // fields are the attributes of a line.
 type fields map[string]any
 
-// text returns an attribute as text, empty where the line has none.
+// text formats an attribute, or returns an empty string if it is missing.
 func (f fields) text(key string) string {
 	v, ok := f[key]
 	if !ok {
@@ -54,18 +54,19 @@
 	return fmt.Sprint(v)
 }
 
-// number returns a number, zero where the line has none.
+// number returns a numeric attribute, or zero if it is missing.
 func (f fields) number(key string) float64 {
 	n, _ := f[key].(float64)
 	return n
 }
 
-// around is how long before and after the job's own lines other lines of its targets
-// and entries may explain them.
-const around = 500 * time.Millisecond
+// contextWindow is the time before the first and after the last line of a job in which
+// related lines are included.
+const contextWindow = 500 * time.Millisecond
 
-// causes are the kinds of other lines that may explain what became of a job.
-var causes = map[event.Kind]bool{
+// contextKinds are the kinds of lines that may explain the outcome of a job without naming
+// it.
+var contextKinds = map[event.Kind]bool{
 	event.Start:                 true,
 	event.Stopping:              true,
 	event.StoreLost:             true,
@@ -82,22 +83,22 @@
 	event.TargetCold:            true,
 }
 
-// Job gathers what the logs say about a job, named by its id or by that of a
-// request that submitted it. The error is ErrUnknownJob, or that of reading.
+// Job explains the outcome of a job, given its ID or the ID of a request that submitted
+// it. It returns ErrUnknownJob if no line mentions the job.
 func Job(id string, logs ...[]byte) (Story, error) {
 	var all []line
 	for _, raw := range logs {
-		if err := read(bytes.NewReader(raw), func(l line) { all = append(all, l) }); err != nil {
+		if err := scanLines(bytes.NewReader(raw), func(l line) { all = append(all, l) }); err != nil {
 			return Story{}, err
 		}
 	}
-	id = jobOf(id, all)
+	id = resolveJobID(id, all)
 	var own, others []line
 	for _, l := range all {
 		switch {
 		case strings.Contains(l.text, id):
 			own = append(own, l)
-		case causes[l.kind]:
+		case contextKinds[l.kind]:
 			others = append(others, l)
 		}
 	}
@@ -106,18 +107,19 @@
 	}
 	byTime := func(a, b line) int { return a.at.Compare(b.at) }
 	slices.SortStableFunc(own, byTime)
-	others = near(others, own)
-	told := append(slices.Clone(own), others...)
-	slices.SortStableFunc(told, byTime)
-	story := Story{Sentence: sentence(id, own, others)}
-	for _, l := range told {
+	others = filterRelated(others, own)
+	selected := append(slices.Clone(own), others...)
+	slices.SortStableFunc(selected, byTime)
+	story := Story{Sentence: summarize(id, own, others)}
+	for _, l := range selected {
 		story.Lines = append(story.Lines, strings.TrimSpace(l.node+" "+l.text))
 	}
 	return story, nil
 }
 
-// jobOf returns the job that the request of this id submitted, or the id itself.
-func jobOf(id string, lines []line) string {
+// resolveJobID returns the ID of the job that the request with this ID submitted, or id if
+// there is none.
+func resolveJobID(id string, lines []line) string {
 	for _, l := range lines {
 		if job := l.fields.text("job"); l.fields.text("request") == id && job != "" {
 			return job
@@ -126,11 +128,11 @@
 	return id
 }
 
-// read calls take with each line of a log that is JSON; other lines are passed over.
-// What stands before the JSON names the process.
-func read(r io.Reader, take func(line)) error {
+// scanLines calls visit for each JSON line of a log. Other lines are skipped. Text before
+// the JSON identifies the process.
+func scanLines(r io.Reader, visit func(line)) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		before, body, ok := strings.Cut(lines.Text(), "{")
 		if !ok {
@@ -142,34 +144,35 @@
 		}
 		l.kind = l.fields.text("msg")
 		l.at, _ = time.Parse(time.RFC3339Nano, l.fields.text("time"))
-		take(l)
+		visit(l)
 	}
 	return lines.Err()
 }
 
-// near keeps the lines about a target, agent or entry of the job, while it lasted.
-func near(others, own []line) []line {
+// filterRelated returns the lines that concern a target, agent or entry of the job and
+// were logged within contextWindow of it.
+func filterRelated(others, own []line) []line {
 	names := make(map[string]bool)
 	for _, l := range own {
 		for _, key := range []string{"target", "agent", "entry"} {
 			names[l.fields.text(key)] = true
 		}
-		names[process(l)] = true
+		names[processName(l)] = true
 	}
 	delete(names, "")
-	begin, end := own[0].at.Add(-around), own[len(own)-1].at.Add(around)
+	begin, end := own[0].at.Add(-contextWindow), own[len(own)-1].at.Add(contextWindow)
 	return slices.DeleteFunc(others, func(l line) bool {
 		if l.at.Before(begin) || l.at.After(end) {
 			return true
 		}
 		return !names[l.fields.text("target")] && !names[l.fields.text("agent")] &&
-			!names[l.fields.text("entry")] && !names[process(l)]
+			!names[l.fields.text("entry")] && !names[processName(l)]
 	})
 }
 
-// process returns the name of the process that wrote the line, where it is
-// known.
-func process(l line) string {
+// processName returns the name of the process that logged the line, or an empty string if
+// it is unknown.
+func processName(l line) string {
 	if name := l.fields.text("node"); name != "" {
 		return name
 	}
@@ -180,8 +183,8 @@
 	return words[len(words)-1]
 }
 
-// sentence says what decided about the job.
-func sentence(id string, own, others []line) string {
+// summarize returns a sentence that explains the outcome of the job.
+func summarize(id string, own, others []line) string {
 	last := func(kind event.Kind) *line {
 		for k := len(own) - 1; k >= 0; k-- {
 			if own[k].kind == kind {
@@ -195,28 +198,28 @@
 		text := fmt.Sprintf("%s was answered after %.0f ms (objective %.0f ms): %s",
 			id, f.number("age_ms"), f.number("objective_ms"), f.text("why"))
 		inTime := f.text("kind") == "1" && f.number("age_ms") <= f.number("objective_ms")
-		if because := because(own, others); because != "" && !inTime {
-			text += "; " + because
+		if causes := describeCauses(own, others); causes != "" && !inTime {
+			text += "; " + causes
 		}
 		return text + "."
 	}
 	if cancelled := last(event.JobCancelled); cancelled != nil {
 		age := cancelled.fields.number("age_ms")
-		text := fmt.Sprintf("%s was cancelled after %.0f ms: its caller had gone", id, age)
-		if because := because(own, others); because != "" {
-			text += "; " + because
+		text := fmt.Sprintf("%s was cancelled after %.0f ms: no caller waited for it", id, age)
+		if causes := describeCauses(own, others); causes != "" {
+			text += "; " + causes
 		}
 		return text + "."
 	}
 	if lost := last(event.TaskPlaced); lost != nil {
-		return fmt.Sprintf("%s has no answer: its entry ended while tasks of it ran.", id)
+		return fmt.Sprintf("%s has no answer: its entry stopped while its tasks were running.", id)
 	}
-	return fmt.Sprintf("%s has no answer, and no task of it was placed.", id)
+	return fmt.Sprintf("%s has no answer, and none of its tasks was placed.", id)
 }
 
-// because says what kept the job's runs from ending with success, the most frequent
-// cause first, or that it waited. Empty means that nothing did.
-func because(own, others []line) string {
+// describeCauses lists the most frequent reasons why runs of the job were delayed or did
+// not succeed. It returns an empty string if there are none.
+func describeCauses(own, others []line) string {
 	counts := make(map[string]int)
 	var waited float64
 	for _, l := range own {
@@ -224,7 +227,7 @@
 		case event.TaskMoved, event.TaskWaits:
 			counts[l.fields.text("why")+" at "+l.fields.text("agent")]++
 		case event.StartUnanswered:
-			counts["a start without an answer at "+process(l)]++
+			counts["a start without a response at "+processName(l)]++
 		case event.TaskPlaced:
 			waited = max(waited, l.fields.number("waited_ms"))
 		}
@@ -245,20 +248,20 @@
 		parts = parts[:3]
 	}
 	if len(parts) == 0 && waited == 0 {
-		if accepted := first(own, event.JobAccepted); accepted != nil {
-			return fmt.Sprintf("it found no room; %.0f jobs waited when it came", accepted.fields.number("waiting"))
+		if accepted := firstOfKind(own, event.JobAccepted); accepted != nil {
+			return fmt.Sprintf("no capacity was free; %.0f jobs were waiting when it was accepted", accepted.fields.number("waiting"))
 		}
 		return ""
 	}
 	text := strings.Join(parts, ", ")
 	if waited > 0 {
-		text = strings.TrimPrefix(text+fmt.Sprintf("; a task was last placed when %.0f ms had passed", waited), "; ")
+		text = strings.TrimPrefix(text+fmt.Sprintf("; the last task was placed after %.0f ms", waited), "; ")
 	}
 	return text
 }
 
-// first returns the first line of a kind, or nil.
-func first(lines []line, kind event.Kind) *line {
+// firstOfKind returns the first line of a kind, or nil.
+func firstOfKind(lines []line, kind event.Kind) *line {
 	for k := range lines {
 		if lines[k].kind == kind {
 			return &lines[k]
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestExplainGathersAcrossProcesses(t *testing.T) {
+func TestJobCollectsLinesOfAllProcesses(t *testing.T) {
 	entry, err := os.ReadFile("testdata/entry.log")
 	assert.NilError(t, err)
 	agent, err := os.ReadFile("testdata/agent.log")
@@ -22,14 +22,14 @@
 	}
 }
 
-func TestExplainKnowsNoOtherJob(t *testing.T) {
+func TestJobReturnsErrorForUnknownID(t *testing.T) {
 	_, err := Job("00", []byte("no JSON\n{\"msg\":\"start\"}\n"))
 	assert.ErrorIs(t, err, ErrUnknownJob)
 }
 
-// TestExplainNamesAnEvacuatedHall: of a task that avoided one and of a job that was refused
-// for it.
-func TestExplainNamesAnEvacuatedHall(t *testing.T) {
+// TestJobNamesEvacuationAsCause guards against an explanation that omits evacuations as
+// the cause of a rejected task or a refused job.
+func TestJobNamesEvacuationAsCause(t *testing.T) {
 	entry := []byte(`{"time":"2026-01-01T00:00:01Z","msg":"job-accepted","node":"edge","job":"aa"}
 {"time":"2026-01-01T00:00:01.1Z","msg":"halls-evacuated","node":"edge","halls":["mtm"],"from":"store"}
 {"time":"2026-01-01T00:00:01.2Z","msg":"task-waits","node":"edge","task":"aa.0.0.0","agent":"side-1","end":"rejected","why":"719 run-hall-evacuated"}
