--- a/cmd/beaconpoint/explain.go
+++ b/cmd/beaconpoint/explain.go
@@ -10,24 +10,24 @@
 	"github.com/beaconpoint/beaconpoint/explain"
 )
 
-// explainCommand tells what became of a job from the logs of all processes.
+// explainCommand explains the outcome of a job from the logs of all processes.
 func explainCommand() *command {
 	var id string
 	var files []string
-	c := &command{sub: newCommand("explain", "gathers a job's lines from logs and says what decided")}
-	c.sub.AddPositionalValue(&id, "id", 1, true, "the id of the job, or of a request that handed it in")
-	c.sub.StringSlice(&files, "f", "log", "a log file; without any, standard input is read")
+	c := &command{sub: newCommand("explain", "collects the log lines of a job and explains its outcome")}
+	c.sub.AddPositionalValue(&id, "id", 1, true, "the ID of the job, or of a request that submitted it")
+	c.sub.StringSlice(&files, "f", "log", "a log file; default: standard input")
 	c.run = func(context.Context) int {
 		logs, err := readLogs(files)
 		if err != nil {
-			return fault(exitUsage, err)
+			return reportError(exitUsage, err)
 		}
 		story, err := explain.Job(id, logs...)
 		if errors.Is(err, explain.ErrUnknownJob) {
-			return fault(exitUnknown, err)
+			return reportError(exitUnknown, err)
 		}
 		if err != nil {
-			return fault(exitFailed, err)
+			return reportError(exitFailed, err)
 		}
 		for _, l := range story.Lines {
 			fmt.Println(l)
@@ -38,7 +38,7 @@
 	return c
 }
 
-// readLogs reads the files, or standard input where there are none.
+// readLogs reads the files, or standard input if there are none.
 func readLogs(files []string) ([][]byte, error) {
 	if len(files) == 0 {
 		raw, err := io.ReadAll(os.Stdin)
--- a/cmd/beaconpoint/golden_test.go
+++ b/cmd/beaconpoint/golden_test.go
@@ -13,11 +13,11 @@
 	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
-// commands are the subcommands, in the order in which --help lists them.
+// commands are the subcommands in the order of the help text.
 var commands = []string{"node", "entry", "agent", "check", "demo", "submit", "load", "plan", "confirm", "drain", "show",
 	"history", "status", "explain", "codes", "events", "version"}
 
-// run runs the binary and returns its exit code and what it wrote.
+// run runs the binary and returns its exit code and its combined output.
 func run(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	cmd := exec.Command(cluster.Binary(t), args...)
@@ -31,8 +31,8 @@
 	return cmd.ProcessState.ExitCode(), string(out)
 }
 
-// TestHelp holds the flags of each subcommand, as scripts use them.
-func TestHelp(t *testing.T) {
+// TestHelpMatchesGolden guards against removed or renamed subcommands and flags.
+func TestHelpMatchesGolden(t *testing.T) {
 	_, out := run(t, "--help")
 	golden.Assert(t, out, "help.golden")
 	for _, c := range commands {
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestExitCodes holds the exit codes by kind of failure.
-func TestExitCodes(t *testing.T) {
+// TestExitCodesMatchGolden guards against changed exit codes.
+func TestExitCodesMatchGolden(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintln(&out, exitOK, exitFailed, exitUsage, exitRefused, exitConflict, exitUnknown, exitUnreachable)
 	for _, args := range [][]string{
--- a/cmd/beaconpoint/main.go
+++ b/cmd/beaconpoint/main.go
@@ -1,6 +1,6 @@
-// Command beaconpoint is the dispatcher's one binary. `node` is what the deploy file
-// runs, explain.go its tool; the files seats_*.go are the commands of the earlier
-// engine (seats/README.md).
+// Command beaconpoint runs and operates the dispatcher. The deploy file runs `beaconpoint
+// node`; `beaconpoint explain` analyses its logs. The commands in the files seats_*.go
+// belong to the earlier engine (seats/README.md).
 package main
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// version is set by the build.
+// version is overwritten by the build.
 var version = "0.1.0-dev"
 
-// Exit codes by kind of failure.
+// Exit codes.
 const (
 	exitOK          = 0
 	exitFailed      = 1
@@ -31,7 +31,7 @@
 	exitUnreachable = 6
 )
 
-// command is one subcommand: its flags, and what it does.
+// command is a subcommand and its action, which returns the exit code.
 type command struct {
 	sub *flaggy.Subcommand
 	run func(context.Context) int
@@ -68,7 +68,7 @@
 	return s
 }
 
-// codesCommand prints the table of result codes, as docs/result-codes.md holds it.
+// codesCommand prints the content of docs/result-codes.md.
 func codesCommand() *command {
 	c := &command{sub: newCommand("codes", "prints the table of result codes")}
 	c.run = func(context.Context) int {
@@ -78,7 +78,7 @@
 	return c
 }
 
-// eventsCommand prints the table of log events, as docs/log-events.md holds it.
+// eventsCommand prints the content of docs/log-events.md.
 func eventsCommand() *command {
 	c := &command{sub: newCommand("events", "prints the table of log events")}
 	c.run = func(context.Context) int {
@@ -88,7 +88,6 @@
 	return c
 }
 
-// versionCommand prints the version.
 func versionCommand() *command {
 	c := &command{sub: newCommand("version", "prints the version")}
 	c.run = func(context.Context) int {
@@ -98,14 +97,14 @@
 	return c
 }
 
-// fault prints an error and returns the exit code.
-func fault(exit int, err error) int {
+// reportError prints err and returns the given exit code.
+func reportError(exit int, err error) int {
 	fmt.Fprintln(os.Stderr, "beaconpoint: "+err.Error())
 	return exit
 }
 
-// newLog returns a log of JSON lines on standard error.
-func newLog(level string) *slog.Logger {
+// newStderrLogger returns a JSON logger on standard error.
+func newStderrLogger(level string) *slog.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
 		l = slog.LevelInfo
--- a/cmd/beaconpoint/node.go
+++ b/cmd/beaconpoint/node.go
@@ -16,48 +16,47 @@
 	"github.com/beaconpoint/beaconpoint/settings"
 )
 
-// nodeCommand runs a process on the users' platform.
+// nodeCommand runs an entry or agent on the platform.
 func nodeCommand() *command {
 	var path string
-	c := &command{sub: newCommand("node", "runs the entry or agent of one machine on the platform")}
+	c := &command{sub: newCommand("node", "runs the entry or agent of one host on the platform")}
 	settingsFlag(c.sub, &path)
 	c.run = func(ctx context.Context) int {
 		s, err := settings.LoadNode(path)
 		if err != nil {
-			return fault(exitUsage, fmt.Errorf("%s: %w", path, err))
+			return reportError(exitUsage, fmt.Errorf("%s: %w", path, err))
 		}
 		lines, stopLog := startLog()
 		defer stopLog()
 		level := new(slog.LevelVar)
-		level.Set(levelOf(s))
+		level.Set(logLevelOf(s))
 		log := lines.Logger(level).With("node", s.Name)
 		go reload(ctx, path, level, log)
 		if err := runNode(ctx, s, log); err != nil && !errors.Is(err, context.Canceled) {
 			log.Error(event.Fault, "why", err.Error())
-			return fault(exitFailed, err)
+			return reportError(exitFailed, err)
 		}
 		return exitOK
 	}
 	return c
 }
 
-// startLog returns a log on standard output, and a function that writes what is left
-// of it and ends it.
+// startLog returns a log on standard output and a function that flushes and stops it.
 func startLog() (lines *event.Log, stop func()) {
 	lines = event.NewLog(os.Stdout)
 	ctx, cancel := context.WithCancel(context.Background())
-	written := make(chan struct{})
+	flushed := make(chan struct{})
 	go func() {
-		defer close(written)
+		defer close(flushed)
 		lines.Run(ctx)
 	}()
 	return lines, func() {
 		cancel()
-		<-written
+		<-flushed
 	}
 }
 
-// runNode runs the process of the settings' role until the context ends.
+// runNode runs an entry or agent until the context is cancelled.
 func runNode(ctx context.Context, s settings.Node, log *slog.Logger) error {
 	if s.Role == peer.RoleEntry {
 		return newEntryNode(s, log).Run(ctx)
@@ -65,7 +64,7 @@
 	return newAgentNode(s, log).Run(ctx)
 }
 
-// newEntryNode returns an entry with the adapter to the platform around it.
+// newEntryNode returns an entry that is connected to the platform.
 func newEntryNode(s settings.Node, log *slog.Logger) *node.Entry {
 	store := platform.NewStore(s.Store, log)
 	e := node.NewEntry(s, store.Directory(), store.Source(), log)
@@ -74,7 +73,7 @@
 	return e
 }
 
-// newAgentNode returns an agent with the adapter to the platform around it.
+// newAgentNode returns an agent that is connected to the platform.
 func newAgentNode(s settings.Node, log *slog.Logger) *node.Agent {
 	store := platform.NewStore(s.Store, log)
 	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.Target).Calls(), log)
@@ -82,8 +81,8 @@
 	return a
 }
 
-// reload reads the settings again at each SIGHUP until the context ends. The log's
-// level takes effect at once, the rest at the next start.
+// reload reloads the settings on each SIGHUP until the context is cancelled. Only the log
+// level takes effect immediately; other settings require a restart.
 func reload(ctx context.Context, path string, level *slog.LevelVar, log *slog.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -98,13 +97,13 @@
 			log.Error(event.SettingsRefused, "why", err.Error())
 			continue
 		}
-		level.Set(levelOf(s))
+		level.Set(logLevelOf(s))
 		log.Info(event.SettingsReloaded, "name", s.Name, "log_level", s.LogLevel)
 	}
 }
 
-// levelOf returns the log's level; settings that passed their check have one.
-func levelOf(s settings.Node) slog.Level {
+// logLevelOf returns the log level in the settings, or info if it is invalid.
+func logLevelOf(s settings.Node) slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(s.LogLevel)); err != nil {
 		return slog.LevelInfo
--- a/cmd/beaconpoint/seats_operate.go
+++ b/cmd/beaconpoint/seats_operate.go
@@ -17,33 +17,33 @@
 	"github.com/beaconpoint/beaconpoint/seats/operator"
 )
 
-// defaultOperators is where the examples' entries serve operators.
-const defaultOperators = "http://127.0.0.1:7201,http://127.0.0.1:7202,http://127.0.0.1:7203"
+// defaultOperatorURLs are the operator URLs of the entries in the examples.
+const defaultOperatorURLs = "http://127.0.0.1:7201,http://127.0.0.1:7202,http://127.0.0.1:7203"
 
-// tokenVariable is the environment variable with the bearer token.
+// tokenVariable is the environment variable that holds the bearer token.
 const tokenVariable = "BEACONPOINT_TOKEN"
 
-// rolloutPoll and rolloutPatience bound the wait for a rollout.
+// rolloutPollInterval and rolloutTimeout bound the wait for a rollout.
 const (
-	rolloutPoll     = 100 * time.Millisecond
-	rolloutPatience = 30 * time.Second
+	rolloutPollInterval = 100 * time.Millisecond
+	rolloutTimeout      = 30 * time.Second
 )
 
-// operate is the common part of the operators' commands.
-type operate struct {
+// operatorFlags holds the flags that all operator commands share.
+type operatorFlags struct {
 	entries string
 	token   string
 	output  string
 }
 
-func (o *operate) flags(s *flaggy.Subcommand) {
-	o.entries, o.output, o.token = defaultOperators, "text", os.Getenv(tokenVariable)
-	s.String(&o.entries, "e", "entries", "operators' base URLs of the entries, comma-separated")
+func (o *operatorFlags) flags(s *flaggy.Subcommand) {
+	o.entries, o.output, o.token = defaultOperatorURLs, "text", os.Getenv(tokenVariable)
+	s.String(&o.entries, "e", "entries", "operator base URLs of the entries, comma-separated")
 	s.String(&o.token, "", "token", "bearer token; better in "+tokenVariable)
 	s.String(&o.output, "o", "output", "text or json")
 }
 
-func (o *operate) clients() []*operator.Client {
+func (o *operatorFlags) clients() []*operator.Client {
 	var all []*operator.Client
 	for base := range strings.SplitSeq(o.entries, ",") {
 		all = append(all, operator.NewClient(base, o.token))
@@ -51,8 +51,8 @@
 	return all
 }
 
-// print writes v as JSON where that is asked for, and else the text.
-func (o *operate) print(v any, text string) {
+// print writes v as JSON if JSON output is selected, and text otherwise.
+func (o *operatorFlags) print(v any, text string) {
 	if o.output != "json" {
 		fmt.Print(text)
 		return
@@ -64,13 +64,13 @@
 	}
 }
 
-// problemExit prints a failed call and returns the exit code of its kind.
-func problemExit(err error) int {
-	return fault(exitOf(err), err)
+// reportCallError prints the error of an operator call and returns its exit code.
+func reportCallError(err error) int {
+	return reportError(exitCodeOf(err), err)
 }
 
-// exitOf returns the exit code of a failed call's kind.
-func exitOf(err error) int {
+// exitCodeOf maps the error of an operator call to an exit code.
+func exitCodeOf(err error) int {
 	switch code.Of(err, code.OK) {
 	case code.OK, code.StoreDown:
 		return exitUnreachable
@@ -83,16 +83,16 @@
 }
 
 func planCommand() *command {
-	var o operate
+	var o operatorFlags
 	var file, out string
-	c := &command{sub: newCommand("plan", "prints what an intent would change, and writes the plan to confirm")}
+	c := &command{sub: newCommand("plan", "prints the changes of an intent and writes the plan to confirm")}
 	o.flags(c.sub)
 	c.sub.String(&file, "f", "file", "the intent, as YAML or JSON")
 	c.sub.String(&out, "p", "plan", "file to write the plan to")
 	c.run = func(ctx context.Context) int {
 		in, err := readIntent(file)
 		if err != nil {
-			return fault(exitUsage, err)
+			return reportError(exitUsage, err)
 		}
 		return o.makePlan(ctx, in, out)
 	}
@@ -102,14 +102,14 @@
 func readIntent(file string) (config.Intent, error) {
 	var in config.Intent
 	if file == "" {
-		return in, errors.New("name the intent with --file FILE")
+		return in, errors.New("no intent given: use --file FILE")
 	}
 	f, err := os.Open(file)
 	if err != nil {
 		return in, err
 	}
 	defer f.Close()
-	dec := yaml.NewDecoder(f) // JSON is YAML
+	dec := yaml.NewDecoder(f) // accepts JSON, too
 	dec.KnownFields(true)
 	if err := dec.Decode(&in); err != nil {
 		return in, fmt.Errorf("%s: %w", file, err)
@@ -117,11 +117,12 @@
 	return in, nil
 }
 
-// makePlan asks for a plan, prints it and writes it to out.
-func (o *operate) makePlan(ctx context.Context, in config.Intent, out string) int {
+// makePlan requests a plan for the intent, prints it, and writes it to the file out if
+// that is set.
+func (o *operatorFlags) makePlan(ctx context.Context, in config.Intent, out string) int {
 	p, err := o.clients()[0].Plan(ctx, in)
 	if err != nil {
-		return problemExit(err)
+		return reportCallError(err)
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "plan %s from revision %d\n", p.Change, p.Base)
@@ -129,7 +130,7 @@
 		fmt.Fprintln(&text, line)
 	}
 	if len(p.Changes) == 0 {
-		fmt.Fprintln(&text, "nothing would change")
+		fmt.Fprintln(&text, "no changes")
 	}
 	for _, line := range p.Warnings {
 		fmt.Fprintln(&text, "warning: "+line)
@@ -140,32 +141,32 @@
 	}
 	raw, err := json.Marshal(p)
 	if err != nil {
-		return fault(exitFailed, err)
+		return reportError(exitFailed, err)
 	}
 	if err := os.WriteFile(out, raw, 0o600); err != nil {
-		return fault(exitFailed, err)
+		return reportError(exitFailed, err)
 	}
 	return exitOK
 }
 
 func confirmCommand() *command {
-	var o operate
+	var o operatorFlags
 	var file string
-	c := &command{sub: newCommand("confirm", "puts a plan in force and waits until every process runs it")}
+	c := &command{sub: newCommand("confirm", "applies a plan and waits until every process runs it")}
 	o.flags(c.sub)
 	c.sub.AddPositionalValue(&file, "plan", 1, true, "file with the plan")
 	c.run = func(ctx context.Context) int {
 		raw, err := os.ReadFile(file)
 		if err != nil {
-			return fault(exitUsage, err)
+			return reportError(exitUsage, err)
 		}
 		var p config.Plan
 		if err := json.Unmarshal(raw, &p); err != nil {
-			return fault(exitUsage, fmt.Errorf("%s is not a plan: %w", file, err))
+			return reportError(exitUsage, fmt.Errorf("%s is not a plan: %w", file, err))
 		}
 		done, err := o.clients()[0].Confirm(ctx, p)
 		if err != nil {
-			return problemExit(err)
+			return reportCallError(err)
 		}
 		o.print(done, fmt.Sprintf("accepted as revision %d\n", done.Revision))
 		return o.waitForRollout(ctx, done.Revision)
@@ -173,48 +174,48 @@
 	return c
 }
 
-// waitForRollout waits until every entry that was named, and every agent that is
-// connected to one, runs the revision.
-func (o *operate) waitForRollout(ctx context.Context, revision uint64) int {
-	deadline := time.Now().Add(rolloutPatience)
+// waitForRollout waits until the given entries and the agents connected to them run the
+// revision.
+func (o *operatorFlags) waitForRollout(ctx context.Context, revision uint64) int {
+	deadline := time.Now().Add(rolloutTimeout)
 	for {
-		there, all := o.rolledOut(ctx, revision)
-		fmt.Fprintf(os.Stderr, "\rin force at %d of %d entries and their agents", there, all)
-		if there == all {
+		updated, total := o.rolledOut(ctx, revision)
+		fmt.Fprintf(os.Stderr, "\rrevision in force on %d of %d entries and their agents", updated, total)
+		if updated == total {
 			fmt.Fprintln(os.Stderr)
 			return exitOK
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			fmt.Fprintln(os.Stderr)
-			return fault(exitUnknown, errors.New("the change is accepted; not every process is known to run it yet"))
+			return reportError(exitUnknown, errors.New("the change was accepted, but not all processes confirmed it within the time limit"))
 		}
-		time.Sleep(rolloutPoll)
+		time.Sleep(rolloutPollInterval)
 	}
 }
 
-func (o *operate) rolledOut(ctx context.Context, revision uint64) (there, all int) {
+func (o *operatorFlags) rolledOut(ctx context.Context, revision uint64) (updated, total int) {
 	for _, c := range o.clients() {
-		all++
+		total++
 		if s, err := c.Status(ctx); err == nil && s.Config >= revision && s.AgentConfig >= revision {
-			there++
+			updated++
 		}
 	}
-	return there, all
+	return updated, total
 }
 
 func showCommand() *command {
-	var o operate
+	var o operatorFlags
 	c := &command{sub: newCommand("show", "prints the configuration in force")}
 	o.flags(c.sub)
 	c.run = func(ctx context.Context) int {
 		d, err := o.clients()[0].Config(ctx)
 		if err != nil {
-			return problemExit(err)
+			return reportCallError(err)
 		}
 		d.History = nil
 		raw, err := yaml.Marshal(d)
 		if err != nil {
-			return fault(exitFailed, err)
+			return reportError(exitFailed, err)
 		}
 		o.print(d, string(raw))
 		return exitOK
@@ -223,13 +224,13 @@
 }
 
 func historyCommand() *command {
-	var o operate
+	var o operatorFlags
 	c := &command{sub: newCommand("history", "prints the latest changes of the configuration")}
 	o.flags(c.sub)
 	c.run = func(ctx context.Context) int {
 		d, err := o.clients()[0].Config(ctx)
 		if err != nil {
-			return problemExit(err)
+			return reportCallError(err)
 		}
 		var text strings.Builder
 		for _, l := range d.History {
@@ -242,12 +243,12 @@
 }
 
 func drainCommand() *command {
-	var o operate
+	var o operatorFlags
 	var target, out string
 	var undo bool
-	c := &command{sub: newCommand("drain", "plans that a target takes no new work")}
+	c := &command{sub: newCommand("drain", "makes a plan to drain a target, which then gets no new work")}
 	o.flags(c.sub)
-	c.sub.Bool(&undo, "u", "undo", "plans that it takes work again")
+	c.sub.Bool(&undo, "u", "undo", "makes a plan to end the drain")
 	c.sub.String(&out, "p", "plan", "file to write the plan to")
 	c.sub.AddPositionalValue(&target, "target", 1, true, "name of the target")
 	c.run = func(ctx context.Context) int {
@@ -261,8 +262,8 @@
 }
 
 func statusCommand() *command {
-	var o operate
-	c := &command{sub: newCommand("status", "prints where every entry stands")}
+	var o operatorFlags
+	c := &command{sub: newCommand("status", "prints the status of every entry")}
 	o.flags(c.sub)
 	c.run = func(ctx context.Context) int {
 		exit := exitOK
@@ -272,7 +273,7 @@
 			base := strings.Split(o.entries, ",")[k]
 			s, err := client.Status(ctx)
 			if err != nil {
-				exit = exitOf(err)
+				exit = exitCodeOf(err)
 				all[base] = err.Error()
 				fmt.Fprintf(&text, "%s: %v\n", base, err)
 				continue
--- a/cmd/beaconpoint/seats_roles.go
+++ b/cmd/beaconpoint/seats_roles.go
@@ -17,16 +17,16 @@
 	nodesettings "github.com/beaconpoint/beaconpoint/settings"
 )
 
-// The commands of the files seats_*.go are those of the earlier engine, which the
-// deploy file does not run (seats/README.md): its processes here, its callers' tools in
-// seats_submit.go, its operators' in seats_operate.go.
+// The files seats_*.go hold the commands of the earlier engine (seats/README.md), which the
+// deploy file does not run: processes in this file, caller commands in seats_submit.go,
+// operator commands in seats_operate.go.
 
-// settingsFlag adds the flag that names a settings file; `node` has it, too.
+// settingsFlag adds the flag for the settings file, which `node` has, too.
 func settingsFlag(s *flaggy.Subcommand, path *string) {
-	s.String(path, "s", "settings", "the YAML file with the process's settings")
+	s.String(path, "s", "settings", "the YAML settings file of the process")
 }
 
-// runner is a process of one role.
+// runner is a process that runs until the context is cancelled.
 type runner interface {
 	Run(context.Context) error
 }
@@ -37,11 +37,11 @@
 }
 
 func agentCommand() *command {
-	return roleCommand(wire.RoleAgent, "runs an agent: guards and performs the starts at the target beside it",
+	return roleCommand(wire.RoleAgent, "runs an agent: starts and supervises tasks on the target of its host",
 		func(s settings.Settings, log *slog.Logger) (runner, error) { return agent.NewAgent(s, log) })
 }
 
-// roleCommand runs a process of the role until it is told to stop.
+// roleCommand returns a command that runs a process with settings of the given role.
 func roleCommand(role wire.Role, description string, build func(settings.Settings, *slog.Logger) (runner, error)) *command {
 	var path string
 	c := &command{sub: newCommand(string(role), description)}
@@ -52,24 +52,24 @@
 			return exit
 		}
 		if cfg.Role != role {
-			return fault(exitUsage, fmt.Errorf("%s: these are the settings of an %s", path, cfg.Role))
+			return reportError(exitUsage, fmt.Errorf("%s: settings have role %s", path, cfg.Role))
 		}
-		p, err := build(cfg, newLog(cfg.LogLevel))
+		p, err := build(cfg, newStderrLogger(cfg.LogLevel))
 		if err != nil {
-			return fault(exitFailed, err)
+			return reportError(exitFailed, err)
 		}
 		if err := p.Run(ctx); err != nil {
-			return fault(exitFailed, err)
+			return reportError(exitFailed, err)
 		}
 		return exitOK
 	}
 	return c
 }
 
-// readSettings reads the settings and prints every fault.
+// readSettings loads the settings, prints all faults and returns the exit code.
 func readSettings(path string) (settings.Settings, int) {
 	if path == "" {
-		return settings.Settings{}, fault(exitUsage, errors.New("name the settings with --settings FILE"))
+		return settings.Settings{}, reportError(exitUsage, errors.New("no settings given: use --settings FILE"))
 	}
 	cfg, err := settings.Load(path)
 	var faults nodesettings.Faults
@@ -80,7 +80,7 @@
 		return cfg, exitUsage
 	}
 	if err != nil {
-		return cfg, fault(exitUsage, err)
+		return cfg, reportError(exitUsage, err)
 	}
 	return cfg, exitOK
 }
@@ -92,7 +92,7 @@
 	c.run = func(context.Context) int {
 		cfg, exit := readSettings(path)
 		if exit == exitOK {
-			fmt.Printf("%s: good settings of the %s %s\n", path, cfg.Role, cfg.Name)
+			fmt.Printf("%s: valid settings of %s %s\n", path, cfg.Role, cfg.Name)
 		}
 		return exit
 	}
@@ -102,13 +102,13 @@
 func demoCommand() *command {
 	var stay bool
 	level := "error"
-	c := &command{sub: newCommand("demo", "runs a whole small system on loopback and a job through it")}
+	c := &command{sub: newCommand("demo", "runs a small system on loopback and submits a job to it")}
 	c.sub.Bool(&stay, "", "stay", "keep serving after the job")
 	c.sub.String(&level, "l", "log", "level of the processes' logs: debug, info, warn or error")
 	c.run = func(ctx context.Context) int {
-		err := demo.Run(ctx, demo.Config{Stay: stay, Out: os.Stdout, Log: newLog(level)})
+		err := demo.Run(ctx, demo.Config{Stay: stay, Out: os.Stdout, Log: newStderrLogger(level)})
 		if err != nil {
-			return fault(exitFailed, err)
+			return reportError(exitFailed, err)
 		}
 		return exitOK
 	}
--- a/cmd/beaconpoint/seats_submit.go
+++ b/cmd/beaconpoint/seats_submit.go
@@ -16,8 +16,8 @@
 	"github.com/beaconpoint/beaconpoint/seats/operator"
 )
 
-// defaultEntry is where the examples' first entry serves callers.
-const defaultEntry = "http://127.0.0.1:7401"
+// defaultEntryURL is the caller URL of the first entry in the examples.
+const defaultEntryURL = "http://127.0.0.1:7401"
 
 func callerFlags(s *flaggy.Subcommand, entry, service *string) {
 	s.String(entry, "e", "entry", "base URL of an entry")
@@ -25,35 +25,35 @@
 }
 
 func submitCommand() *command {
-	entry, service := defaultEntry, "trackd"
+	entry, service := defaultEntryURL, "trackd"
 	var file, id, payload string
 	organisation, tasks := "port-gate", 1
 	timeout := time.Minute
 	c := &command{sub: newCommand("submit", "submits a job and prints its answer")}
 	callerFlags(c.sub, &entry, &service)
-	c.sub.String(&file, "f", "file", "the job as JSON; without it the flags make one")
-	c.sub.String(&id, "", "id", "the job's id")
-	c.sub.String(&organisation, "m", "member", "the member it counts on")
-	c.sub.Int(&tasks, "n", "tasks", "how many tasks")
-	c.sub.String(&payload, "p", "payload", "each task's payload, as JSON")
-	c.sub.Duration(&timeout, "t", "timeout", "how long to wait for the answer")
+	c.sub.String(&file, "f", "file", "the job as JSON; default: a job made from the other flags")
+	c.sub.String(&id, "", "id", "the ID of the job")
+	c.sub.String(&organisation, "m", "member", "organisation whose quota the jobs count against")
+	c.sub.Int(&tasks, "n", "tasks", "number of tasks")
+	c.sub.String(&payload, "p", "payload", "payload of each task, as JSON")
+	c.sub.Duration(&timeout, "t", "timeout", "time to wait for the answer")
 	c.run = func(ctx context.Context) int {
-		j, err := jobFrom(file, id, organisation, payload, tasks)
+		j, err := buildJob(file, id, organisation, payload, tasks)
 		if err != nil {
-			return fault(exitUsage, err)
+			return reportError(exitUsage, err)
 		}
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		a, err := seats.NewClient(entry).Submit(ctx, service, j)
 		if err != nil {
-			return fault(exitUnreachable, err)
+			return reportError(exitUnreachable, err)
 		}
 		return printAnswer(a)
 	}
 	return c
 }
 
-func jobFrom(file, id, organisation, payload string, tasks int) (seats.Job, error) {
+func buildJob(file, id, organisation, payload string, tasks int) (seats.Job, error) {
 	var j seats.Job
 	if file != "" {
 		raw, err := os.ReadFile(file)
@@ -66,7 +66,7 @@
 		payload = `{"ms":100}`
 	}
 	if !json.Valid([]byte(payload)) {
-		return j, errors.New("the payload is not JSON")
+		return j, errors.New("payload is not valid JSON")
 	}
 	if id == "" {
 		id = fmt.Sprintf("job-%d", time.Now().UnixNano())
@@ -82,7 +82,7 @@
 	enc := json.NewEncoder(os.Stdout)
 	enc.SetIndent("", "  ")
 	if err := enc.Encode(a); err != nil {
-		return fault(exitFailed, err)
+		return reportError(exitFailed, err)
 	}
 	switch a.State {
 	case seats.Complete:
@@ -95,37 +95,37 @@
 
 func loadCommand() *command {
 	cfg := load.DefaultConfig()
-	entries, operators, token := defaultEntry, "", ""
-	c := &command{sub: newCommand("load", "puts a bounded, seeded load of jobs on entries and prints what came of it")}
+	entries, operators, token := defaultEntryURL, "", ""
+	c := &command{sub: newCommand("load", "submits a bounded, seeded load of jobs and prints the results")}
 	c.sub.String(&entries, "e", "entries", "base URLs of entries, comma-separated")
 	c.sub.String(&cfg.Service, "", "service", "name of the service")
-	c.sub.String(&cfg.Organisation, "m", "member", "the member it counts on")
-	c.sub.Int(&cfg.Jobs, "j", "jobs", "how many jobs")
-	c.sub.Int(&cfg.LargestJob, "n", "tasks", "the largest job's tasks; sizes are log-uniform")
-	c.sub.Float64(&cfg.JobsPerSecond, "r", "rate", "jobs a second")
-	c.sub.Int(&cfg.ShortMS, "", "short", "the shortest task, in ms")
-	c.sub.Int(&cfg.LongMS, "", "long", "the longest common task, in ms")
-	c.sub.UInt64(&cfg.Seed, "", "seed", "seed of sizes, lengths and arrivals")
-	c.sub.Duration(&cfg.Expiry, "x", "expiry", "expiry of each job; 0 for none")
-	c.sub.String(&operators, "", "operators", "base URLs of all entries' operators' addresses, comma-separated, to count messages")
-	c.sub.String(&token, "", "token", "bearer token for them")
+	c.sub.String(&cfg.Organisation, "m", "member", "organisation whose quota the jobs count against")
+	c.sub.Int(&cfg.Jobs, "j", "jobs", "number of jobs")
+	c.sub.Int(&cfg.LargestJob, "n", "tasks", "number of tasks of the largest job; sizes are log-uniform")
+	c.sub.Float64(&cfg.JobsPerSecond, "r", "rate", "jobs per second")
+	c.sub.Int(&cfg.ShortMS, "", "short", "duration of the shortest task, in ms")
+	c.sub.Int(&cfg.LongMS, "", "long", "duration of the longest common task, in ms")
+	c.sub.UInt64(&cfg.Seed, "", "seed", "seed of job sizes, task durations and arrivals")
+	c.sub.Duration(&cfg.Expiry, "x", "expiry", "expiry of each job; 0: none")
+	c.sub.String(&operators, "", "operators", "operator base URLs of all entries, comma-separated, to count messages")
+	c.sub.String(&token, "", "token", "bearer token for the operator URLs")
 	c.run = func(ctx context.Context) int {
 		cfg.Entries = entries
-		before, err := messages(ctx, operators, token)
+		before, err := sumMessageCounts(ctx, operators, token)
 		if err != nil {
-			return fault(exitUnreachable, err)
+			return reportError(exitUnreachable, err)
 		}
 		r, err := load.Run(ctx, cfg)
 		if err != nil {
-			return fault(exitUsage, err)
+			return reportError(exitUsage, err)
 		}
 		fmt.Print(r.Text())
-		after, err := messages(ctx, operators, token)
+		after, err := sumMessageCounts(ctx, operators, token)
 		if err != nil {
-			return fault(exitUnreachable, err)
+			return reportError(exitUnreachable, err)
 		}
 		if starts := after.starts - before.starts; starts > 0 {
-			fmt.Printf("messages a started task: %.2f in all, %.4f wasted\n",
+			fmt.Printf("messages per started task: %.2f total, %.4f wasted\n",
 				(after.frames-before.frames)/starts, (after.wasted-before.wasted)/starts)
 		}
 		return exitOK
@@ -133,15 +133,15 @@
 	return c
 }
 
-// counted is what entries tell of their messages.
-type counted struct {
+// messageCounts are message counters of entries.
+type messageCounts struct {
 	starts, frames, wasted float64
 }
 
-// messages sums up what the entries at the operators' addresses tell; nothing
-// where none are named.
-func messages(ctx context.Context, operators, token string) (counted, error) {
-	var sum counted
+// sumMessageCounts returns the sums of the counters of the entries at the operator URLs,
+// or zeros if there are no URLs.
+func sumMessageCounts(ctx context.Context, operators, token string) (messageCounts, error) {
+	var sum messageCounts
 	if operators == "" {
 		return sum, nil
 	}
