--- a/doc.go
+++ b/doc.go
@@ -1,23 +1,23 @@
-// Package beaconpoint is the root of a dispatcher for sub-second tasks. It holds no
-// code: README.md says how to run it, docs/architecture.md how it works.
+// Package beaconpoint is the root of a dispatcher for sub-second tasks. It contains no
+// code. README.md describes how to run the dispatcher, docs/architecture.md how it works.
 //
-// Production runs `beaconpoint node`. Read in this order:
+// Deployments run `beaconpoint node`. Its packages, in reading order:
 //
-//	task, routing    the model: jobs and runs; queues
-//	evacuation       which data halls get no new work
-//	claim            which entry has a job, whichever it was submitted to
-//	reach            to which agents an entry is connected
-//	owner            an entry's decisions: admission, order, placement, refusal, retry
-//	supervisor       an agent's decisions: room, leases, health, what starts
-//	peer, framing    what entries and agents tell each other
-//	node             the processes around the two state machines
-//	platform         the adapter to the users' platform
-//	estimate         how long work takes
-//	event, explain   log lines; what they say about a job
-//	code             numbered results
+//	task, routing    data model: jobs, tasks and runs; queues
+//	evacuation       data halls that get no new work
+//	claim            which entry owns a job that was submitted to several
+//	reach            which agents an entry connects to
+//	owner            state machine of an entry: admission, ordering, placement, retries
+//	supervisor       state machine of an agent: capacity, leases, health, starts
+//	peer, framing    messages between entries and agents
+//	node             processes that drive the two state machines
+//	platform         adapter to the platform
+//	estimate         estimates of task durations
+//	event, explain   log events; explanation of the outcome of a job
+//	code             result codes
 //	settings, stage, backoff
 //
-// testutil/fleet plays the state machines in virtual time, testutil/system the whole
-// path over loopback, with the stand-ins of standin. seats is the earlier engine whole,
-// which the deploy file does not run.
+// testutil/fleet simulates the state machines in virtual time. testutil/system runs the
+// system over loopback with the test doubles in standin. The packages under seats are the
+// earlier engine, which the deploy file does not run.
 package beaconpoint
--- a/pages_test.go
+++ b/pages_test.go
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// walk calls do with each file of the tree that ends so, but for the journal.
-func walk(t *testing.T, ending string, do func(path, text string)) {
+// walk calls do with each file whose name has the given suffix, except in the journal and
+// in build output.
+func walk(t *testing.T, suffix string, do func(path, text string)) {
 	t.Helper()
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
@@ -21,7 +22,7 @@
 		if d.IsDir() && (path == "journal" || path == "target" || path == ".git") {
 			return filepath.SkipDir
 		}
-		if d.IsDir() || !strings.HasSuffix(path, ending) {
+		if d.IsDir() || !strings.HasSuffix(path, suffix) {
 			return nil
 		}
 		raw, err := os.ReadFile(path)
@@ -33,10 +34,10 @@
 	assert.NilError(t, err)
 }
 
-// link is a link to a file, without its anchor.
+// link matches the path of a relative Markdown link, without its anchor.
 var link = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
 
-func TestPagesLinkToWhatIsThere(t *testing.T) {
+func TestPageLinksResolve(t *testing.T) {
 	walk(t, ".md", func(path, text string) {
 		for _, m := range link.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), m[1]))
@@ -45,15 +46,15 @@
 	})
 }
 
-// Names of tests in pages, and of constants in the first column of a table.
+// Names of tests in pages, and of constants in the first column of tables.
 var (
 	testName     = regexp.MustCompile("`(Test[A-Za-z]+)`")
 	constantName = regexp.MustCompile("`([a-zA-Z]+)`")
 )
 
-// TestPagesNameWhatIsThere: the pages on guarantees and decisions name tests and
-// constants by which a reader finds the code.
-func TestPagesNameWhatIsThere(t *testing.T) {
+// TestPagesNameExistingTestsAndConstants guards against pages that name tests or constants
+// that do not exist.
+func TestPagesNameExistingTestsAndConstants(t *testing.T) {
 	var code strings.Builder
 	walk(t, ".go", func(_, text string) { code.WriteString(text) })
 	all := code.String()
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,6 +1,5 @@
-// Package store is a stand-in for the platform's metadata store: keys with revisions,
-// transactions and watches over HTTP. The product uses no leased keys, and none are
-// played. It can be made to fail.
+// Package store is a test double for the platform's metadata store: keys with revisions,
+// transactions and watches over HTTP, with fault injection. Leases are not implemented.
 package store
 
 import (
@@ -13,7 +12,7 @@
 	"time"
 )
 
-// Item is a key with its value.
+// Item is a key and its value.
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -24,15 +23,14 @@
 	At       uint64 `json:"at,omitempty"`
 }
 
-// Faults is how the store fails.
+// Faults configures injected faults.
 type Faults struct {
-	// Down refuses every call; Silent leaves every call without an answer
-	// until its caller gives up.
+	// Down rejects every call with status 503. Silent leaves every call without a response
+	// until its caller disconnects.
 	Down, Silent bool
-	// LoseAnswers is how many more writes take effect without an answer.
+	// LoseAnswers is the number of further writes that are committed without a response.
 	LoseAnswers int
-	// BeforeWrite is called before a transaction is carried out, as if it had been
-	// under way for long.
+	// BeforeWrite is called before a transaction is processed, to simulate a delayed one.
 	BeforeWrite func()
 }
 
@@ -40,14 +38,14 @@
 type Store struct {
 	mux *http.ServeMux
 
-	mu       sync.Mutex
-	revision uint64
-	items    map[string]Item
-	history  []Item
-	forgot   uint64 // history up to this revision is gone
-	changed  chan struct{}
-	faults   Faults
-	calls    map[string]int
+	mu                sync.Mutex
+	revision          uint64
+	items             map[string]Item
+	history           []Item
+	compactedRevision uint64 // history up to this revision was discarded
+	changed           chan struct{}
+	faults            Faults
+	calls             map[string]int
 }
 
 // NewStore returns an empty store.
@@ -65,40 +63,40 @@
 	return s
 }
 
-// SetFaults changes how the store fails.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// Put writes a key as the operator does.
+// Put writes a key, as an operator does.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(Item{Key: key, Value: value})
-	s.wake()
+	s.notifyWatches()
 }
 
-// Remove takes a key away as the operator does.
+// Remove removes a key, as an operator does.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 }
 
-// Forget drops the history and cuts the watches.
+// Forget discards the history, so that watches from earlier revisions fail.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgot = s.revision
+	s.compactedRevision = s.revision
 	s.history = nil
-	s.wake()
+	s.notifyWatches()
 }
 
-// Count returns how many keys begin with the prefix.
+// Count returns the number of keys with the prefix.
 func (s *Store) Count(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +109,7 @@
 	return count
 }
 
-// Calls returns how many calls came, by path.
+// Calls returns the number of calls by path.
 func (s *Store) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,13 +140,13 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// wake wakes the watches. It is called with the lock held.
-func (s *Store) wake() {
+// notifyWatches wakes all watches. The caller holds s.mu.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// put writes an item under the next revision.
+// put writes an item with the next revision. The caller holds s.mu.
 func (s *Store) put(i Item) {
 	s.revision++
 	i.Revision = s.revision
@@ -160,7 +158,7 @@
 	s.history = append(s.history, i)
 }
 
-// remove removes a key, if it is there.
+// remove removes a key if it exists. The caller holds s.mu.
 func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
@@ -170,7 +168,7 @@
 	s.history = append(s.history, Item{Key: key, Revision: s.revision, Gone: true})
 }
 
-// key answers with one key.
+// key handles reads of one key.
 func (s *Store) key(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +181,7 @@
 	reply(w, http.StatusOK, i)
 }
 
-// list answers with a page of the keys of a prefix.
+// list handles paged reads of the keys with a prefix.
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,17 +200,18 @@
 	reply(w, http.StatusOK, map[string]any{"items": items, "more": more, "at": s.revision})
 }
 
-// pageSize is how many items a page has.
+// pageSize is the maximum number of items in a page.
 const pageSize = 500
 
-// watch answers with the changes of a prefix after a revision, and waits for one.
+// watch handles watches. It responds with the changes after a revision and waits for one
+// if there are none.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, _ := strconv.ParseUint(q.Get("depends_on"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
-	for over := false; ; {
+	for expired := false; ; {
 		s.mu.Lock()
 		events := []Item{}
 		for _, i := range s.history {
@@ -220,37 +219,37 @@
 				events = append(events, i)
 			}
 		}
-		gone, at, changed := from < s.forgot, s.revision, s.changed
+		gone, at, changed := from < s.compactedRevision, s.revision, s.changed
 		s.mu.Unlock()
 		switch {
 		case gone:
 			w.WriteHeader(http.StatusGone)
 			return
-		case len(events) > 0 || over:
+		case len(events) > 0 || expired:
 			reply(w, http.StatusOK, map[string]any{"events": events, "at": at})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-type condition struct {
+type precondition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
 }
 
-// transact carries out a transaction, if its conditions hold.
+// transact commits a transaction if its preconditions hold.
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
 	var body struct {
-		Expected []condition `json:"expected_rev"`
-		Put      []Item      `json:"put"`
-		Remove   []string    `json:"remove"`
+		Expected []precondition `json:"expected_rev"`
+		Put      []Item         `json:"put"`
+		Remove   []string       `json:"remove"`
 	}
 	if json.NewDecoder(r.Body).Decode(&body) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -270,7 +269,7 @@
 	}
 	for _, i := range body.Put {
 		if i.Lease != 0 {
-			w.WriteHeader(http.StatusNotFound) // no lease is ever given here
+			w.WriteHeader(http.StatusNotFound) // leases are not implemented
 			return
 		}
 	}
@@ -280,17 +279,17 @@
 	for _, key := range body.Remove {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
-		panic(http.ErrAbortHandler) // done, and not answered
+		panic(http.ErrAbortHandler) // committed, but without a response
 	}
 	reply(w, http.StatusOK, map[string]any{"revision": s.revision})
 }
 
-// reply writes a JSON answer.
+// reply writes a JSON response.
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -1,6 +1,6 @@
-// Package target is a stand-in for a target of the platform: it starts and
-// stops runs on orders over HTTP, lists them, and lets them lapse without a
-// lease. A task's spec says how long it takes.
+// Package target is a test double for a target of the platform. It starts, stops and lists
+// runs over HTTP, and ends them as lapsed if its lease expires. The spec of a task is its
+// duration.
 package target
 
 import (
@@ -12,10 +12,9 @@
 	"time"
 )
 
-// Target is one target through all of its incarnations. It implements http.Handler.
+// Target is a target across all of its incarnations. It implements http.Handler.
 type Target struct {
-	// Hall is the data hall that its heartbeats name. It must not be changed once they
-	// are sent.
+	// Hall is the data hall in the heartbeats. It must not be changed after the first one.
 	Hall string
 
 	mux     *http.ServeMux
@@ -24,21 +23,21 @@
 
 	mu           sync.Mutex
 	incarnations int
-	began        time.Time
+	startedAt    time.Time
 	deadline     int64
 	token        uint64
 	runs         map[string]*run
-	highest      map[string]int
+	highestRun   map[string]int
 	ended        [][]any
-	count        uint64
+	endCount     uint64
 	changed      chan struct{}
 	draining     bool
 	failing      bool
-	starts       []string // names of all runs that were ever started
-	doubled      []string // those that were started while another run of the task was at work
+	starts       []string // task names of all runs started so far
+	duplicates   []string // task names of runs started while another run of the same task was active
 }
 
-// run is a run that is at work.
+// run is an active run.
 type run struct {
 	name        string
 	number      int
@@ -46,18 +45,17 @@
 	timer       *time.Timer
 }
 
-// NewTarget returns a target of a service with the given processor, in
-// thousandths of a core.
+// NewTarget returns a target of a service with the given CPU capacity in millicores.
 func NewTarget(service string, cpu int) *Target {
 	t := &Target{mux: http.NewServeMux(), service: service, cpu: cpu}
-	t.mux.HandleFunc("POST /beaconpoint/run-start", t.start)
-	t.mux.HandleFunc("POST /beaconpoint/run-stop", t.stop)
-	t.mux.HandleFunc("POST /beaconpoint/hold", t.hold)
+	t.mux.HandleFunc("POST /beaconpoint/run-start", t.handleStart)
+	t.mux.HandleFunc("POST /beaconpoint/run-stop", t.handleStop)
+	t.mux.HandleFunc("POST /beaconpoint/hold", t.handleRenew)
 	t.Restart()
 	return t
 }
 
-// Restart begins a new incarnation in which nothing runs.
+// Restart begins a new incarnation without runs.
 func (t *Target) Restart() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,38 +63,38 @@
 		r.timer.Stop()
 	}
 	t.incarnations++
-	t.began = time.Now()
-	t.deadline, t.token, t.count = 0, 0, 0
+	t.startedAt = time.Now()
+	t.deadline, t.token, t.endCount = 0, 0, 0
 	t.runs = make(map[string]*run)
-	t.highest = make(map[string]int)
+	t.highestRun = make(map[string]int)
 	t.ended = nil
 	t.draining = false
-	t.wake()
+	t.notifyWaiters()
 }
 
-// SetFailing makes all runs that begin from now on fail.
+// SetFailing makes all runs started from now on fail.
 func (t *Target) SetFailing(failing bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failing = failing
 }
 
-// Starts returns the names of all runs that were ever started.
+// Starts returns the task names of all runs started so far.
 func (t *Target) Starts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]string(nil), t.starts...)
 }
 
-// Doubled returns the names of the tasks that were started while another run of them
-// was at work here.
+// Doubled returns the names of the tasks that were started while another run of the same
+// task was active on this target.
 func (t *Target) Doubled() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]string(nil), t.doubled...)
+	return append([]string(nil), t.duplicates...)
 }
 
-// Report sends one heartbeat to the agent at addr.
+// Report sends a heartbeat to the agent at addr.
 func (t *Target) Report(addr string, seq int) error {
 	t.mu.Lock()
 	state := "ready"
@@ -131,25 +129,25 @@
 	t.mux.ServeHTTP(rw, r)
 }
 
-// id returns the id of the incarnation.
+// id returns the instance ID of the current incarnation.
 func (t *Target) id() string {
 	return fmt.Sprintf("i-%p-%d", t, t.incarnations)
 }
 
-// clock returns the target's own clock, in milliseconds.
+// clock returns the reading of the target's clock in milliseconds.
 func (t *Target) clock() int64 {
-	return time.Since(t.began).Milliseconds() + 1000
+	return time.Since(t.startedAt).Milliseconds() + 1000
 }
 
-// wake ends the waits of renewals. It is called with the lock held.
-func (t *Target) wake() {
+// notifyWaiters ends the waits of renewals. The caller holds t.mu.
+func (t *Target) notifyWaiters() {
 	if t.changed != nil {
 		close(t.changed)
 	}
 	t.changed = make(chan struct{})
 }
 
-// order is the body of every call, each with the parts that it has.
+// order is the union of the request bodies.
 type order struct {
 	Task     string `json:"task"`
 	Run      int    `json:"run"`
@@ -160,8 +158,8 @@
 	Wait     int64  `json:"wait_ms"`
 }
 
-// take reads an order and checks its token. It returns with the lock held.
-func (t *Target) take(rw http.ResponseWriter, r *http.Request) (order, bool) {
+// decodeOrder decodes a request and checks its fencing token. It returns with t.mu held.
+func (t *Target) decodeOrder(rw http.ResponseWriter, r *http.Request) (order, bool) {
 	var o order
 	err := json.NewDecoder(r.Body).Decode(&o)
 	t.mu.Lock()
@@ -177,89 +175,90 @@
 	return o, true
 }
 
-// reply answers, with the target's clock.
+// reply writes a response that includes the clock reading.
 func (t *Target) reply(rw http.ResponseWriter, status int, body map[string]any) {
 	body["clock_ms"] = t.clock()
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
-	_ = json.NewEncoder(rw).Encode(body) // the caller may have gone
+	_ = json.NewEncoder(rw).Encode(body) // the caller may have disconnected
 }
 
-// start starts a run, unless it is there, late or old.
-func (t *Target) start(rw http.ResponseWriter, r *http.Request) {
-	o, ok := t.take(rw, r)
+// handleStart starts a run unless it is already active, too late or superseded.
+func (t *Target) handleStart(rw http.ResponseWriter, r *http.Request) {
+	o, ok := t.decodeOrder(rw, r)
 	defer t.mu.Unlock()
-	switch present := t.runs[o.Task]; {
+	switch active := t.runs[o.Task]; {
 	case !ok:
-	case present != nil && present.number == o.Run:
+	case active != nil && active.number == o.Run:
 		t.reply(rw, http.StatusOK, map[string]any{})
 	case o.Deadline < t.clock():
 		t.reply(rw, http.StatusConflict, map[string]any{"reason": "late"})
-	case o.Run <= t.highest[o.Task]:
+	case o.Run <= t.highestRun[o.Task]:
 		t.reply(rw, http.StatusConflict, map[string]any{"reason": "old"})
 	default:
-		t.begin(o)
+		t.startRun(o)
 		t.reply(rw, http.StatusOK, map[string]any{})
 	}
 }
 
-// begin begins a run, which ends by itself after the time that its spec says.
-func (t *Target) begin(o order) {
+// startRun starts a run that ends after the duration in its spec.
+func (t *Target) startRun(o order) {
 	t.deadline = max(t.deadline, o.Deadline)
 	if t.runs[o.Task] != nil {
-		t.doubled = append(t.doubled, o.Task)
+		t.duplicates = append(t.duplicates, o.Task)
 	}
 	t.starts = append(t.starts, o.Task)
-	how := "done"
+	end := "done"
 	if t.failing {
-		how = "failed"
+		end = "failed"
 	}
-	took, err := time.ParseDuration(o.Spec)
+	duration, err := time.ParseDuration(o.Spec)
 	if err != nil {
-		took, how = 0, "failed"
+		duration, end = 0, "failed"
 	}
-	one := &run{name: o.Task, number: o.Run, incarnation: t.incarnations}
-	one.timer = time.AfterFunc(took, func() {
+	started := &run{name: o.Task, number: o.Run, incarnation: t.incarnations}
+	started.timer = time.AfterFunc(duration, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.finish(one, how)
+		t.finishRun(started, end)
 	})
-	t.runs[o.Task] = one
+	t.runs[o.Task] = started
 }
 
-// finish lists the end of a run. It is called with the lock held.
-func (t *Target) finish(r *run, how string) {
+// finishRun lists the end of a run. The caller holds t.mu.
+func (t *Target) finishRun(r *run, end string) {
 	if t.runs[r.name] != r || r.incarnation != t.incarnations {
 		return
 	}
 	if t.clock() > t.deadline {
-		how = "lapsed"
+		end = "lapsed"
 	}
 	r.timer.Stop()
 	delete(t.runs, r.name)
-	t.highest[r.name] = max(t.highest[r.name], r.number)
-	t.count++
-	t.ended = append(t.ended, []any{t.count, r.name, r.number, how, ""})
-	t.wake()
+	t.highestRun[r.name] = max(t.highestRun[r.name], r.number)
+	t.endCount++
+	t.ended = append(t.ended, []any{t.endCount, r.name, r.number, end, ""})
+	t.notifyWaiters()
 }
 
-// stop ends a run, and keeps it from beginning later.
-func (t *Target) stop(rw http.ResponseWriter, r *http.Request) {
-	o, ok := t.take(rw, r)
+// handleStop ends a run, or prevents a later start of it.
+func (t *Target) handleStop(rw http.ResponseWriter, r *http.Request) {
+	o, ok := t.decodeOrder(rw, r)
 	defer t.mu.Unlock()
 	if !ok {
 		return
 	}
-	t.highest[o.Task] = max(t.highest[o.Task], o.Run)
-	if present := t.runs[o.Task]; present != nil && present.number == o.Run {
-		t.finish(present, "stopped")
+	t.highestRun[o.Task] = max(t.highestRun[o.Task], o.Run)
+	if active := t.runs[o.Task]; active != nil && active.number == o.Run {
+		t.finishRun(active, "stopped")
 	}
 	t.reply(rw, http.StatusOK, map[string]any{})
 }
 
-// hold renews the lease and answers with the lists, once there is an end to list.
-func (t *Target) hold(rw http.ResponseWriter, r *http.Request) {
-	o, ok := t.take(rw, r)
+// handleRenew renews the lease and returns the run lists, if necessary after waiting for a
+// run to end.
+func (t *Target) handleRenew(rw http.ResponseWriter, r *http.Request) {
+	o, ok := t.decodeOrder(rw, r)
 	defer t.mu.Unlock()
 	if !ok {
 		return
@@ -269,17 +268,18 @@
 		t.ended = t.ended[1:]
 	}
 	if len(t.ended) == 0 && o.Wait > 0 {
-		t.wait(r, time.Duration(o.Wait)*time.Millisecond)
+		t.waitForEnd(r, time.Duration(o.Wait)*time.Millisecond)
 	}
 	running := [][]any{}
-	for _, one := range t.runs {
-		running = append(running, []any{one.name, one.number, "", 100})
+	for _, active := range t.runs {
+		running = append(running, []any{active.name, active.number, "", 100})
 	}
 	t.reply(rw, http.StatusOK, map[string]any{"running": running, "ended": append([][]any{}, t.ended...)})
 }
 
-// wait waits for an end, without the lock.
-func (t *Target) wait(r *http.Request, d time.Duration) {
+// waitForEnd waits until a run ends, the time is over, or the caller disconnects. It
+// releases t.mu while waiting.
+func (t *Target) waitForEnd(r *http.Request, d time.Duration) {
 	changed := t.changed
 	t.mu.Unlock()
 	defer t.mu.Lock()
