--- a/cmd/beaconpoint/seats_operate.go
+++ b/cmd/beaconpoint/seats_operate.go
@@ -187,7 +187,7 @@
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			fmt.Fprintln(os.Stderr)
-			return reportError(exitUnknown, errors.New("the change was accepted, but not all processes confirmed it within the time limit"))
+			return reportError(exitUnknown, errors.New("the change was accepted, but not all processes confirmed it before the wait ended"))
 		}
 		time.Sleep(rolloutPollInterval)
 	}
