--- a/owner/callers.go
+++ b/owner/callers.go
@@ -52,7 +52,7 @@
 	o.countAnswer(why)
 	retry := RetryAfter
 	if why == code.JobLinkFull {
-		retry = o.link.comeBackAfter(now, spec)
+		retry = o.link.retryAfter(now, spec)
 	}
 	answer(Answer{Kind: Refused, Why: why, Retry: retry})
 }
@@ -68,7 +68,7 @@
 	o.logAccepted(j, spec.Chain())
 	o.noteLabels(j)
 	j.earlierRun = o.ending[spec.ID] != nil
-	j.homesWanted = o.homesOfNewJob(now)
+	j.homeCount = o.newJobHomeCount(now)
 	o.completeHomes(now, j)
 	j.queue.add(now, j)
 	return j
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -27,13 +27,13 @@
 // protected where no agent of this version is connected; where all are silent, or most, it
 // waits, since it is this entry that is cut off: others may have other homes for it.
 func (o *Owner) claimed(j *job) bool {
-	if o.ending[j.spec.ID] != nil || len(j.homes) == 0 && j.homesWanted > 0 && o.homesExist() {
+	if o.ending[j.spec.ID] != nil || len(j.homes) == 0 && j.homeCount > 0 && o.homesExist() {
 		return false
 	}
-	if o.isolated && j.claimedAt == 0 && j.homesWanted > 0 && o.homesExist() {
+	if o.isolated && j.claimedAt == 0 && j.homeCount > 0 && o.homesExist() {
 		return false
 	}
-	if o.partitioned && j.claimedAt == 0 && j.homesWanted > 0 && !o.meetsOthers(o.tickedAt, j) {
+	if o.partitioned && j.claimedAt == 0 && j.homeCount > 0 && !o.meetsOthers(o.tickedAt, j) {
 		return false
 	}
 	return !slices.ContainsFunc(j.homes, func(h home) bool { return h.state == asked || h.state == held })
--- a/owner/comeback.go
+++ b/owner/comeback.go
@@ -9,11 +9,11 @@
 const (
 	// returnShare is the share of what the targets take from this entry that returning
 	// jobs should make.
-	returnShare = 0.2
+	retryShare = 0.2
 	// minReturn and maxReturn bound the time to come back: a shorter one only meets
 	// the same backlog, a longer one helps nobody when the load has turned.
-	minReturn = 500 * time.Millisecond
-	maxReturn = 10 * time.Second
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 	// RetryAfter is the time to come back where nothing was ever known of the load: the
 	// entry has no configuration, too many jobs, or no target has taken work yet.
 	RetryAfter = time.Second
@@ -31,18 +31,18 @@
 	if rate <= 0 {
 		return RetryAfter
 	}
-	takes := time.Duration(work / rate * float64(time.Second))
-	earliest := now + minReturn
-	at := max(earliest, r.until)
+	duration := time.Duration(work / rate * float64(time.Second))
+	earliest := now + minRetryAfter
+	start := max(earliest, r.until)
 	if urgent {
-		at = max(earliest, r.urgentUntil)
-		r.urgentUntil = min(at+takes, now+maxReturn)
+		start = max(earliest, r.urgentUntil)
+		r.urgentUntil = min(start+duration, now+maxRetryAfter)
 	}
-	r.until = min(max(earliest, r.until)+takes, now+maxReturn)
-	return at - now
+	r.until = min(max(earliest, r.until)+duration, now+maxRetryAfter)
+	return start - now
 }
 
 // comeBackAfter returns when j's caller should submit it again.
-func (o *Owner) comeBackAfter(now time.Duration, j *job) time.Duration {
-	return j.queue.returning.next(now, j.spec.Work(), returnShare*j.queue.knownRate, j.spec.Priority == 0)
+func (o *Owner) retryAfter(now time.Duration, j *job) time.Duration {
+	return j.queue.retries.next(now, j.spec.Work(), retryShare*j.queue.lastWorkRate, j.spec.Priority == 0)
 }
--- a/owner/comeback_test.go
+++ b/owner/comeback_test.go
@@ -19,15 +19,15 @@
 	for _, want := range []time.Duration{500 * ms, time.Second, 1500 * ms} {
 		assert.Equal(t, r.next(now, work, rate, false), want)
 	}
-	assert.Equal(t, r.next(now, work, rate, true), minReturn, "the most urgent go ahead")
+	assert.Equal(t, r.next(now, work, rate, true), minRetryAfter, "the most urgent go ahead")
 	assert.Equal(t, r.next(now, work, rate, true), time.Second, "one after the other as well")
 	assert.Equal(t, r.next(now, work, rate, false), 3*time.Second, "and the others make room")
-	assert.Equal(t, r.next(now+time.Minute, work, rate, false), minReturn, "what was long ago is over")
+	assert.Equal(t, r.next(now+time.Minute, work, rate, false), minRetryAfter, "what was long ago is over")
 	assert.Equal(t, r.next(now, work, 0, false), RetryAfter, "no target takes work")
 
 	r = returns{}
 	for range 100 {
-		assert.Assert(t, r.next(now, work, rate, false) <= maxReturn)
+		assert.Assert(t, r.next(now, work, rate, false) <= maxRetryAfter)
 	}
 }
 
@@ -36,14 +36,14 @@
 func TestTheTimeToComeBackOutlivesTheTargets(t *testing.T) {
 	o := newTestOwner()
 	q := o.queue("s")
-	assert.Equal(t, q.knownRate, 0.0)
+	assert.Equal(t, q.lastWorkRate, 0.0)
 	o.Connected(0, "a")
 	o.Receive(0, "a", &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Service: "s", Capacity: task.Needs{CPU: 16000}},
 		Free:    task.Needs{CPU: 16000}, Speed: 1, Accepting: true, Cleared: true,
 	}})
-	assert.Equal(t, q.knownRate, 16.0)
+	assert.Equal(t, q.lastWorkRate, 16.0)
 	o.Tick(2 * maxStateAge)
 	assert.Equal(t, q.workRate, 0.0)
-	assert.Equal(t, q.knownRate, 16.0)
+	assert.Equal(t, q.lastWorkRate, 16.0)
 }
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -140,7 +140,7 @@
 		a.lastHall = a.profile.Hall
 		o.setEvacuated(a)
 		q := o.queue(a.profile.Service)
-		q.setKnownRate(o.workRate(now, q))
+		q.recordWorkRate(o.workRate(now, q))
 	}
 	if st.Cleared && a.clearAt > 0 {
 		o.clearAgent(now, a)
--- a/owner/estimates.go
+++ b/owner/estimates.go
@@ -56,14 +56,14 @@
 func (o *Owner) learn(j *job, step int, a *agent, took time.Duration) {
 	s := &j.steps[step]
 	e := o.estimator(j.spec.Queue)
-	s.took = append(s.took, time.Duration(float64(took)*a.speed()))
-	if len(s.took) == 1 {
-		setEstimate(&j.spec.Steps[step], e, e.FromFirst(s.took[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
+	s.durations = append(s.durations, time.Duration(float64(took)*a.speed()))
+	if len(s.durations) == 1 {
+		setEstimate(&j.spec.Steps[step], e, e.FromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
 		j.setObjectives()
 		s.spread = e.TaskSpread()
 	}
-	if len(s.took) == len(s.tasks) {
-		e.Learn(j.spec.Steps[step].Guess, s.took...)
+	if len(s.durations) == len(s.tasks) {
+		e.Learn(j.spec.Steps[step].Guess, s.durations...)
 	}
 }
 
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -103,7 +103,7 @@
 	b.submit(labelled)
 	assert.Equal(t, b.answers["labelled"].Why, code.JobEvacuated)
 	assert.Equal(t, b.answers["labelled"].Kind, Refused)
-	assert.Assert(t, b.answers["labelled"].Retry >= minReturn)
+	assert.Assert(t, b.answers["labelled"].Retry >= minRetryAfter)
 	b.submit(jobOf("any", 1))
 	assert.Equal(t, b.answers["any"].Kind, Kind(0))
 
--- a/owner/home.go
+++ b/owner/home.go
@@ -58,7 +58,7 @@
 // homesOfNewJob returns how many homes a job gets that comes now: one where this host's link
 // is so busy that room is requested sparingly, too. With two, a scene of links of half the need
 // earned 0.649 in place of 0.679.
-func (o *Owner) homesOfNewJob(now time.Duration) int {
+func (o *Owner) newJobHomeCount(now time.Duration) int {
 	if o.linkBusy(now) {
 		return min(1, o.Homes)
 	}
@@ -68,7 +68,7 @@
 // completeHomes claims j at further homes until it has as many as it should: the agent of the
 // least rank, and that of the least in another data hall.
 func (o *Owner) completeHomes(now time.Duration, j *job) {
-	for len(j.homes) < j.homesWanted {
+	for len(j.homes) < j.homeCount {
 		a := o.nextHome(j, true)
 		if a == nil {
 			a = o.nextHome(j, false)
@@ -127,7 +127,7 @@
 	}
 	for _, j := range o.sortedJobs() {
 		rank := claim.RankOf(j.hash, a.hash)
-		if j.homesWanted > 0 && !j.hasHome(a) && (len(j.homes) < j.homesWanted || rank < j.homes[len(j.homes)-1].rank) {
+		if j.homeCount > 0 && !j.hasHome(a) && (len(j.homes) < j.homeCount || rank < j.homes[len(j.homes)-1].rank) {
 			o.addHome(now, j, a)
 		}
 	}
--- a/owner/job.go
+++ b/owner/job.go
@@ -38,10 +38,10 @@
 	losses                 int // runs whose target crashed or fell silent
 	// crashes are those whose target crashed; the next run is one of its own until
 	// aloneUntil: see suspect.go.
-	crashes    []crash
-	aloneUntil time.Duration
-	aloneRuns  []int // numbers of the runs that were alone on their targets
-	moves      int   // runs that were stopped because they were overdue
+	crashes      []crash
+	aloneUntil   time.Duration
+	aloneRuns    []int // numbers of the runs that were alone on their targets
+	overdueStops int   // runs that were stopped because they were overdue
 	// avoid is an agent at which the task must not run until avoidUntil.
 	avoid      string
 	avoidUntil time.Duration
@@ -49,12 +49,12 @@
 
 // stepState is one step of a job.
 type stepState struct {
-	tasks   []taskState
-	waiting int // tasks in the phase waiting
-	undone  int // tasks that are not done
+	tasks      []taskState
+	waiting    int // tasks in the phase waiting
+	unfinished int // tasks that are not done
 	// took holds how long the tasks took that have ended with success, on a target
 	// of speed 1.
-	took []time.Duration
+	durations []time.Duration
 	// spread is the standard deviation of the logarithm of the time that a task takes
 	// over the step's estimate.
 	spread float64
@@ -62,10 +62,10 @@
 
 // job is a job of this entry. Times are on the entry's clock.
 type job struct {
-	spec    task.Job
-	callers map[uint64]func(Answer) // who waits for the answer
-	steps   []stepState
-	undone  int // tasks that are not done
+	spec       task.Job
+	callers    map[uint64]func(Answer) // who waits for the answer
+	steps      []stepState
+	unfinished int // tasks that are not done
 
 	arrived         time.Duration
 	objectiveAt     time.Duration // until when its completion counts in full
@@ -80,7 +80,7 @@
 	// tasks of it are started here; zero: none has.
 	contestedAt time.Duration
 	// homesWanted is how many homes it should have.
-	homesWanted int
+	homeCount int
 	// earlierRun says that an earlier submission of the job may have run, here or at
 	// another entry.
 	earlierRun bool
@@ -106,20 +106,20 @@
 // newJob returns a job that has just arrived.
 func newJob(now time.Duration, spec task.Job) *job {
 	j := &job{
-		spec:    spec,
-		arrived: now,
-		steps:   make([]stepState, len(spec.Steps)),
-		undone:  spec.Tasks(),
-		callers: make(map[uint64]func(Answer)),
-		index:   -1,
-		hash:    claim.Hash(spec.ID),
+		spec:       spec,
+		arrived:    now,
+		steps:      make([]stepState, len(spec.Steps)),
+		unfinished: spec.Tasks(),
+		callers:    make(map[uint64]func(Answer)),
+		index:      -1,
+		hash:       claim.Hash(spec.ID),
 	}
 	j.setObjectives()
 	if spec.CallerTimeout > 0 {
 		j.callerDeadline = now + spec.CallerTimeout
 	}
 	for k, s := range spec.Steps {
-		j.steps[k] = stepState{tasks: make([]taskState, s.Count), waiting: s.Count, undone: s.Count}
+		j.steps[k] = stepState{tasks: make([]taskState, s.Count), waiting: s.Count, unfinished: s.Count}
 	}
 	return j
 }
@@ -154,7 +154,7 @@
 // ready reports whether the steps that a step depends on are done.
 func (j *job) ready(step int) bool {
 	for _, earlier := range j.spec.Steps[step].DependsOn {
-		if j.steps[earlier].undone > 0 {
+		if j.steps[earlier].unfinished > 0 {
 			return false
 		}
 	}
@@ -227,14 +227,14 @@
 // remaining returns the estimate of the longest chain of steps that are not done,
 // on a target of the usual speed.
 func (j *job) remaining() time.Duration {
-	return j.spec.ChainOf(func(step int) bool { return j.steps[step].undone > 0 })
+	return j.spec.ChainOf(func(step int) bool { return j.steps[step].unfinished > 0 })
 }
 
 // spread returns the standard deviation of the logarithm of the time that the tasks take
 // over their estimates, of the first step that is not done.
 func (j *job) spread() float64 {
 	for k := range j.steps {
-		if j.steps[k].undone > 0 {
+		if j.steps[k].unfinished > 0 {
 			return j.steps[k].spread
 		}
 	}
@@ -252,8 +252,8 @@
 		s.waiting++
 	}
 	if to == done {
-		s.undone--
-		j.undone--
+		s.unfinished--
+		j.unfinished--
 	}
 	t.phase = to
 }
--- a/owner/log.go
+++ b/owner/log.go
@@ -94,7 +94,7 @@
 		event.Milliseconds("age_ms", now-j.arrived),
 		event.Milliseconds("objective_ms", j.spec.Objective()),
 		event.Milliseconds("retry_ms", a.Retry),
-		slog.Int("undone", j.undone))
+		slog.Int("undone", j.unfinished))
 }
 
 // logCancelled says that nobody waits for a job any more.
--- a/owner/order.go
+++ b/owner/order.go
@@ -29,7 +29,7 @@
 
 // lateBand is added to the rank of jobs that can't meet their objective any more.
 // It is larger than any other part of a rank.
-const lateBand = time.Hour
+const lateRankOffset = time.Hour
 
 // urgency is what decides the place of a job in its queue. Times are on the
 // entry's clock.
@@ -74,7 +74,7 @@
 	if latest := u.latestStart(); u.now <= latest {
 		return latest + shift
 	}
-	return lateBand + u.lateObjectiveAt - u.remaining + shift
+	return lateRankOffset + u.lateObjectiveAt - u.remaining + shift
 }
 
 // urgency returns what decides j's place at now, with the span of its starts as of
@@ -101,5 +101,5 @@
 // missesObjective reports whether j's rank is that of a job that can't meet its
 // objective any more.
 func (j *job) missesObjective() bool {
-	return j.rank >= lateBand
+	return j.rank >= lateRankOffset
 }
--- a/owner/outage.go
+++ b/owner/outage.go
@@ -112,7 +112,7 @@
 // tooLateAfter reports whether j can't be done in time where one of its tasks starts no sooner
 // than at a time, even by an optimistic estimate.
 func (j *job) tooLateAfter(start time.Duration) bool {
-	done := start + time.Duration(optimism*float64(j.remaining()))
+	done := start + time.Duration(minRemainingFactor*float64(j.remaining()))
 	return done > j.lateObjectiveAt || j.callerDeadline > 0 && done > j.callerDeadline
 }
 
--- a/owner/outage_test.go
+++ b/owner/outage_test.go
@@ -106,7 +106,7 @@
 			given++
 			assert.Equal(t, b.answers[short].Why, code.JobHallLost)
 			assert.Equal(t, b.answers[short].Kind, GivenUp)
-			assert.Assert(t, b.answers[short].Retry >= minReturn)
+			assert.Assert(t, b.answers[short].Retry >= minRetryAfter)
 			continue
 		}
 		assert.Equal(t, b.answers[short].Why, code.OK)
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -62,7 +62,7 @@
 // choose returns the agent at which the task should be ordered, or nil where room should
 // be requested first: none of those that are watched is believed to have room, or it may
 // be gone before the order arrives.
-func (o *Owner) choose(now time.Duration, j *job, step, index int) *agent {
+func (o *Owner) chooseAgent(now time.Duration, j *job, step, index int) *agent {
 	s := j.spec.Steps[step]
 	t := &j.steps[step].tasks[index]
 	var best *agent
@@ -145,7 +145,7 @@
 		if j == nil {
 			return
 		}
-		if !o.placeAll(now, j) && !o.holdSuspect(now, j) {
+		if !o.startTasks(now, j) && !o.holdSuspect(now, j) {
 			break
 		}
 		q.remove(j)
@@ -156,7 +156,7 @@
 
 // placeAll starts tasks of j while there is room, once it is claimed. It reports whether
 // none is left to start.
-func (o *Owner) placeAll(now time.Duration, j *job) bool {
+func (o *Owner) startTasks(now time.Duration, j *job) bool {
 	if !o.claimed(j) {
 		return false
 	}
@@ -165,7 +165,7 @@
 		if !ok {
 			return true
 		}
-		a := o.choose(now, j, step, index)
+		a := o.chooseAgent(now, j, step, index)
 		if a == nil {
 			return false
 		}
@@ -220,6 +220,6 @@
 	if j.callerDeadline > 0 {
 		order.TimeLeft = j.callerDeadline - now
 	}
-	o.leaveOutSpec(now, j, &order, a)
+	o.omitSpec(now, j, &order, a)
 	return order
 }
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -15,9 +15,9 @@
 	// workRate is how much work its targets take from this entry while jobs wait, in
 	// core-seconds a second, as of the last tick; knownRate is the last one at which
 	// any target took work.
-	workRate, knownRate float64
+	workRate, lastWorkRate float64
 	// returning says when callers that were refused have been asked to come back.
-	returning returns
+	retries returns
 	// usualSpeed is that of the service's targets, as of the last tick.
 	usualSpeed float64
 	// backlogSince is since when jobs have been waiting, zero while none is.
@@ -46,13 +46,13 @@
 // setWorkRate sets the rate at which its targets take work from this entry.
 func (q *queue) setWorkRate(rate float64) {
 	q.workRate = rate
-	q.setKnownRate(rate)
+	q.recordWorkRate(rate)
 }
 
 // setKnownRate keeps the rate for the time to come back, unless no target takes work.
-func (q *queue) setKnownRate(rate float64) {
+func (q *queue) recordWorkRate(rate float64) {
 	if rate > 0 {
-		q.knownRate = rate
+		q.lastWorkRate = rate
 	}
 }
 
@@ -118,7 +118,7 @@
 
 // firstDemand returns the room that the waiting tasks of the first job take, in
 // thousandths of a core.
-func (q *queue) firstDemand() int {
+func (q *queue) firstJobCPU() int {
 	if len(q.waiting) == 0 {
 		return 0
 	}
--- a/owner/rate.go
+++ b/owner/rate.go
@@ -12,8 +12,8 @@
 // Ejected targets don't count.
 func (o *Owner) workRate(now time.Duration, q *queue) float64 {
 	capacity := 0.0
-	first := q.firstDemand()
-	used, own := first, first
+	firstJob := q.firstJobCPU()
+	used, own := firstJob, firstJob
 	for _, a := range o.watched {
 		if !a.usable(now, q.service) || a.state.Health == peer.Ejected {
 			continue
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -14,7 +14,7 @@
 const (
 	// optimism is the share of its estimate that a waiting job needs at the least:
 	// guesses err by some 40%. Without it: no difference.
-	optimism = 0.7
+	minRemainingFactor = 0.7
 	// waitingLateFactor is how many times its late objective a started job with
 	// tasks still to start may take, runningLateFactor one whose tasks all run:
 	// estimates err, and its work is lost when it is given up. Half and double: no difference.
@@ -30,17 +30,17 @@
 	// left before its latest start it must have to wait. Measured in a burst: with
 	// 0.1 and 1 in place of 0.2 and 2, the worth held before its refusal fell from
 	// 0.033 to 0.021.
-	refuseAfterShare = 0.10
-	refuseMargin     = 1.0
+	minRefusalShare = 0.10
+	refuseMargin    = 1.0
 
 	// commitShare is the share of its objective within which a job is refused, or never for
 	// the jobs before it, where being served at all counts most. The customers' letter.
-	commitShare = 0.25
+	maxRefusalShare = 0.25
 )
 
 // prospects is what decides whether a job can still be done in time. Times are on
 // the entry's clock.
-type prospects struct {
+type deadlineState struct {
 	now, arrived    time.Duration
 	lateObjectiveAt time.Duration // until when its completion counts at all
 	callerDeadline  time.Duration // when its caller stops waiting; zero: never
@@ -54,7 +54,7 @@
 
 // verdict returns code.OK while the job should go on, or why it should be refused
 // or given up.
-func (p prospects) verdict() code.Code {
+func (p deadlineState) refusalCause() code.Code {
 	switch {
 	case p.callerDeadline > 0 && p.now >= p.callerDeadline-answerMargin:
 		return code.JobCallerLeaves
@@ -71,12 +71,12 @@
 }
 
 // minRemaining is an optimistic estimate of the time the job still needs.
-func (p prospects) minRemaining() time.Duration {
-	return time.Duration(optimism * float64(p.remaining))
+func (p deadlineState) minRemaining() time.Duration {
+	return time.Duration(minRemainingFactor * float64(p.remaining))
 }
 
 // allowance returns how long a started job may take.
-func (p prospects) allowance() time.Duration {
+func (p deadlineState) allowance() time.Duration {
 	factor := runningLateFactor
 	if p.waiting {
 		factor = waitingLateFactor
@@ -85,7 +85,7 @@
 }
 
 // place is the situation of a job that waits behind others.
-type place struct {
+type queuePosition struct {
 	waited, objective time.Duration
 	// untilLatestStart is the time left until it must start to meet its objective.
 	untilLatestStart time.Duration
@@ -96,18 +96,18 @@
 	untilLatestLate time.Duration
 	// missesObjective says that it can't meet its objective any more, and
 	// othersMeet that a job before it still can meet its own.
-	missesObjective, othersMeet bool
+	missesObjective, earlierJobMeets bool
 }
 
 // refuse reports whether the job should be refused because of the jobs before it:
 // it has missed its objective while others can meet theirs, or will have missed it
 // by the time its turn comes.
-func (p place) refuse() bool {
-	if p.waited < time.Duration(refuseAfterShare*float64(p.objective)) {
+func (p queuePosition) shouldRefuse() bool {
+	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) {
 		return false
 	}
 	if p.missesObjective {
-		return p.othersMeet
+		return p.earlierJobMeets
 	}
 	return p.wait > time.Duration(refuseMargin*float64(p.untilLatestStart))
 }
@@ -115,8 +115,8 @@
 // refuseUnserved is refuse where being served at all counts most: a job is refused only where it
 // could not even be late, and only while it has waited for less than a quarter of its objective.
 // Afterwards the entry is committed to it.
-func (p place) refuseUnserved() bool {
-	if p.waited < time.Duration(refuseAfterShare*float64(p.objective)) || p.waited > time.Duration(commitShare*float64(p.objective)) {
+func (p queuePosition) shouldRefuseMostServed() bool {
+	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) || p.waited > time.Duration(maxRefusalShare*float64(p.objective)) {
 		return false
 	}
 	return p.wait > p.untilLatestLate
@@ -125,7 +125,7 @@
 // checkDeadlines refuses or gives up j if it can't be done in time, and otherwise
 // stops those of its runs that are overdue.
 func (o *Owner) checkDeadlines(now time.Duration, j *job) {
-	p := prospects{
+	p := deadlineState{
 		now:             now,
 		arrived:         j.arrived,
 		lateObjectiveAt: j.lateObjectiveAt,
@@ -137,7 +137,7 @@
 	} else {
 		p.remaining = j.remaining()
 	}
-	if why := p.verdict(); why != code.OK {
+	if why := p.refusalCause(); why != code.OK {
 		o.giveUp(now, j, why)
 		return
 	}
@@ -153,7 +153,7 @@
 
 // refuseBehind refuses those waiting jobs of a queue that the jobs before them leave
 // no time. It refuses none while no target takes work.
-func (o *Owner) refuseBehind(now time.Duration, q *queue) {
+func (o *Owner) refuseBacklogged(now time.Duration, q *queue) {
 	q.trackBacklog(now)
 	if len(q.waiting) == 0 {
 		return
@@ -167,37 +167,37 @@
 	order := slices.Clone(q.waiting)
 	slices.SortFunc(order, func(a, b *job) int { return cmp.Compare(a.rank, b.rank) })
 	ahead := 0.0 // core-seconds
-	othersMeet := false
+	earlierJobMeets := false
 	for _, j := range order {
 		wait := time.Duration(ahead / q.workRate * float64(time.Second))
-		if !j.mayHaveRun() && o.claimed(j) && o.refuses(j.place(now, wait, othersMeet)) {
+		if !j.mayHaveRun() && o.claimed(j) && o.shouldRefuse(j.position(now, wait, earlierJobMeets)) {
 			o.giveUp(now, j, code.JobBehind)
 			continue
 		}
-		othersMeet = othersMeet || !j.missesObjective()
+		earlierJobMeets = earlierJobMeets || !j.missesObjective()
 		ahead += j.waitingWork()
 	}
 	q.reorder()
 }
 
 // refuses applies the rule of the term in force.
-func (o *Owner) refuses(p place) bool {
+func (o *Owner) shouldRefuse(p queuePosition) bool {
 	if o.Term == MostServed {
-		return p.refuseUnserved()
+		return p.shouldRefuseMostServed()
 	}
-	return p.refuse()
+	return p.shouldRefuse()
 }
 
 // place returns j's place behind jobs that take the given time.
-func (j *job) place(now, wait time.Duration, othersMeet bool) place {
-	return place{
+func (j *job) position(now, wait time.Duration, earlierJobMeets bool) queuePosition {
+	return queuePosition{
 		waited:           now - j.arrived,
 		objective:        j.spec.Objective(),
 		untilLatestStart: j.urgency(now).latestStart() - now,
 		untilLatestLate:  j.urgency(now).latestLateStart() - now,
 		wait:             wait,
 		missesObjective:  j.missesObjective(),
-		othersMeet:       othersMeet,
+		earlierJobMeets:  earlierJobMeets,
 	}
 }
 
@@ -208,5 +208,5 @@
 	if j.mayHaveRun() {
 		kind = GivenUp
 	}
-	o.answer(now, j, Answer{Kind: kind, Why: why, Retry: o.comeBackAfter(now, j)})
+	o.answer(now, j, Answer{Kind: kind, Why: why, Retry: o.retryAfter(now, j)})
 }
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -37,7 +37,7 @@
 		return
 	}
 	step, index, ok := j.nextTask()
-	if !ok || !o.claimed(j) && o.choose(now, j, step, index) != nil {
+	if !ok || !o.claimed(j) && o.chooseAgent(now, j, step, index) != nil {
 		return // it needs no room to be reserved
 	}
 	asked := 0
@@ -62,7 +62,7 @@
 	if o.linkBusy(now) {
 		perTask = 1
 	}
-	pause := max(requestPause, requestLinkShare*o.link.takes(frameBytes))
+	pause := max(requestPause, requestLinkShare*o.link.transmitTime(frameBytes))
 	return perTask*q.waitingTasks(len(o.byName)) + int((now-q.backlogSince)/pause)
 }
 
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -35,9 +35,9 @@
 // runOverdue reports whether a run of the given age should be stopped. estimate is
 // for a target of speed 1, spread the standard deviation of the logarithm of the time
 // that runs take over their estimates, moves how often the task was overdue before.
-func runOverdue(age, estimate time.Duration, speed, spread float64, moves int) bool {
+func runOverdue(age, estimate time.Duration, speed, spread float64, overdueStops int) bool {
 	likely := float64(estimate) / speed
-	factor := math.Ldexp(max(overdueFactor, math.Exp(overdueDeviations*spread)), moves)
+	factor := math.Ldexp(max(overdueFactor, math.Exp(overdueDeviations*spread)), overdueStops)
 	return age > time.Duration(factor*likely)+overdueSlack
 }
 
@@ -65,8 +65,8 @@
 	if t.phase != placed || t.stopSent || a == nil || !a.connected {
 		return
 	}
-	if runOverdue(now-t.sentAt, j.spec.Steps[step].Estimate, a.speed(), j.steps[step].spread, t.moves) {
-		t.moves++
+	if runOverdue(now-t.sentAt, j.spec.Steps[step].Estimate, a.speed(), j.steps[step].spread, t.overdueStops) {
+		t.overdueStops++
 		o.stopRun(now, a, task.ID{Job: j.spec.ID, Step: step, Index: index}, t, code.RunMovedOverdue)
 	}
 }
@@ -111,7 +111,7 @@
 	case task.EndDone:
 		o.learn(j, id.Step, a, e.Took)
 		o.ObserveStage.Observe(stage.Running, now-t.sentAt)
-		o.taskDone(now, j, id)
+		o.completeTask(now, j, id)
 		return
 	case task.EndFailed:
 		j.recordFailure(now, a, t, e.TargetFault)
@@ -134,13 +134,13 @@
 
 // taskDone records that a task ended with success. The job is completed with its
 // last task; with the last one of a step, later steps may start.
-func (o *Owner) taskDone(now time.Duration, j *job, id task.ID) {
+func (o *Owner) completeTask(now time.Duration, j *job, id task.ID) {
 	j.setPhase(id.Step, id.Index, done)
-	if j.undone == 0 {
+	if j.unfinished == 0 {
 		o.answer(now, j, Answer{Kind: Completed, Why: code.JobAllDone})
 		return
 	}
-	if j.steps[id.Step].undone == 0 {
+	if j.steps[id.Step].unfinished == 0 {
 		o.requeue(now, j)
 	}
 }
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -21,26 +21,26 @@
 // TestRefusingWhereBeingServedCounts: a job that can still be late waits, and after a quarter of
 // its objective none is refused for those before it.
 func TestRefusingWhereBeingServedCounts(t *testing.T) {
-	usual := place{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms, untilLatestLate: 900 * ms}
-	with := func(change func(*place)) place {
+	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms, untilLatestLate: 900 * ms}
+	with := func(change func(*queuePosition)) queuePosition {
 		p := usual
 		change(&p)
 		return p
 	}
 	for _, c := range []struct {
 		name          string
-		p             place
+		p             queuePosition
 		worth, served bool
 	}{
-		{"it can be in time", with(func(p *place) { p.wait = 50 * ms }), false, false},
-		{"it can be late", with(func(p *place) { p.wait = 500 * ms }), true, false},
-		{"it can't even be late", with(func(p *place) { p.wait = time.Second }), true, true},
-		{"it has missed its objective, others have not", with(func(p *place) { p.missesObjective, p.othersMeet = true, true }), true, false},
-		{"it has just come", with(func(p *place) { p.wait, p.waited = time.Second, 40*ms }), false, false},
-		{"it has waited for long", with(func(p *place) { p.wait, p.waited = time.Second, 130*ms }), true, false},
+		{"it can be in time", with(func(p *queuePosition) { p.wait = 50 * ms }), false, false},
+		{"it can be late", with(func(p *queuePosition) { p.wait = 500 * ms }), true, false},
+		{"it can't even be late", with(func(p *queuePosition) { p.wait = time.Second }), true, true},
+		{"it has missed its objective, others have not", with(func(p *queuePosition) { p.missesObjective, p.earlierJobMeets = true, true }), true, false},
+		{"it has just come", with(func(p *queuePosition) { p.wait, p.waited = time.Second, 40*ms }), false, false},
+		{"it has waited for long", with(func(p *queuePosition) { p.wait, p.waited = time.Second, 130*ms }), true, false},
 	} {
-		assert.Equal(t, c.p.refuse(), c.worth, c.name)
-		assert.Equal(t, c.p.refuseUnserved(), c.served, c.name)
+		assert.Equal(t, c.p.shouldRefuse(), c.worth, c.name)
+		assert.Equal(t, c.p.shouldRefuseMostServed(), c.served, c.name)
 	}
 }
 
@@ -102,31 +102,31 @@
 // TestRefusalAndGivingUp shows what becomes of a job that arrived at 1 s with a late
 // objective of 1 s, 300 ms of work left and no deadline of its caller.
 func TestRefusalAndGivingUp(t *testing.T) {
-	usual := prospects{arrived: time.Second, lateObjectiveAt: 2 * time.Second, remaining: 300 * ms}
+	usual := deadlineState{arrived: time.Second, lateObjectiveAt: 2 * time.Second, remaining: 300 * ms}
 	for _, c := range []struct {
 		name   string
 		at     time.Duration
-		change func(*prospects)
+		change func(*deadlineState)
 		want   code.Code
 	}{
 		{"time enough", 1700 * ms, nil, code.OK},
 		{"the optimistic rest ends just in time", 1790 * ms, nil, code.OK},
 		{"it ends too late", 1791 * ms, nil, code.JobOutOfTime},
-		{"the caller leaves before it ends", 1100 * ms, func(p *prospects) { p.callerDeadline = 1300 * ms }, code.JobCallerLeaves},
-		{"it ends before the caller leaves", 1090 * ms, func(p *prospects) { p.callerDeadline = 1300 * ms }, code.OK},
-		{"started, the caller stays a little", 1279 * ms, func(p *prospects) { p.started, p.callerDeadline = true, 1300*ms }, code.OK},
-		{"started, the caller leaves now", 1280 * ms, func(p *prospects) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerLeaves},
-		{"started, tasks wait, a fifth too late", 2200 * ms, func(p *prospects) { p.started, p.waiting = true, true }, code.OK},
-		{"started, tasks wait, more than that", 2201 * ms, func(p *prospects) { p.started, p.waiting = true, true }, code.JobTooLate},
-		{"started, all tasks run", 2600 * ms, func(p *prospects) { p.started = true }, code.OK},
-		{"started, all tasks run for too long", 2601 * ms, func(p *prospects) { p.started = true }, code.JobTooLate},
+		{"the caller leaves before it ends", 1100 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.JobCallerLeaves},
+		{"it ends before the caller leaves", 1090 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.OK},
+		{"started, the caller stays a little", 1279 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.OK},
+		{"started, the caller leaves now", 1280 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerLeaves},
+		{"started, tasks wait, a fifth too late", 2200 * ms, func(p *deadlineState) { p.started, p.waiting = true, true }, code.OK},
+		{"started, tasks wait, more than that", 2201 * ms, func(p *deadlineState) { p.started, p.waiting = true, true }, code.JobTooLate},
+		{"started, all tasks run", 2600 * ms, func(p *deadlineState) { p.started = true }, code.OK},
+		{"started, all tasks run for too long", 2601 * ms, func(p *deadlineState) { p.started = true }, code.JobTooLate},
 	} {
 		p := usual
 		p.now = c.at
 		if c.change != nil {
 			c.change(&p)
 		}
-		assert.Equal(t, p.verdict(), c.want, c.name)
+		assert.Equal(t, p.refusalCause(), c.want, c.name)
 	}
 }
 
@@ -135,16 +135,16 @@
 func TestRefusalBehindOthers(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		place place
+		place queuePosition
 		want  bool
 	}{
-		{"its turn comes in time", place{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 200 * ms}, false},
-		{"its turn comes too late", place{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 201 * ms}, true},
-		{"it has only just come", place{waited: 49 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: time.Second}, false},
-		{"too late, as are all before it", place{waited: 100 * ms, objective: 500 * ms, missesObjective: true, wait: time.Second}, false},
-		{"too late, others are not", place{waited: 100 * ms, objective: 500 * ms, missesObjective: true, othersMeet: true}, true},
+		{"its turn comes in time", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 200 * ms}, false},
+		{"its turn comes too late", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 201 * ms}, true},
+		{"it has only just come", queuePosition{waited: 49 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: time.Second}, false},
+		{"too late, as are all before it", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, wait: time.Second}, false},
+		{"too late, others are not", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, earlierJobMeets: true}, true},
 	} {
-		assert.Equal(t, c.place.refuse(), c.want, c.name)
+		assert.Equal(t, c.place.shouldRefuse(), c.want, c.name)
 	}
 }
 
--- a/owner/spec.go
+++ b/owner/spec.go
@@ -27,13 +27,13 @@
 	rate   float64       // in bytes a second; zero: not known, and taken to be fast
 	freeAt time.Duration // when all that was sent has left
 	// returning says when callers that were refused have been asked to come back.
-	returning returns
+	retries returns
 }
 
 // add counts bytes that are sent.
 func (u *uplink) add(now time.Duration, bytes int) {
 	if u.rate > 0 {
-		u.freeAt = max(now, u.freeAt) + u.takes(bytes)
+		u.freeAt = max(now, u.freeAt) + u.transmitTime(bytes)
 	}
 }
 
@@ -42,7 +42,7 @@
 	if u.rate <= 0 {
 		return 0
 	}
-	return max(0, u.freeAt-now) + u.takes(bytes)
+	return max(0, u.freeAt-now) + u.transmitTime(bytes)
 }
 
 // linkBusy reports whether this host's link has so much queued that what may be left out is.
@@ -51,7 +51,7 @@
 }
 
 // takes returns how long the link takes for the given number of bytes.
-func (u *uplink) takes(bytes int) time.Duration {
+func (u *uplink) transmitTime(bytes int) time.Duration {
 	if u.rate <= 0 {
 		return 0
 	}
@@ -84,9 +84,9 @@
 
 // comeBackAfter returns when the caller of a job should submit it again that was refused
 // for want of bandwidth: callers come back one after the other, as comeback.go has it.
-func (u *uplink) comeBackAfter(now time.Duration, spec task.Job) time.Duration {
-	bytes := float64(jobBytes(spec.Tasks(), len(spec.Spec)))
-	return u.returning.next(now, bytes, returnShare*u.rate, spec.Priority == 0)
+func (u *uplink) retryAfter(now time.Duration, spec task.Job) time.Duration {
+	jobSize := float64(jobBytes(spec.Tasks(), len(spec.Spec)))
+	return u.retries.next(now, jobSize, retryShare*u.rate, spec.Priority == 0)
 }
 
 // SetLink tells the rate of this host's link, in megabits a second; zero means not known.
@@ -97,7 +97,7 @@
 
 // leaveOutSpec leaves the job's spec out of an order where the agent remembers it, or may
 // get it from another agent sooner than through this host's link.
-func (o *Owner) leaveOutSpec(now time.Duration, j *job, order *task.Order, a *agent) {
+func (o *Owner) omitSpec(now time.Duration, j *job, order *task.Order, a *agent) {
 	defer func() { o.link.add(now, orderBytes+len(order.Spec)) }()
 	if a.level < peer.LevelWatch {
 		return
@@ -107,7 +107,7 @@
 		order.SpecKept = true
 		return
 	}
-	if addr := o.specAt(now, j, a); addr != "" {
+	if addr := o.specSource(now, j, a); addr != "" {
 		order.Spec = ""
 		order.SpecAt = addr
 		o.stats.Relayed++
@@ -119,7 +119,7 @@
 
 // specAt returns the address of an agent from which a should get the job's spec, empty
 // where it should be sent to a.
-func (o *Owner) specAt(now time.Duration, j *job, a *agent) string {
+func (o *Owner) specSource(now time.Duration, j *job, a *agent) string {
 	from := o.agents[j.specAgent]
 	if from == nil || !from.connected || from.level < peer.LevelRelay || a.level < peer.LevelRelay {
 		return ""
--- a/owner/tick.go
+++ b/owner/tick.go
@@ -34,7 +34,7 @@
 	for _, q := range o.sortedQueues() {
 		q.usualSpeed = o.usualSpeed(q.service)
 		q.setWorkRate(o.workRate(now, q))
-		o.refuseBehind(now, q)
+		o.refuseBacklogged(now, q)
 	}
 	for _, q := range o.sortedQueues() {
 		o.schedule(now, q)
