--- a/owner/agent.go
+++ b/owner/agent.go
@@ -19,10 +19,10 @@
 
 // agent is what this entry believes of one agent and the target beside it.
 type agent struct {
-	name      string
-	connected bool
-	level     peer.Level    // that the agent understands
-	heardAt   time.Duration // when its last frame came
+	name        string
+	connected   bool
+	level       peer.Level    // that the agent understands
+	lastFrameAt time.Duration // when its last frame came
 	// connectedAt is when the connection began.
 	connectedAt time.Duration
 	sentAt      time.Duration // when the last frame to it was sent
@@ -35,7 +35,7 @@
 
 	// heardEvacuations is the revision of the evacuated halls that the agent was told of
 	// on this connection or has told, and evacuated says that its target's hall is one.
-	heardEvacuations uint64
+	knownEvacuations uint64
 	evacuated        bool
 
 	profile peer.Profile
@@ -65,7 +65,7 @@
 	// stoppedAt is when the target stopped taking work last.
 	stoppedAt time.Duration
 	// ending are the runs of dropped jobs whose end is not known: see ending.go.
-	ending map[task.ID]int
+	droppedRuns map[task.ID]int
 	// reserved is a reservation that is held for jobs whose claims are under way, nil
 	// where there is none, and reservedAt when it came.
 	reserved   *peer.Reservation
@@ -117,7 +117,7 @@
 
 // usable reports whether the agent may be given work of a service at now.
 func (a *agent) usable(now time.Duration, service string) bool {
-	return a.serves(service) && now-a.heardAt <= maxStateAge
+	return a.serves(service) && now-a.lastFrameAt <= maxStateAge
 }
 
 // applyState replaces the state and forgets the pending orders that it includes.
--- a/owner/answer.go
+++ b/owner/answer.go
@@ -106,7 +106,7 @@
 		return
 	}
 	delete(a.tasks, id)
-	o.addEnding(a, id, t.run)
+	o.addDroppedRun(a, id, t.run)
 	if t.phase == placed && !t.stopSent {
 		o.stop(a, task.Ref{Task: id, Run: t.run})
 	}
--- a/owner/callers.go
+++ b/owner/callers.go
@@ -38,7 +38,7 @@
 	}
 	j.callers[o.callers] = answer
 	o.checkDeadlines(now, j)
-	if o.jobs[spec.ID] == j && !j.started() && o.onlyEvacuated(now, j) {
+	if o.jobs[spec.ID] == j && !j.started() && o.needsEvacuatedHall(now, j) {
 		o.giveUp(now, j, code.JobEvacuated)
 	}
 	o.schedule(now, o.queue(spec.Service))
@@ -66,8 +66,8 @@
 	o.jobs[spec.ID] = j
 	o.stats.Submitted++
 	o.logAccepted(j, spec.Chain())
-	o.noteLabels(j)
-	j.earlierRun = o.ending[spec.ID] != nil
+	o.recordMissingLabels(j)
+	j.earlierRun = o.dropped[spec.ID] != nil
 	j.homeCount = o.newJobHomeCount(now)
 	o.completeHomes(now, j)
 	j.queue.add(now, j)
@@ -83,13 +83,13 @@
 		return
 	}
 	delete(j.callers, caller)
-	o.abandonUnwanted(now, j)
+	o.cancelIfAbandoned(now, j)
 }
 
 // abandonUnwanted stops a job that nobody waits for, here or at another entry. It reports
 // whether it did.
-func (o *Owner) abandonUnwanted(now time.Duration, j *job) bool {
-	if len(j.callers) > 0 || j.wanted() {
+func (o *Owner) cancelIfAbandoned(now time.Duration, j *job) bool {
+	if len(j.callers) > 0 || j.hasRemoteWaiter() {
 		return false
 	}
 	o.stats.Cancelled++
--- a/owner/cancel.go
+++ b/owner/cancel.go
@@ -38,7 +38,7 @@
 		l.answers = append(l.answers, answer)
 		return
 	}
-	asked := o.askHomesToCancel(id)
+	asked := o.sendCancellations(id)
 	if asked == 0 {
 		answer(false)
 		return
@@ -48,7 +48,7 @@
 
 // askHomesToCancel passes a cancellation on to the homes that the job would have, and returns
 // how many they are.
-func (o *Owner) askHomesToCancel(id string) int {
+func (o *Owner) sendCancellations(id string) int {
 	j := &job{hash: claim.Hash(id)}
 	for range o.Homes {
 		a := o.nextHome(j, true)
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -15,11 +15,11 @@
 const (
 	// contestTime is how long an entry that has started a job waits for another one to give
 	// the job back that has not. A few round trips. Not measured.
-	contestTime = 30 * time.Millisecond
+	contestTimeout = 30 * time.Millisecond
 	// holdTime is how long a reservation is held for jobs whose claims are under way: it
 	// and the claims are asked for at once. Half of what the agent reserves it for
 	// (reservationTime in package supervisor).
-	holdTime = 20 * time.Millisecond
+	reservationHoldTime = 20 * time.Millisecond
 )
 
 // claimed reports whether tasks of j may be started as far as other entries go: every home
@@ -27,13 +27,13 @@
 // protected where no agent of this version is connected; where all are silent, or most, it
 // waits, since it is this entry that is cut off: others may have other homes for it.
 func (o *Owner) claimed(j *job) bool {
-	if o.ending[j.spec.ID] != nil || len(j.homes) == 0 && j.homeCount > 0 && o.homesExist() {
+	if o.dropped[j.spec.ID] != nil || len(j.homes) == 0 && j.homeCount > 0 && o.homesExist() {
 		return false
 	}
 	if o.isolated && j.claimedAt == 0 && j.homeCount > 0 && o.homesExist() {
 		return false
 	}
-	if o.partitioned && j.claimedAt == 0 && j.homeCount > 0 && !o.meetsOthers(o.tickedAt, j) {
+	if o.partitioned && j.claimedAt == 0 && j.homeCount > 0 && !o.sharesHome(o.lastTickAt, j) {
 		return false
 	}
 	return !slices.ContainsFunc(j.homes, func(h home) bool { return h.state == asked || h.state == held })
@@ -56,11 +56,11 @@
 		j.earlierRun = j.earlierRun || r.Ran
 		j.earlierLosses = max(j.earlierLosses, r.Losses)
 		j.setHomeState(a, granted)
-		if o.lostTooOften(now, j) {
+		if o.giveUpAfterLosses(now, j) {
 			return
 		}
 	case claim.Held:
-		o.claimHeld(now, j, a)
+		o.handleHeld(now, j, a)
 	case claim.Answered:
 		if !j.joined() {
 			o.logJoined(j, a, "answered")
@@ -85,11 +85,11 @@
 // the one whose home ranks first keeps it: so this entry gives back those that rank later. Where
 // it has started the job and the other one has not, that one gives it back; where that takes too
 // long this one stops what runs here.
-func (o *Owner) claimHeld(now time.Duration, j *job, a *agent) {
+func (o *Owner) handleHeld(now time.Duration, j *job, a *agent) {
 	rank := claim.RankOf(j.hash, a.hash)
 	first := slices.IndexFunc(j.homes, func(h home) bool { return h.state == granted })
 	if j.started() && first >= 0 && j.homes[first].rank < rank {
-		j.setHomeState(a, overruled)
+		j.setHomeState(a, outranked)
 		return
 	}
 	if !j.joined() {
@@ -102,44 +102,44 @@
 		j.contestedAt = now
 		return
 	}
-	o.giveBack(j, rank)
+	o.releaseLaterHomes(j, rank)
 }
 
 // checkContested yields the jobs that other entries have and have not given back.
 func (o *Owner) checkContested(now time.Duration) {
 	for _, j := range o.sortedJobs() {
-		if j.contestedAt == 0 || now-j.contestedAt < contestTime {
+		if j.contestedAt == 0 || now-j.contestedAt < contestTimeout {
 			continue
 		}
 		j.contestedAt = 0
 		k := slices.IndexFunc(j.homes, func(h home) bool { return h.state == held })
 		if k >= 0 && j.started() {
-			o.yield(now, j, o.giveBack(j, j.homes[k].rank))
+			o.yield(now, j, o.releaseLaterHomes(j, j.homes[k].rank))
 		}
 	}
 }
 
 // concede gives j, of which nothing was started here, back to an entry that has started it and
 // waits for it at a home, and joins it there.
-func (o *Owner) concede(now time.Duration, j *job, a *agent) {
+func (o *Owner) transferClaim(now time.Duration, j *job, a *agent) {
 	k := slices.IndexFunc(j.homes, func(h home) bool { return h.agent == a })
 	if k < 0 || j.started() {
 		return
 	}
 	j.earlierRun = true
 	j.homes = slices.Delete(j.homes, k, k+1)
-	o.tellSettled(a, claim.Settlement{Job: j.spec.ID, Clear: true, Ran: true}, true)
+	o.sendSettlement(a, claim.Settlement{Job: j.spec.ID, Clear: true, Ran: true}, true)
 	o.addHome(now, j, a)
 	o.claimsChanged(now, j)
 }
 
 // giveBack gives the homes of j back that rank after one, and returns them.
-func (o *Owner) giveBack(j *job, rank claim.Rank) []*agent {
+func (o *Owner) releaseLaterHomes(j *job, rank claim.Rank) []*agent {
 	var given []*agent
 	for _, h := range j.homes {
 		if h.rank > rank {
 			given = append(given, h.agent)
-			o.tellSettled(h.agent, claim.Settlement{Job: j.spec.ID, Clear: !j.started(), Ran: j.mayHaveRun()}, true)
+			o.sendSettlement(h.agent, claim.Settlement{Job: j.spec.ID, Clear: !j.started(), Ran: j.mayHaveRun()}, true)
 		}
 	}
 	j.homes = slices.DeleteFunc(j.homes, func(h home) bool { return h.rank > rank })
@@ -159,8 +159,8 @@
 			}
 		}
 	}
-	if e := o.ending[j.spec.ID]; e != nil {
-		e.homes, e.wanted = given, true
+	if e := o.dropped[j.spec.ID]; e != nil {
+		e.homes, e.remoteWaiter = given, true
 	}
 	j.orders = 0
 	j.queue.remove(j)
@@ -182,7 +182,7 @@
 			j.claimedAt = now
 			o.ObserveStage.Observe(stage.Claiming, now-j.arrived)
 		}
-		o.useHeld(now, j.queue)
+		o.useHeldReservations(now, j.queue)
 		o.schedule(now, j.queue)
 	}
 }
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -24,7 +24,7 @@
 		b.Receive(b.now, name, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
 		b.stateIn(name, []string{"mtm", "sulph"}[k%2])
 	}
-	b.wait(settleTime)
+	b.wait(startupIsolationTime)
 	for _, a := range b.byName {
 		b.beginWatch(b.now, a)
 		b.stateIn(a.name, a.profile.Hall)
@@ -174,7 +174,7 @@
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	assert.Equal(t, b.Stats().Yielded, uint64(0)) // the other one may have started nothing
-	b.wait(contestTime + TickInterval)
+	b.wait(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(1))
 	stops := 0
 	for _, a := range b.byName {
@@ -196,7 +196,7 @@
 	homes := b.grantAll("1")
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Granted})
-	b.wait(contestTime + TickInterval)
+	b.wait(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 
 	b.submit(jobOf("2", 1)) // the other side of it
@@ -351,7 +351,7 @@
 
 	b.submit(jobOf("2", 1))
 	b.Receive(b.now, from.name, &peer.Frame{Reservation: &peer.Reservation{ID: 8, Room: room.Room}})
-	b.wait(holdTime + TickInterval)
+	b.wait(reservationHoldTime + TickInterval)
 	last := uint64(0)
 	for _, f := range b.frames[from.name] {
 		last = max(last, f.UsedReservation)
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -17,21 +17,21 @@
 	defer o.flush(now)
 	a := o.agents[name]
 	if a == nil {
-		a = &agent{name: name, hash: claim.Hash(name), tasks: make(map[task.ID]*job), ending: make(map[task.ID]int)}
+		a = &agent{name: name, hash: claim.Hash(name), tasks: make(map[task.ID]*job), droppedRuns: make(map[task.ID]int)}
 		o.agents[name] = a
 		o.byName = insertByName(o.byName, a)
 	}
 	o.refreshRoles(a)
-	o.beginSettling(now)
+	o.beginIsolation(now)
 	a.connected = true
 	a.connectedAt = now
 	if o.firstConnectedAt == 0 {
 		o.firstConnectedAt = now
 	}
 	a.level = peer.LevelBase
-	a.heardAt = now
+	a.lastFrameAt = now
 	a.specs = peer.Specs{}
-	a.heardEvacuations = 0
+	a.knownEvacuations = 0
 	a.evacuated = false
 	a.profile = peer.Profile{}
 	a.state = peer.State{}
@@ -79,7 +79,7 @@
 		j.setPhase(id.Step, id.Index, waiting)
 		o.requeue(now, j)
 	}
-	o.clearEndings(now, a)
+	o.clearDroppedRuns(now, a)
 }
 
 // Receive handles a frame of an agent.
@@ -89,7 +89,7 @@
 	if a == nil || !a.connected {
 		return
 	}
-	a.heardAt = now
+	a.lastFrameAt = now
 	back := a.silentSince > 0
 	a.silentSince = 0
 	if f.Hello != nil {
@@ -97,13 +97,13 @@
 		a.wasHome = a.level >= peer.LevelClaim
 	}
 	if f.Hello != nil || back {
-		o.claimAt(now, a)
+		o.claimJobsAt(now, a)
 	}
 	if a.level < peer.LevelWatch {
 		o.beginWatch(now, a)
 	}
 	if f.Evacuations != nil {
-		a.heardEvacuations = max(a.heardEvacuations, f.Evacuations.Revision)
+		a.knownEvacuations = max(a.knownEvacuations, f.Evacuations.Revision)
 		o.Evacuate(now, *f.Evacuations, a.name)
 	}
 	if f.State != nil {
@@ -135,7 +135,7 @@
 	ejected := st.Health == peer.Ejected && a.state.Health != peer.Ejected
 	accepted := a.state.Accepting
 	a.applyState(st)
-	a.stoppedTaking(now, accepted)
+	a.recordAccepting(now, accepted)
 	if st.Profile != nil {
 		a.lastHall = a.profile.Hall
 		o.setEvacuated(a)
--- a/owner/decision_bench_test.go
+++ b/owner/decision_bench_test.go
@@ -84,7 +84,7 @@
 			}
 			q := o.queue("trackd")
 			for _, a := range o.byName {
-				a.heardAt = now + time.Hour // whenever it is looked at, it was just heard of
+				a.lastFrameAt = now + time.Hour // whenever it is looked at, it was just heard of
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/owner/ending.go
+++ b/owner/ending.go
@@ -14,40 +14,40 @@
 // the job starts anew neither here nor, since its homes hear of it only then, elsewhere.
 
 // ending is a dropped job with runs whose end is not known.
-type ending struct {
-	runs  int
-	homes []*agent // that are told when the last one has ended
+type droppedJob struct {
+	pendingRuns int
+	homes       []*agent // that are told when the last one has ended
 	// wanted says that another entry waits for it.
-	wanted bool
-	losses int // of a task, as the homes are to remember: see suspect.go
+	remoteWaiter bool
+	losses       int // of a task, as the homes are to remember: see suspect.go
 }
 
 // addEnding records a run at a of a job that is dropped.
-func (o *Owner) addEnding(a *agent, id task.ID, run int) {
+func (o *Owner) addDroppedRun(a *agent, id task.ID, run int) {
 	if !o.AwaitEndings {
 		return
 	}
-	a.ending[id] = run
-	e := o.ending[id.Job]
+	a.droppedRuns[id] = run
+	e := o.dropped[id.Job]
 	if e == nil {
-		e = new(ending)
-		o.ending[id.Job] = e
+		e = new(droppedJob)
+		o.dropped[id.Job] = e
 	}
-	e.runs++
+	e.pendingRuns++
 }
 
 // endingOver records that such a run has ended. With the last one the job's homes are told,
 // and the job itself may start if it was submitted again meanwhile.
-func (o *Owner) endingOver(now time.Duration, a *agent, id task.ID) {
-	delete(a.ending, id)
-	e := o.ending[id.Job]
-	e.runs--
-	if e.runs > 0 {
+func (o *Owner) droppedRunEnded(now time.Duration, a *agent, id task.ID) {
+	delete(a.droppedRuns, id)
+	e := o.dropped[id.Job]
+	e.pendingRuns--
+	if e.pendingRuns > 0 {
 		return
 	}
-	delete(o.ending, id.Job)
+	delete(o.dropped, id.Job)
 	for _, home := range e.homes {
-		o.tellSettled(home, claim.Settlement{Job: id.Job, Clear: true, Ran: true, Losses: e.losses}, e.wanted)
+		o.sendSettlement(home, claim.Settlement{Job: id.Job, Clear: true, Ran: true, Losses: e.losses}, e.remoteWaiter)
 	}
 	if j := o.jobs[id.Job]; j != nil {
 		o.reclaim(now, j)
@@ -69,8 +69,8 @@
 }
 
 // clearEndings records that no run of this entry is left at a.
-func (o *Owner) clearEndings(now time.Duration, a *agent) {
-	for _, id := range slices.SortedFunc(maps.Keys(a.ending), task.ID.Compare) {
-		o.endingOver(now, a, id)
+func (o *Owner) clearDroppedRuns(now time.Duration, a *agent) {
+	for _, id := range slices.SortedFunc(maps.Keys(a.droppedRuns), task.ID.Compare) {
+		o.droppedRunEnded(now, a, id)
 	}
 }
--- a/owner/evacuation.go
+++ b/owner/evacuation.go
@@ -53,9 +53,9 @@
 
 // tellEvacuations adds what is known of evacuated halls to the next frame to a, if a is not
 // known to have heard as much.
-func (o *Owner) tellEvacuations(a *agent) {
-	if a.heardEvacuations < o.evacuations.Revision {
-		a.heardEvacuations = o.evacuations.Revision
+func (o *Owner) addEvacuations(a *agent) {
+	if a.knownEvacuations < o.evacuations.Revision {
+		a.knownEvacuations = o.evacuations.Revision
 		set := o.evacuations
 		a.out.Evacuations = &set
 	}
@@ -65,12 +65,12 @@
 // that it knows for all there are: all connect within 0.5 s where no packet is lost. Before,
 // a job waits for targets in other halls; it also waits for an agent that was lost so short
 // a time ago.
-const hallsKnownTime = time.Second
+const discoveryTime = time.Second
 
 // onlyEvacuated reports whether j, which is not started, has a step that may only run on
 // targets in evacuated halls: it can't be done before one of them is taken back.
-func (o *Owner) onlyEvacuated(now time.Duration, j *job) bool {
-	if len(o.evacuations.Halls) == 0 || o.Partial || o.firstConnectedAt == 0 || now-o.firstConnectedAt < hallsKnownTime {
+func (o *Owner) needsEvacuatedHall(now time.Duration, j *job) bool {
+	if len(o.evacuations.Halls) == 0 || o.Partial || o.firstConnectedAt == 0 || now-o.firstConnectedAt < discoveryTime {
 		return false
 	}
 	for _, s := range j.spec.Steps {
@@ -93,7 +93,7 @@
 
 // present reports whether a is connected or may be back in a moment.
 func (a *agent) present(now time.Duration) bool {
-	return a.connected || now-a.heardAt < hallsKnownTime
+	return a.connected || now-a.lastFrameAt < discoveryTime
 }
 
 // refuseEvacuated refuses the jobs that wait for targets in evacuated halls alone. How long
@@ -103,7 +103,7 @@
 		return
 	}
 	for _, j := range o.sortedJobs() {
-		if !j.started() && o.onlyEvacuated(now, j) {
+		if !j.started() && o.needsEvacuatedHall(now, j) {
 			o.giveUp(now, j, code.JobEvacuated)
 		}
 	}
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -27,7 +27,7 @@
 	for _, h := range halls {
 		b.stateIn(h, h)
 	}
-	b.wait(2 * hallsKnownTime)
+	b.wait(2 * discoveryTime)
 	return b
 }
 
@@ -155,7 +155,7 @@
 	}
 	b.evacuate(7, "mtm")
 	for _, a := range b.byName {
-		assert.Assert(t, a.profile.Hall != "mtm" || a.heardEvacuations == 7, a.name)
+		assert.Assert(t, a.profile.Hall != "mtm" || a.knownEvacuations == 7, a.name)
 	}
 	assert.Assert(t, told() < 20)
 	b.wait(peer.IdleHeartbeatInterval)
--- a/owner/flush.go
+++ b/owner/flush.go
@@ -35,7 +35,7 @@
 		if !a.dirty {
 			continue // it was lost in the meantime
 		}
-		o.tellEvacuations(a)
+		o.addEvacuations(a)
 		f := a.out
 		a.out = peer.Frame{}
 		a.dirty = false
@@ -55,7 +55,7 @@
 // none: the sooner the lease is over, the sooner their tasks start elsewhere.
 func (o *Owner) Heartbeats(now time.Duration) {
 	for _, a := range o.byName {
-		if a.connected && now-a.sentAt >= peer.Interval(a.used()) && !(o.hallSuspected(a) && a.quiet(now)) {
+		if a.connected && now-a.sentAt >= peer.Interval(a.used()) && !(o.hallSuspected(a) && a.unresponsive(now)) {
 			o.markDirty(a)
 		}
 	}
--- a/owner/home.go
+++ b/owner/home.go
@@ -28,16 +28,16 @@
 	asked     homeState = iota // nothing yet
 	granted                    // this entry has the job
 	held                       // another entry has it: the home says so when that changes
-	overruled                  // another entry has it there, but yields when it hears of this one
+	outranked                  // another entry has it there, but yields when it hears of this one
 )
 
 // home is an agent at which a job is claimed.
 type home struct {
-	agent   *agent
-	rank    claim.Rank
-	state   homeState
-	askedAt time.Duration // when the claim has left this host's link, as estimated
-	wanted  bool          // another entry waits there for the answer
+	agent        *agent
+	rank         claim.Rank
+	state        homeState
+	askedAt      time.Duration // when the claim has left this host's link, as estimated
+	remoteWaiter bool          // another entry waits there for the answer
 }
 
 // answers reports whether claims sent to a are answered, as far as is known.
@@ -121,7 +121,7 @@
 
 // claimAt claims the jobs of this entry at an agent that has just connected, or is not silent
 // any more, where it ranks before a home that they have, or they have too few.
-func (o *Owner) claimAt(now time.Duration, a *agent) {
+func (o *Owner) claimJobsAt(now time.Duration, a *agent) {
 	if !a.mayBeHome() {
 		return
 	}
@@ -143,8 +143,8 @@
 			continue
 		}
 		j.homes = slices.Delete(j.homes, k, k+1)
-		o.tellSettled(a, claim.Settlement{Job: j.spec.ID, Clear: true}, false)
-		if o.abandonUnwanted(now, j) {
+		o.sendSettlement(a, claim.Settlement{Job: j.spec.ID, Clear: true}, false)
+		if o.cancelIfAbandoned(now, j) {
 			continue
 		}
 		o.completeHomes(now, j)
@@ -155,19 +155,19 @@
 // checkSilentHomes takes the agents for silent that have left a claim unanswered. It judges
 // none while this process itself was late.
 func (o *Owner) checkSilentHomes(now time.Duration) {
-	onTime := now-o.tickedAt <= 2*TickInterval
-	o.tickedAt = now
+	onTime := now-o.lastTickAt <= 2*TickInterval
+	o.lastTickAt = now
 	if !onTime {
-		o.lateTickAt = now
+		o.lastLateTickAt = now
 	}
-	if now-o.lateTickAt < o.ClaimTimeout {
+	if now-o.lastLateTickAt < o.ClaimTimeout {
 		o.checkIsolation(now)
 		return // what has come meanwhile is not read yet
 	}
 	var silent []*agent
 	for _, j := range o.sortedJobs() {
 		for _, h := range j.homes {
-			if h.state != asked || now-h.askedAt < o.ClaimTimeout || h.agent.silentSince > 0 || h.agent.heardAt > h.askedAt {
+			if h.state != asked || now-h.askedAt < o.ClaimTimeout || h.agent.silentSince > 0 || h.agent.lastFrameAt > h.askedAt {
 				continue
 			}
 			h.agent.silentSince = now
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -22,33 +22,33 @@
 
 // wholeMissing is the share of a hall's agents that may be silent or lost where the hall counts as
 // reached: single hosts fail by themselves. Not measured.
-const wholeMissing = 0.2
+const maxMissingShare = 0.2
 
 // settleTime is for how long an entry that was connected to nobody counts as isolated after its
 // first connection: those to the other agents are made within milliseconds of each other, and
 // until then it would choose homes among the few that it knows. Without it 5 of 2,000 histories
 // with copies of submissions at other entries ran a task twice at once.
-const settleTime = 60 * time.Millisecond
+const startupIsolationTime = 60 * time.Millisecond
 
 // beginSettling is called with each new connection, before it counts.
-func (o *Owner) beginSettling(now time.Duration) {
+func (o *Owner) beginIsolation(now time.Duration) {
 	for _, a := range o.byName {
 		if a.connected {
 			return
 		}
 	}
-	o.settledAt = now + settleTime
+	o.isolatedUntil = now + startupIsolationTime
 	o.isolated = true
 }
 
 // reach counts the agents of which an entry has heard in the last few seconds, and those of them
 // that are silent or lost now.
-type reach struct {
+type reachability struct {
 	known, missing int
 }
 
 // add counts one agent.
-func (r *reach) add(missing bool) {
+func (r *reachability) add(missing bool) {
 	r.known++
 	if missing {
 		r.missing++
@@ -56,14 +56,14 @@
 }
 
 // whole reports whether nearly all are reached, and enough of them to say so.
-func (r reach) whole() bool {
-	return r.known >= minQuiet && float64(r.missing) <= wholeMissing*float64(r.known)
+func (r reachability) mostlyReachable() bool {
+	return r.known >= minUnresponsive && float64(r.missing) <= maxMissingShare*float64(r.known)
 }
 
 // partitioned reports whether a whole data hall is reached while others are not.
-func partitioned(halls map[string]reach) bool {
+func partitioned(halls map[string]reachability) bool {
 	for hall, r := range halls {
-		if hall != "" && r.whole() {
+		if hall != "" && r.mostlyReachable() {
 			return true
 		}
 	}
@@ -74,10 +74,10 @@
 // the last few seconds more than half are silent or lost now, and in each hall some, or it has just
 // found the first.
 func (o *Owner) checkIsolation(now time.Duration) {
-	var all reach
-	halls := make(map[string]reach)
+	var all reachability
+	halls := make(map[string]reachability)
 	for _, a := range o.byName {
-		if !a.wasHome || now-a.heardAt > isolationTime && !a.answers() {
+		if !a.wasHome || now-a.lastFrameAt > isolationTime && !a.answers() {
 			continue
 		}
 		all.add(!a.answers())
@@ -87,9 +87,9 @@
 	}
 	known, missing := all.known, all.missing
 	before := o.isolated
-	most := 2*missing > known
-	o.partitioned = most && partitioned(halls)
-	o.isolated = most && !o.partitioned || now < o.settledAt
+	majorityMissing := 2*missing > known
+	o.partitioned = majorityMissing && partitioned(halls)
+	o.isolated = majorityMissing && !o.partitioned || now < o.isolatedUntil
 	if o.isolated == before {
 		return
 	}
@@ -104,22 +104,22 @@
 
 // meetsOthers reports whether one of j's homes is one that entries choose which reach all agents:
 // of those heard of lately the first by rank, or the first in another hall.
-func (o *Owner) meetsOthers(now time.Duration, j *job) bool {
-	first := o.leastOf(now, j, nil)
+func (o *Owner) sharesHome(now time.Duration, j *job) bool {
+	first := o.lowestRankedAgent(now, j, nil)
 	if first == nil || j.hasHome(first) {
 		return first != nil
 	}
-	second := o.leastOf(now, j, first)
+	second := o.lowestRankedAgent(now, j, first)
 	return second != nil && j.hasHome(second)
 }
 
 // leastOf returns the agent of the least rank for j of those that were heard of lately, in another
 // hall than one that is not nil.
-func (o *Owner) leastOf(now time.Duration, j *job, other *agent) *agent {
+func (o *Owner) lowestRankedAgent(now time.Duration, j *job, other *agent) *agent {
 	var best *agent
 	var least claim.Rank
 	for _, a := range o.byName {
-		lately := a.answers() || a.wasHome && now-a.heardAt <= isolationTime
+		lately := a.answers() || a.wasHome && now-a.lastFrameAt <= isolationTime
 		if !a.home || !lately || other != nil && a.lastHall == other.lastHall {
 			continue
 		}
--- a/owner/job.go
+++ b/owner/job.go
@@ -38,10 +38,10 @@
 	losses                 int // runs whose target crashed or fell silent
 	// crashes are those whose target crashed; the next run is one of its own until
 	// aloneUntil: see suspect.go.
-	crashes      []crash
-	aloneUntil   time.Duration
-	aloneRuns    []int // numbers of the runs that were alone on their targets
-	overdueStops int   // runs that were stopped because they were overdue
+	crashes        []crash
+	exclusiveUntil time.Duration
+	exclusiveRuns  []int // numbers of the runs that were alone on their targets
+	overdueStops   int   // runs that were stopped because they were overdue
 	// avoid is an agent at which the task must not run until avoidUntil.
 	avoid      string
 	avoidUntil time.Duration
--- a/owner/log.go
+++ b/owner/log.go
@@ -50,7 +50,7 @@
 		slog.Int("run", t.run),
 		slog.String("agent", a.name),
 		slog.String("target", a.profile.Target),
-		event.Milliseconds("state_age_ms", now-a.heardAt),
+		event.Milliseconds("state_age_ms", now-a.lastFrameAt),
 		slog.Int("free_cpu", a.freeRoom().CPU),
 		event.Milliseconds("waited_ms", now-j.arrived),
 		event.Milliseconds("claim_ms", max(0, j.claimedAt-j.arrived)))
@@ -112,7 +112,7 @@
 
 // logStopped says for how long the process stood still.
 func (o *Owner) logStopped(now time.Duration) {
-	o.log(event.EntryStopped, slog.Int64("stopped_ms", (now-o.tickedAt).Milliseconds()), slog.Int("jobs", len(o.jobs)))
+	o.log(event.EntryStopped, slog.Int64("stopped_ms", (now-o.lastTickAt).Milliseconds()), slog.Int("jobs", len(o.jobs)))
 }
 
 // logYielded says that a job's runs are stopped since another entry has it.
@@ -132,7 +132,7 @@
 
 // logHomeSilent says that an agent left a claim unanswered.
 func (o *Owner) logHomeSilent(now time.Duration, a *agent) {
-	o.log(event.HomeSilent, slog.String("agent", a.name), event.Milliseconds("heard_ms", now-a.heardAt))
+	o.log(event.HomeSilent, slog.String("agent", a.name), event.Milliseconds("heard_ms", now-a.lastFrameAt))
 }
 
 // logAgentConnected says that an agent is connected.
--- a/owner/outage.go
+++ b/owner/outage.go
@@ -17,81 +17,81 @@
 const (
 	// quietTime is how long an agent that is in use may be silent before it counts as quiet:
 	// two heartbeats.
-	quietTime = 220 * time.Millisecond
+	unresponsiveTime = 220 * time.Millisecond
 	// freshTime is how long ago another hall was heard from at the most: in a cut of this
 	// entry's own, the agents of one hall count as quiet up to a heartbeat before those of
 	// the others.
-	freshTime = 60 * time.Millisecond
+	maxContactAge = 60 * time.Millisecond
 	// minQuiet is how many agents of a hall must be quiet: one or two fail by themselves.
 	// Not measured.
-	minQuiet = 3
+	minUnresponsive = 3
 	// quietLostTime is for how long an agent whose connection was lost counts as quiet.
 	// Not measured.
-	quietLostTime = 3 * time.Second
+	lostAgentTime = 3 * time.Second
 )
 
 // hallHeard is what an entry has heard of the agents of one hall.
-type hallHeard struct {
-	quiet, heard int
+type hallContact struct {
+	unresponsive, responsive int
 }
 
 // lost reports whether the hall should be suspected, given when any hall was heard from last.
-func (h hallHeard) lost(now, anyAt time.Duration) bool {
-	return h.heard == 0 && h.quiet >= minQuiet && now-anyAt <= freshTime
+func (h hallContact) shouldSuspect(now, lastContactAt time.Duration) bool {
+	return h.responsive == 0 && h.unresponsive >= minUnresponsive && now-lastContactAt <= maxContactAge
 }
 
 // quiet reports whether a should have been heard from and was not.
-func (a *agent) quiet(now time.Duration) bool {
+func (a *agent) unresponsive(now time.Duration) bool {
 	switch {
 	case !a.connected:
-		return now-a.heardAt < quietLostTime
+		return now-a.lastFrameAt < lostAgentTime
 	case a.silentSince > 0:
 		return true
 	}
-	return a.used() && now-max(a.heardAt, a.watchedSince) > quietTime
+	return a.used() && now-max(a.lastFrameAt, a.watchedSince) > unresponsiveTime
 }
 
 // checkHalls begins and ends the suspicion of halls. An entry that is late itself or isolated,
 // or heard from nobody a moment ago, suspects none: the first frames after a cut of its own come
 // from one hall.
 func (o *Owner) checkHalls(now time.Duration) {
-	heard := make(map[string]hallHeard)
-	anyAt := time.Duration(0)
+	contacts := make(map[string]hallContact)
+	lastContactAt := time.Duration(0)
 	for _, a := range o.byName {
-		h := heard[a.profile.Hall]
+		h := contacts[a.profile.Hall]
 		switch {
-		case a.connected && now-a.heardAt <= quietTime:
-			h.heard++
-		case a.quiet(now):
-			h.quiet++
+		case a.connected && now-a.lastFrameAt <= unresponsiveTime:
+			h.responsive++
+		case a.unresponsive(now):
+			h.unresponsive++
 		}
-		anyAt = max(anyAt, a.heardAt)
-		heard[a.profile.Hall] = h
+		lastContactAt = max(lastContactAt, a.lastFrameAt)
+		contacts[a.profile.Hall] = h
 	}
-	if now-anyAt > freshTime {
-		o.deafAt = now
+	if now-lastContactAt > maxContactAge {
+		o.lastNoContactAt = now
 	}
-	sound := !o.isolated && now-o.lateTickAt >= o.ClaimTimeout && now-o.deafAt >= quietTime
-	for _, hall := range slices.Sorted(maps.Keys(heard)) {
-		h := heard[hall]
+	mayJudge := !o.isolated && now-o.lastLateTickAt >= o.ClaimTimeout && now-o.lastNoContactAt >= unresponsiveTime
+	for _, hall := range slices.Sorted(maps.Keys(contacts)) {
+		h := contacts[hall]
 		suspected := o.suspected[hall]
 		switch {
 		case hall == "":
-		case suspected && h.heard > 0:
+		case suspected && h.responsive > 0:
 			delete(o.suspected, hall)
 			o.logHallFound(hall)
-		case !suspected && sound && h.lost(now, anyAt):
+		case !suspected && mayJudge && h.shouldSuspect(now, lastContactAt):
 			o.suspected[hall] = true
 			o.stats.HallsSuspected++
 			o.logHallSuspected(hall, h)
-			o.loseHall(now, hall)
+			o.handleSuspectedHall(now, hall)
 		}
 	}
 }
 
 // loseHall acts on a new suspicion: room that was requested there is requested elsewhere, and
 // jobs that can't wait for the end of their runs there are given up.
-func (o *Owner) loseHall(now time.Duration, hall string) {
+func (o *Owner) handleSuspectedHall(now time.Duration, hall string) {
 	for _, a := range o.byName {
 		if a.profile.Hall != hall {
 			continue
@@ -127,8 +127,8 @@
 }
 
 // logHallSuspected says that a hall is suspected to be lost, and by how many agents.
-func (o *Owner) logHallSuspected(hall string, h hallHeard) {
-	o.log(event.HallSuspected, slog.String("hall", hall), slog.Int("quiet", h.quiet))
+func (o *Owner) logHallSuspected(hall string, h hallContact) {
+	o.log(event.HallSuspected, slog.String("hall", hall), slog.Int("quiet", h.unresponsive))
 }
 
 // logHallFound says that an agent of a suspected hall was heard from.
--- a/owner/outage_test.go
+++ b/owner/outage_test.go
@@ -37,7 +37,7 @@
 	b := newClaimBench(t, 8)
 	b.lastJobAt = b.now // it watches agents while jobs come
 	b.pass(time.Second, all)
-	b.pass(quietTime, func(k int) bool { return !inFirstHall(k) })
+	b.pass(unresponsiveTime, func(k int) bool { return !inFirstHall(k) })
 	assert.Equal(t, b.HallsSuspected(), 0)
 	b.pass(TickInterval, func(k int) bool { return !inFirstHall(k) })
 	assert.Equal(t, b.HallsSuspected(), 1)
@@ -92,7 +92,7 @@
 			inHall[o.Task.Job] = inFirstHall(k)
 		}
 	}
-	b.pass(quietTime+TickInterval, func(k int) bool { return !inFirstHall(k) })
+	b.pass(unresponsiveTime+TickInterval, func(k int) bool { return !inFirstHall(k) })
 	assert.Equal(t, b.HallsSuspected(), 1)
 	given := 0
 	for n := range 4 {
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -119,20 +119,20 @@
 
 	estimators map[string]*estimate.Estimator // by queue of the configuration
 
-	ending    map[string]*ending // by id: jobs that were dropped and have runs
-	lookups   map[string]*lookup // by id: cancellations of jobs that are not owned
-	leaving   bool               // the process is about to end
-	suspected map[string]bool    // halls that are suspected to be lost
+	dropped      map[string]*droppedJob // by id: jobs that were dropped and have runs
+	lookups      map[string]*lookup     // by id: cancellations of jobs that are not owned
+	shuttingDown bool                   // the process is about to end
+	suspected    map[string]bool        // halls that are suspected to be lost
 	// missingLabel says that a job asks for a label which no connected agent has.
-	missingLabel bool
-	deafAt       time.Duration // when no agent had been heard from for freshTime
+	missingLabel    bool
+	lastNoContactAt time.Duration // when no agent had been heard from for freshTime
 	// isolated says that most agents are silent or lost: see isolation.go.
 	isolated bool
 	// partitioned says that so are most, but a whole hall is reached.
-	partitioned bool
-	settledAt   time.Duration // until when it counts as isolated since its first connection
+	partitioned   bool
+	isolatedUntil time.Duration // until when it counts as isolated since its first connection
 	// tickedAt is when the last tick was, lateTickAt when the last one that was late.
-	tickedAt, lateTickAt time.Duration
+	lastTickAt, lastLateTickAt time.Duration
 	// stoppedUntil is when the process went on after it was stopped: see stopped.go.
 	stoppedUntil time.Duration
 
@@ -174,7 +174,7 @@
 		queues:       make(map[string]*queue),
 		agents:       make(map[string]*agent),
 		estimators:   make(map[string]*estimate.Estimator),
-		ending:       make(map[string]*ending),
+		dropped:      make(map[string]*droppedJob),
 		lookups:      make(map[string]*lookup),
 		suspected:    make(map[string]bool),
 		Homes:        DefaultHomes,
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -145,7 +145,7 @@
 		if j == nil {
 			return
 		}
-		if !o.startTasks(now, j) && !o.holdSuspect(now, j) {
+		if !o.startTasks(now, j) && !o.deferSuspect(now, j) {
 			break
 		}
 		q.remove(j)
@@ -188,8 +188,8 @@
 	t.agent = a.name
 	t.sentAt = now
 	t.stopSent = false
-	if t.runsAlone(now) {
-		t.aloneRuns = append(t.aloneRuns, t.run)
+	if t.needsEmptyTarget(now) {
+		t.exclusiveRuns = append(t.exclusiveRuns, t.run)
 	}
 	id := task.ID{Job: j.spec.ID, Step: step, Index: index}
 	a.tasks[id] = j
--- a/owner/release.go
+++ b/owner/release.go
@@ -14,7 +14,7 @@
 	if a == nil {
 		return true
 	}
-	if len(a.out.Settled) > 0 || a.watching || a.reserved != nil || a.clearAt > 0 || len(a.tasks) > 0 || len(a.ending) > 0 {
+	if len(a.out.Settled) > 0 || a.watching || a.reserved != nil || a.clearAt > 0 || len(a.tasks) > 0 || len(a.droppedRuns) > 0 {
 		return false
 	}
 	for _, j := range o.jobs {
@@ -22,7 +22,7 @@
 			return false
 		}
 	}
-	for _, e := range o.ending {
+	for _, e := range o.dropped {
 		if slices.Contains(e.homes, a) {
 			return false
 		}
@@ -75,7 +75,7 @@
 
 // noteLabels notes whether j asks for a label or a rack that no connected agent has, where there
 // are others.
-func (o *Owner) noteLabels(j *job) {
+func (o *Owner) recordMissingLabels(j *job) {
 	if !o.Partial {
 		return
 	}
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -12,7 +12,7 @@
 // requestStep is by how much a waiting job must be more urgent than the one that an
 // agent knows of for the agent to get a new request. It bounds the frames while
 // jobs wait. Half and double: no difference.
-const requestStep = 10 * time.Millisecond
+const minRankGain = 10 * time.Millisecond
 
 const (
 	// requestsPerTask is how many agents are asked at once for each task that waits:
@@ -21,11 +21,11 @@
 	requestsPerTask = 2
 	// requestPause is after how long one more is asked: a few round trips. Four scenes, 8
 	// seeds, worst class and frames a run: 1 ms 0.913 8.1, 3 ms 0.919 7.8, 5 ms 0.908 7.8.
-	requestPause = 3 * time.Millisecond
+	requestInterval = 3 * time.Millisecond
 	// requestLinkShare is how many times as long as a request takes on this host's link
 	// the pause is at the least: on narrow links requests leave room for orders.
 	// Without it, six scenes earn 0.0185 less (s.e. 0.0089).
-	requestLinkShare = 10
+	requestIntervalFactor = 10
 )
 
 // requestRoom asks agents of a queue's service to reserve room for its first job: a few
@@ -46,11 +46,11 @@
 			continue
 		}
 		asked++
-		if j.rank < a.requestRank-requestStep {
+		if j.rank < a.requestRank-minRankGain {
 			o.addRoomRequest(now, q, a, j, step)
 		}
 	}
-	for _, a := range o.toAsk(now, j, step, index, o.requestLimit(now, q)-asked) {
+	for _, a := range o.requestCandidates(now, j, step, index, o.requestLimit(now, q)-asked) {
 		o.beginWatch(now, a)
 		o.addRoomRequest(now, q, a, j, step)
 	}
@@ -62,34 +62,34 @@
 	if o.linkBusy(now) {
 		perTask = 1
 	}
-	pause := max(requestPause, requestLinkShare*o.link.transmitTime(frameBytes))
-	return perTask*q.waitingTasks(len(o.byName)) + int((now-q.backlogSince)/pause)
+	interval := max(requestInterval, requestIntervalFactor*o.link.transmitTime(frameBytes))
+	return perTask*q.waitingTasks(len(o.byName)) + int((now-q.backlogSince)/interval)
 }
 
 // toAsk returns up to count agents to ask for room for a task: first those near its data.
 // Agents of the version before are asked in any case. Ejected targets are not: they get
 // single probes only.
-func (o *Owner) toAsk(now time.Duration, j *job, step, index, count int) []*agent {
-	var before []*agent
+func (o *Owner) requestCandidates(now time.Duration, j *job, step, index, count int) []*agent {
+	var legacy []*agent
 	may := func(a *agent) bool {
 		return !a.roomRequested && a.state.Health != peer.Ejected && o.allowed(now, j, step, &j.steps[step].tasks[index], a)
 	}
 	for _, a := range o.watched {
 		if a.level < peer.LevelWatch && a.usable(now, j.spec.Service) && may(a) {
-			before = append(before, a)
+			legacy = append(legacy, a)
 		}
 	}
 	s := j.spec.Steps[step]
 	near := func(a *agent) bool { return may(a) && !a.far(s) }
 	list := o.withRoom(now, j.spec.Service, s, near, count)
-	list = append(list, o.unknownAgents(j.spec.Service, near, count-len(list))...)
+	list = append(list, o.unwatchedAgents(j.spec.Service, near, count-len(list))...)
 	if s.Rack != "" {
 		far := func(a *agent) bool { return may(a) && a.far(s) }
 		list = append(list, o.withRoom(now, j.spec.Service, s, far, count-len(list))...)
-		list = append(list, o.unknownAgents(j.spec.Service, far, count-len(list))...)
+		list = append(list, o.unwatchedAgents(j.spec.Service, far, count-len(list))...)
 	}
 	list = append(list, o.withoutRoom(now, j.spec.Service, s, may, count-len(list))...)
-	return append(list, before...)
+	return append(list, legacy...)
 }
 
 // withRoom returns up to count agents that are watched and believed to have room, those
@@ -123,10 +123,10 @@
 
 // unknownAgents returns up to count agents that are not watched and meet the condition, as
 // long as more may be watched.
-func (o *Owner) unknownAgents(service string, meets func(*agent) bool, count int) []*agent {
+func (o *Owner) unwatchedAgents(service string, meets func(*agent) bool, count int) []*agent {
 	var list []*agent
-	for len(list) < min(count, o.mayWatch()-len(o.watched)) {
-		a := o.unwatched(func(a *agent) bool { return a.serves(service) && meets(a) && !slices.Contains(list, a) })
+	for len(list) < min(count, o.maxWatched()-len(o.watched)) {
+		a := o.pickUnwatched(func(a *agent) bool { return a.serves(service) && meets(a) && !slices.Contains(list, a) })
 		if a == nil {
 			break
 		}
@@ -154,7 +154,7 @@
 // anew. Where jobs wait for their claims alone it is held a while.
 func (o *Owner) useReservation(now time.Duration, a *agent, r *peer.Reservation) {
 	a.reserved = nil
-	if o.firstFor(now, o.queue(a.profile.Service), a) == nil && o.claimsUnderWay(o.queue(a.profile.Service)) {
+	if o.nextJobFor(now, o.queue(a.profile.Service), a) == nil && o.claimsUnderWay(o.queue(a.profile.Service)) {
 		a.reserved, a.reservedAt = r, now
 		return
 	}
@@ -167,7 +167,7 @@
 		return
 	}
 	for {
-		j := o.firstFor(now, q, a)
+		j := o.nextJobFor(now, q, a)
 		if j == nil {
 			return
 		}
@@ -192,7 +192,7 @@
 }
 
 // useHeld uses the reservations that are held, since a job of the queue was claimed.
-func (o *Owner) useHeld(now time.Duration, q *queue) {
+func (o *Owner) useHeldReservations(now time.Duration, q *queue) {
 	for _, a := range o.watched {
 		if a.reserved != nil && a.profile.Service == q.service {
 			o.useReservation(now, a, a.reserved)
@@ -201,9 +201,9 @@
 }
 
 // giveBackHeld gives the reservations back that were held for too long.
-func (o *Owner) giveBackHeld(now time.Duration) {
+func (o *Owner) releaseHeldReservations(now time.Duration) {
 	for _, a := range o.watched {
-		if a.reserved != nil && now-a.reservedAt >= holdTime {
+		if a.reserved != nil && now-a.reservedAt >= reservationHoldTime {
 			a.out.UsedReservation = a.reserved.ID
 			a.reserved = nil
 			a.roomRequested = false
@@ -215,15 +215,15 @@
 // firstFor returns the claimed job of the queue that goes first at a: the most urgent one, unless
 // its next task may not run there or has its data elsewhere, and that of another job may
 // and has not. Nil where no job may run there.
-func (o *Owner) firstFor(now time.Duration, q *queue, a *agent) *job {
+func (o *Owner) nextJobFor(now time.Duration, q *queue, a *agent) *job {
 	first := q.peek(now)
-	if first == nil || o.claimed(first) && o.fit(now, first, a) == fitsWell {
+	if first == nil || o.claimed(first) && o.fit(now, first, a) == fitsLocal {
 		return first
 	}
 	var best *job
 	for _, j := range q.waiting {
 		fit := o.fit(now, j, a)
-		if fit == fitsNot || !o.claimed(j) {
+		if fit == noFit || !o.claimed(j) {
 			continue
 		}
 		if best == nil || fit > o.fit(now, best, a) || fit == o.fit(now, best, a) && j.rank < best.rank {
@@ -237,9 +237,9 @@
 type fit uint8
 
 const (
-	fitsNot fit = iota
-	fitsFar
-	fitsWell
+	noFit fit = iota
+	fitsRemote
+	fitsLocal
 )
 
 // fit returns how well the next task of j fits a. A job without one fits, so that it is
@@ -248,13 +248,13 @@
 	step, index, ok := j.nextTask()
 	switch {
 	case !ok:
-		return fitsWell
-	case j.steps[step].tasks[index].runsAlone(now):
-		return fitsNot // reserved room is not all of a target's
+		return fitsLocal
+	case j.steps[step].tasks[index].needsEmptyTarget(now):
+		return noFit // reserved room is not all of a target's
 	case !o.allowed(now, j, step, &j.steps[step].tasks[index], a):
-		return fitsNot
+		return noFit
 	case a.far(j.spec.Steps[step]):
-		return fitsFar
+		return fitsRemote
 	}
-	return fitsWell
+	return fitsLocal
 }
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -97,8 +97,8 @@
 	id := e.Ref.Task
 	j := a.tasks[id]
 	if j == nil {
-		if run, found := a.ending[id]; found && run == e.Ref.Run {
-			o.endingOver(now, a, id)
+		if run, found := a.droppedRuns[id]; found && run == e.Ref.Run {
+			o.droppedRunEnded(now, a, id)
 		}
 		return
 	}
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -37,30 +37,30 @@
 	s := claim.Settlement{Job: j.spec.ID, Outcome: outcomeOf(a.Kind), Why: a.Why, Retry: a.Retry}
 	s.Ran = s.Outcome == claim.None && j.mayHaveRun()
 	s.Losses = j.losses()
-	e := o.ending[j.spec.ID]
+	e := o.dropped[j.spec.ID]
 	s.Clear = e == nil
 	for _, h := range j.homes {
 		if e != nil && !slices.Contains(e.homes, h.agent) {
 			e.homes = append(e.homes, h.agent)
 		}
 		if s.Clear || s.Outcome != claim.None {
-			o.tellSettled(h.agent, s, j.wanted() || j.earlierRun || a.Kind == Refused && !o.linkBusy(now))
+			o.sendSettlement(h.agent, s, j.hasRemoteWaiter() || j.earlierRun || a.Kind == Refused && !o.linkBusy(now))
 		}
 	}
 	if e != nil {
-		e.wanted = e.wanted || j.wanted()
+		e.remoteWaiter = e.remoteWaiter || j.hasRemoteWaiter()
 		e.losses = s.Losses
 	}
 }
 
 // tellSettled adds a settlement to the next frame to a home, at once where somebody waits for
 // it. Without anybody it may take as long as a heartbeat.
-func (o *Owner) tellSettled(a *agent, s claim.Settlement, atOnce bool) {
+func (o *Owner) sendSettlement(a *agent, s claim.Settlement, atOnce bool) {
 	if !a.connected || a.level < peer.LevelClaim {
 		return // it forgets the claim, or grants it to nobody before its time is over
 	}
 	a.out.Settled = append(a.out.Settled, s)
-	if atOnce || o.leaving {
+	if atOnce || o.shuttingDown {
 		o.markDirty(a)
 	}
 }
@@ -76,21 +76,21 @@
 			o.answer(now, j, Answer{Kind: Cancelled, Why: code.JobCancelled})
 		}
 	case j != nil && i.Begun && !j.started():
-		o.concede(now, j, a)
+		o.transferClaim(now, j, a)
 	case j != nil:
-		j.setWanted(a, i.Waits)
-		o.abandonUnwanted(now, j)
-	case o.ending[i.Job] != nil:
-		o.ending[i.Job].wanted = i.Waits
+		j.setRemoteWaiter(a, i.Waits)
+		o.cancelIfAbandoned(now, j)
+	case o.dropped[i.Job] != nil:
+		o.dropped[i.Job].remoteWaiter = i.Waits
 	case i.Waits && !slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == i.Job }):
-		o.tellSettled(a, claim.Settlement{Job: i.Job, Clear: true}, true)
+		o.sendSettlement(a, claim.Settlement{Job: i.Job, Clear: true}, true)
 	}
 }
 
 // Leave has every settlement told at once from now on, since the process is about to end, and
 // those that wait for a frame.
 func (o *Owner) Leave(now time.Duration) {
-	o.leaving = true
+	o.shuttingDown = true
 	for _, a := range o.byName {
 		if len(a.out.Settled) > 0 {
 			o.markDirty(a)
@@ -100,15 +100,15 @@
 }
 
 // setWanted records whether another entry waits for j at a home.
-func (j *job) setWanted(a *agent, wanted bool) {
+func (j *job) setRemoteWaiter(a *agent, wanted bool) {
 	for k := range j.homes {
 		if j.homes[k].agent == a {
-			j.homes[k].wanted = wanted
+			j.homes[k].remoteWaiter = wanted
 		}
 	}
 }
 
 // wanted reports whether another entry waits for j's answer.
-func (j *job) wanted() bool {
-	return slices.ContainsFunc(j.homes, func(h home) bool { return h.wanted })
+func (j *job) hasRemoteWaiter() bool {
+	return slices.ContainsFunc(j.homes, func(h home) bool { return h.remoteWaiter })
 }
--- a/owner/stopped_test.go
+++ b/owner/stopped_test.go
@@ -17,7 +17,7 @@
 	j.Steps[0].Estimate = 4 * time.Second
 	b.submit(j)
 	assert.Equal(t, len(b.homesOf(j.ID)), 2)
-	b.now += stoppedTime
+	b.now += minStopTime
 	b.Tick(b.now)
 	assert.Assert(t, b.Isolated())
 	assert.Assert(t, b.Rejoining(b.now))
@@ -35,7 +35,7 @@
 	}
 	b.grantAll(j.ID)
 	assert.Equal(t, len(b.allStarts()), starts, "it has not found all agents again")
-	b.wait(rejoinTime)
+	b.wait(postStopIsolationTime)
 	assert.Assert(t, !b.Isolated())
 	b.grantAll(j.ID)
 	for _, a := range b.byName {
--- a/owner/tick.go
+++ b/owner/tick.go
@@ -25,12 +25,12 @@
 	o.checkContested(now)
 	o.checkHalls(now)
 	o.checkLookups(now)
-	o.giveBackHeld(now)
+	o.releaseHeldReservations(now)
 	for _, j := range o.sortedJobs() {
 		o.checkDeadlines(now, j)
 	}
 	o.refuseEvacuated(now)
-	o.releaseSuspects(now)
+	o.requeueSuspects(now)
 	for _, q := range o.sortedQueues() {
 		q.usualSpeed = o.usualSpeed(q.service)
 		q.setWorkRate(o.workRate(now, q))
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -22,9 +22,9 @@
 	watchedPerBusy = 2
 	// watchTime is how long after its last use an agent is watched, where more than
 	// minWatched are. 100 ms and 2 s: no difference.
-	watchTime = 500 * time.Millisecond
+	watchRetention = 500 * time.Millisecond
 	// idleAfter is how long after the last job an entry watches nobody. Not measured.
-	idleAfter = 10 * time.Second
+	idleTime = 10 * time.Second
 )
 
 // used reports whether the connection is in use, as the agent sees it, too.
@@ -77,7 +77,7 @@
 }
 
 // mayWatch returns how many agents may be watched at once.
-func (o *Owner) mayWatch() int {
+func (o *Owner) maxWatched() int {
 	return minWatched + watchedPerBusy*o.busy()
 }
 
@@ -85,7 +85,7 @@
 // begins some where jobs come and too few agents are watched.
 func (o *Owner) adjustWatches(now time.Duration) {
 	keep := minWatched
-	if now-o.lastJobAt > idleAfter {
+	if now-o.lastJobAt > idleTime {
 		keep = 0
 	}
 	o.endEvacuatedWatches()
@@ -97,7 +97,7 @@
 		o.endWatch(a)
 	}
 	for len(o.watched) < keep {
-		a := o.unwatched((*agent).takesWork)
+		a := o.pickUnwatched((*agent).takesWork)
 		if a == nil {
 			break
 		}
@@ -120,7 +120,7 @@
 func (o *Owner) leastUsed(now time.Duration) *agent {
 	var least *agent
 	for _, a := range o.watched {
-		if a.level < peer.LevelWatch || len(a.tasks) > 0 || now-a.usedAt < watchTime || a.state.Health == peer.Ejected {
+		if a.level < peer.LevelWatch || len(a.tasks) > 0 || now-a.usedAt < watchRetention || a.state.Health == peer.Ejected {
 			continue
 		}
 		if least == nil || a.usedAt < least.usedAt {
@@ -133,7 +133,7 @@
 // unwatched returns an agent that is not watched and meets the condition, or nil: one of this
 // entry's own, if there is any. It looks from a random one on, so that entries spread over the
 // agents.
-func (o *Owner) unwatched(meets func(*agent) bool) *agent {
+func (o *Owner) pickUnwatched(meets func(*agent) bool) *agent {
 	if len(o.watched) == len(o.byName) {
 		return nil
 	}
@@ -171,11 +171,11 @@
 	if a == nil || !a.connected {
 		return false
 	}
-	if o.outlived(a) || o.hallSuspected(a) && a.quiet(now) {
+	if o.predatesStop(a) || o.hallSuspected(a) && a.unresponsive(now) {
 		return true
 	}
 	if a.silentSince > 0 && len(a.tasks) == 0 {
 		return now-a.silentSince >= o.ClaimTimeout
 	}
-	return peer.SilentTooLong(now, a.heardAt, a.used(), a.watchedSince)
+	return peer.SilentTooLong(now, a.lastFrameAt, a.used(), a.watchedSince)
 }
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -52,7 +52,7 @@
 	b.submit(jobOf("j", 1))
 	assert.Equal(t, len(b.requested()), requestsPerTask)
 	assert.Equal(t, len(b.watched), requestsPerTask)
-	b.now += 5 * requestPause
+	b.now += 5 * requestInterval
 	b.Tick(b.now)
 	assert.Equal(t, len(b.requested()), requestsPerTask+5)
 	asked := b.requested()[0]
@@ -92,14 +92,14 @@
 func TestWatchesAreBounded(t *testing.T) {
 	b := newWatchBench(t, 100)
 	b.submit(jobOf("j", 30))
-	b.now += 200 * requestPause
+	b.now += 200 * requestInterval
 	b.schedule(b.now, b.queue("trackd"))
 	assert.Equal(t, len(b.watched), minWatched)
 	b.cancel("j")
-	b.now += watchTime
+	b.now += watchRetention
 	b.Tick(b.now)
 	assert.Equal(t, len(b.watched), minWatched)
-	b.now += idleAfter
+	b.now += idleTime
 	b.Tick(b.now)
 	assert.Equal(t, len(b.watched), 0)
 }
@@ -156,7 +156,7 @@
 		most    = 14e3 // bytes a second, one way
 	)
 	b := newWatchBench(t, agents)
-	b.now += idleAfter
+	b.now += idleTime
 	b.Tick(b.now)
 	bytes := 0
 	b.Send = func(_ string, f *peer.Frame) uint64 {
@@ -198,7 +198,7 @@
 	j.Steps[0].Rack = "rack-2"
 	b.submit(j)
 	assert.DeepEqual(t, b.requested(), []string{"side-040", "side-080"})
-	b.now += requestPause
+	b.now += requestInterval
 	b.Tick(b.now)
 	assert.Equal(t, len(b.requested()), 3, "later others, too")
 }
@@ -210,7 +210,7 @@
 	j := jobOf("j", 1)
 	j.Steps[0].Label = "gpu"
 	b.submit(j)
-	b.now += 20 * requestPause
+	b.now += 20 * requestInterval
 	b.Tick(b.now)
 	assert.DeepEqual(t, b.requested(), []string{"side-010"})
 }
