--- a/owner/bounds_test.go
+++ b/owner/bounds_test.go
@@ -22,7 +22,7 @@
 // TestAnEntrysStateIsBounded presses 3,500 jobs on an entry that knows 1,200 agents, all of
 // them full: it holds as many jobs as it may, refuses the others at once, and its state takes
 // less than a quarter of the 64 MB of a process.
-func TestAnEntrysStateIsBounded(t *testing.T) {
+func TestMemoryIsBounded(t *testing.T) {
 	const most = 16 << 20 // bytes
 	before := bytesInUse()
 	o := newFleet(1200)
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -15,30 +15,30 @@
 
 // newClaimBench returns an owner that is connected to agents at which jobs are claimed, by turns
 // in two data halls.
-func newClaimBench(t *testing.T, agents int) *bench {
+func newClaimHarness(t *testing.T, agents int) *harness {
 	t.Helper()
-	b := newBench(t)
+	b := newHarness(t)
 	for k := range agents {
 		name := fmt.Sprintf("side-%d", k)
 		b.Connected(b.now, name)
 		b.Receive(b.now, name, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
-		b.stateIn(name, []string{"mtm", "sulph"}[k%2])
+		b.reportStateIn(name, []string{"mtm", "sulph"}[k%2])
 	}
-	b.wait(startupIsolationTime)
+	b.advance(startupIsolationTime)
 	for _, a := range b.byName {
 		b.beginWatch(b.now, a)
-		b.stateIn(a.name, a.profile.Hall)
+		b.reportStateIn(a.name, a.profile.Hall)
 	}
 	return b
 }
 
 // reply has a home say something of a job.
-func (b *bench) reply(a *agent, r claim.Reply) {
+func (b *harness) reply(a *agent, r claim.Reply) {
 	b.Receive(b.now, a.name, &peer.Frame{Claimed: []claim.Reply{r}})
 }
 
 // homesOf returns the agents at which a job is claimed, the least rank first.
-func (b *bench) homesOf(id string) []*agent {
+func (b *harness) homesOf(id string) []*agent {
 	var list []*agent
 	for _, h := range b.jobs[id].homes {
 		list = append(list, h.agent)
@@ -47,7 +47,7 @@
 }
 
 // grantAll has the homes of a job grant it.
-func (b *bench) grantAll(id string) []*agent {
+func (b *harness) grantAll(id string) []*agent {
 	homes := b.homesOf(id)
 	for _, a := range homes {
 		b.reply(a, claim.Reply{Job: id, State: claim.Granted})
@@ -56,7 +56,7 @@
 }
 
 // allStarts returns the orders that all agents have got.
-func (b *bench) allStarts() []task.Order {
+func (b *harness) allStarts() []task.Order {
 	var list []task.Order
 	for _, a := range b.byName {
 		list = append(list, b.starts(a.name)...)
@@ -65,7 +65,7 @@
 }
 
 // settled returns what an agent was told of jobs, in all frames and in the one that collects.
-func (b *bench) settled(a *agent) []claim.Settlement {
+func (b *harness) settled(a *agent) []claim.Settlement {
 	var list []claim.Settlement
 	for _, f := range b.frames[a.name] {
 		list = append(list, f.Settled...)
@@ -74,16 +74,16 @@
 }
 
 // endAll has the runs of all orders so far end.
-func (b *bench) endAll(end task.End) {
+func (b *harness) endAll(end task.End) {
 	for _, a := range b.byName {
 		for _, o := range b.starts(a.name) {
-			b.ended(a.name, o, end, code.RunListed)
+			b.reportEnd(a.name, o, end, code.RunListed)
 		}
 	}
 }
 
-func TestAJobStartsWhenBothHomesHaveGrantedIt(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestJobStartsOnlyAfterAllHomesGrant(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	assert.Equal(t, len(homes), DefaultHomes)
@@ -100,13 +100,13 @@
 }
 
 // TestAllEntriesChooseTheSameHomes whatever the order in which they met the agents.
-func TestAllEntriesChooseTheSameHomes(t *testing.T) {
-	first, second := newClaimBench(t, 9), newBench(t)
+func TestHomesDoNotDependOnConnectionOrder(t *testing.T) {
+	first, second := newClaimHarness(t, 9), newHarness(t)
 	for k := 8; k >= 0; k-- {
 		name := fmt.Sprintf("side-%d", k)
 		second.Connected(second.now, name)
 		second.Receive(second.now, name, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
-		second.stateIn(name, []string{"mtm", "sulph"}[k%2])
+		second.reportStateIn(name, []string{"mtm", "sulph"}[k%2])
 	}
 	for n := range 50 {
 		id := fmt.Sprintf("%016x", n)
@@ -120,27 +120,27 @@
 
 // TestAJobThatAnotherEntryHasIsJoined: nothing starts here, it is not refused as not run, and
 // the other entry's answer is this one's.
-func TestAJobThatAnotherEntryHasIsJoined(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestHeldJobIsJoinedAndNotStarted(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Held})
-	b.wait(60 * ms)
+	b.advance(60 * ms)
 	assert.Equal(t, len(b.allStarts()), 0)
 	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Answered, Outcome: claim.Completed, Why: code.JobAllDone})
 	assert.DeepEqual(t, b.answers["1"], Answer{Kind: Completed, Why: code.JobAllDone})
 
 	b.submit(jobOf("2", 1))
 	b.reply(b.homesOf("2")[0], claim.Reply{Job: "2", State: claim.Held})
-	b.wait(3 * time.Second)
+	b.advance(3 * time.Second)
 	assert.Equal(t, b.answers["2"].Kind, GivenUp)
 	assert.Equal(t, b.Stats().Joined, uint64(2))
 }
 
 // TestAJoinedJobIsTakenOver once its homes grant it.
-func TestAJoinedJobIsTakenOver(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestJoinedJobStartsAfterTakeover(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Held})
@@ -151,8 +151,8 @@
 }
 
 // TestOfTwoEntriesOneGivesBack: the one that has only the home of the higher rank.
-func TestOfTwoEntriesOneGivesBack(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestLaterHomeIsReleasedOnConflict(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Granted})
@@ -165,8 +165,8 @@
 }
 
 // TestARunningJobYields where the home of the least rank says that another entry has it.
-func TestARunningJobYields(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestRunningJobYieldsAfterContestTimeout(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	assert.Equal(t, len(b.allStarts()), 1)
@@ -174,7 +174,7 @@
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	assert.Equal(t, b.Stats().Yielded, uint64(0)) // the other one may have started nothing
-	b.wait(contestTimeout + TickInterval)
+	b.advance(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(1))
 	stops := 0
 	for _, a := range b.byName {
@@ -190,13 +190,13 @@
 }
 
 // TestARunningJobGoesOnWhereTheOtherEntryGivesItBack: it had started nothing.
-func TestARunningJobGoesOnWhereTheOtherEntryGivesItBack(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestRunningJobContinuesAfterTransfer(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Granted})
-	b.wait(contestTimeout + TickInterval)
+	b.advance(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 
 	b.submit(jobOf("2", 1)) // the other side of it
@@ -210,8 +210,8 @@
 }
 
 // TestASilentHomeIsReplaced, and is one again when it is heard from.
-func TestASilentHomeIsReplaced(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestSilentHomeIsReplacedAndRestored(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	silent := homes[0]
@@ -235,8 +235,8 @@
 
 // TestAnEntryThatIsCutOffStartsNothingNew: most agents are silent, so that others may find other
 // homes for its jobs.
-func TestAnEntryThatIsCutOffStartsNothingNew(t *testing.T) {
-	b := newClaimBench(t, 5)
+func TestIsolatedEntryStartsNoNewJobs(t *testing.T) {
+	b := newClaimHarness(t, 5)
 	for n := range 20 {
 		b.submit(jobOf(fmt.Sprint(n), 1))
 	}
@@ -262,8 +262,8 @@
 
 // TestADroppedJobIsFreeWhenItsRunsHaveEnded: its homes hear of it only then, and the job does
 // not start anew here before.
-func TestADroppedJobIsFreeWhenItsRunsHaveEnded(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestDroppedJobIsClearedOnlyAfterRunsEnd(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	caller := b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.Cancel(b.now, "1", caller)
@@ -279,8 +279,8 @@
 }
 
 // TestAJobGoesOnForAnotherEntry whose caller waits for it, when its own has gone.
-func TestAJobGoesOnForAnotherEntry(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestJobContinuesForRemoteWaiter(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	caller := b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.Receive(b.now, homes[0].name, &peer.Frame{Interests: []claim.Interest{{Job: "1", Waits: true}}})
@@ -298,8 +298,8 @@
 	assert.Equal(t, b.Jobs(), 0)
 }
 
-func TestACancellationIsPassedOn(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestCancellationIsForwarded(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	var answers []bool
 	cancel := func(id string) { b.CancelJob(b.now, id, func(known bool) { answers = append(answers, known) }) }
 	reply := func(id string, state claim.State) {
@@ -318,7 +318,7 @@
 	cancel("nowhere")
 	reply("nowhere", claim.Unknown)
 	cancel("silent")
-	b.wait(cancelTimeout)
+	b.advance(cancelTimeout)
 	assert.DeepEqual(t, answers, []bool{true, false, false})
 
 	b.submit(jobOf("here", 1))
@@ -329,8 +329,8 @@
 
 // TestRoomIsHeldForAClaimUnderWay: the reservation and the claim are asked for at once, and one
 // may come before the other.
-func TestRoomIsHeldForAClaimUnderWay(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestReservationIsHeldDuringClaim(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	for _, a := range b.byName {
 		b.beginWatch(b.now, a)
 		b.Receive(b.now, a.name, &peer.Frame{State: &peer.State{
@@ -351,7 +351,7 @@
 
 	b.submit(jobOf("2", 1))
 	b.Receive(b.now, from.name, &peer.Frame{Reservation: &peer.Reservation{ID: 8, Room: room.Room}})
-	b.wait(reservationHoldTime + TickInterval)
+	b.advance(reservationHoldTime + TickInterval)
 	last := uint64(0)
 	for _, f := range b.frames[from.name] {
 		last = max(last, f.UsedReservation)
@@ -360,8 +360,8 @@
 }
 
 // TestAnEntryThatEndsLeavesItsAnswers at the homes.
-func TestAnEntryThatEndsLeavesItsAnswers(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestLeaveFlushesSettlements(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.endAll(task.EndDone)
@@ -372,8 +372,8 @@
 
 // TestWithoutAgentsOfThisVersionJobsAreNotClaimed: an upgrade replaces one process after the
 // other.
-func TestWithoutAgentsOfThisVersionJobsAreNotClaimed(t *testing.T) {
-	b := newBench(t, "a", "b")
+func TestJobsStartUnclaimedWithLegacyAgents(t *testing.T) {
+	b := newHarness(t, "a", "b")
 	b.submit(jobOf("1", 1))
 	assert.Equal(t, len(b.allStarts()), 1)
 }
--- a/owner/comeback_test.go
+++ b/owner/comeback_test.go
@@ -12,7 +12,7 @@
 
 // TestCallersReturnOneAfterTheOther: targets take 2 core-seconds of returning work a
 // second, and each job has one: its caller is given half a second.
-func TestCallersReturnOneAfterTheOther(t *testing.T) {
+func TestRetriesAreSpread(t *testing.T) {
 	const rate, work = 2.0, 1.0
 	var r returns
 	now := time.Minute
@@ -33,7 +33,7 @@
 
 // TestTheTimeToComeBackOutlivesTheTargets: the load that was known last counts while no
 // target takes work, and from an agent's first state on.
-func TestTheTimeToComeBackOutlivesTheTargets(t *testing.T) {
+func TestLastWorkRateOutlivesTargets(t *testing.T) {
 	o := newTestOwner()
 	q := o.queue("s")
 	assert.Equal(t, q.lastWorkRate, 0.0)
--- a/owner/estimates_test.go
+++ b/owner/estimates_test.go
@@ -27,7 +27,7 @@
 
 // TestTheObjectiveCountsTheLongestTask: eight tasks take longer than one, and callers
 // whose guesses are off all alike are understood by the speeds learned from them.
-func TestTheObjectiveCountsTheLongestTask(t *testing.T) {
+func TestObjectiveCountsLongestTask(t *testing.T) {
 	guess := 100 * ms
 	job := func(tasks int) task.Job {
 		return task.Job{Queue: "q", Service: "s", ObjectiveFactor: 2, Steps: []task.Step{{Count: tasks, Estimate: guess}}}
@@ -46,7 +46,7 @@
 
 // TestTheFirstEndCorrectsTheObjective: a task that takes three times the estimate
 // makes the objective later; the other tasks are likely to take a little longer still.
-func TestTheFirstEndCorrectsTheObjective(t *testing.T) {
+func TestFirstTaskDurationCorrectsObjective(t *testing.T) {
 	o := newTestOwner(1)
 	spec := task.Job{Queue: "q", Service: "s", ObjectiveFactor: 2, Steps: []task.Step{{Count: 4, Estimate: 100 * ms}}}
 	j := newJob(0, o.withEstimates(spec, 1))
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -14,32 +14,32 @@
 )
 
 // stateIn has an agent report an empty target in a hall.
-func (b *bench) stateIn(agent, hall string, labels ...string) {
+func (b *harness) reportStateIn(agent, hall string, labels ...string) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Hall: hall, Labels: labels, Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
 		Free:    task.Needs{CPU: 4000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
 // newHallBench returns an owner whose agents stand in halls of the same names.
-func newHallBench(t *testing.T, halls ...string) *bench {
+func newHallHarness(t *testing.T, halls ...string) *harness {
 	t.Helper()
-	b := newBench(t, halls...)
+	b := newHarness(t, halls...)
 	for _, h := range halls {
-		b.stateIn(h, h)
+		b.reportStateIn(h, h)
 	}
-	b.wait(2 * discoveryTime)
+	b.advance(2 * discoveryTime)
 	return b
 }
 
 // evacuate has the owner hear from the store which halls are evacuated.
-func (b *bench) evacuate(revision uint64, halls ...string) {
+func (b *harness) evacuate(revision uint64, halls ...string) {
 	b.Evacuate(b.now, evacuation.NewSet(revision, halls), "store")
 }
 
 // TestNothingIsOrderedInAnEvacuatedHall: neither orders nor requests for room go there, and
 // its room does not count for the rate.
-func TestNothingIsOrderedInAnEvacuatedHall(t *testing.T) {
-	b := newHallBench(t, "mtm", "sulph")
+func TestEvacuatedHallGetsNoWork(t *testing.T) {
+	b := newHallHarness(t, "mtm", "sulph")
 	b.submit(jobOf("1", 1))
 	rate := b.queue("trackd").workRate
 	assert.Equal(t, rate, 8.0)
@@ -47,7 +47,7 @@
 	assert.Equal(t, b.queue("trackd").workRate, rate/2)
 	before := len(b.starts("mtm"))
 	b.submit(jobOf("2", 6))
-	b.wait(100 * ms)
+	b.advance(100 * ms)
 	assert.Equal(t, len(b.starts("mtm")), before)
 	assert.Assert(t, !b.agents["mtm"].roomRequested && b.agents["sulph"].roomRequested)
 	assert.Equal(t, len(b.starts("sulph"))+before, 4+before)
@@ -57,13 +57,13 @@
 }
 
 // TestAWatchOfAnEvacuatedTargetEnds: it makes room for the watch of another one.
-func TestAWatchOfAnEvacuatedTargetEnds(t *testing.T) {
-	b := newWatchBench(t, 30)
+func TestEvacuatedTargetIsUnwatched(t *testing.T) {
+	b := newWatchHarness(t, 30)
 	for k, a := range b.byName {
-		b.stateIn(a.name, []string{"mtm", "sulph"}[k%2])
+		b.reportStateIn(a.name, []string{"mtm", "sulph"}[k%2])
 	}
 	b.submit(jobOf("1", 1))
-	b.wait(40 * ms)
+	b.advance(40 * ms)
 	assert.Equal(t, len(b.watched), minWatched)
 	b.evacuate(7, "mtm")
 	for _, a := range b.watched {
@@ -74,8 +74,8 @@
 
 // TestAnOrderThatWasRejectedForAnEvacuationGoesElsewhereAtOnce: the agent's frame says why,
 // the task loses no attempt, and the refusal of its job would still be true.
-func TestAnOrderThatWasRejectedForAnEvacuationGoesElsewhereAtOnce(t *testing.T) {
-	b := newHallBench(t, "mtm", "sulph")
+func TestEvacuationRejectionIsRetriedImmediately(t *testing.T) {
+	b := newHallHarness(t, "mtm", "sulph")
 	b.submit(jobOf("1", 1))
 	name, other := "mtm", "sulph"
 	if len(b.starts(name)) == 0 {
@@ -93,9 +93,9 @@
 
 // TestJobsThatOnlyEvacuatedTargetsMayRunAreRefusedAtOnce: with every hall evacuated, or each
 // one that has the label; with a time to come back. A job that has started goes on.
-func TestJobsThatOnlyEvacuatedTargetsMayRunAreRefusedAtOnce(t *testing.T) {
-	b := newHallBench(t, "mtm", "sulph")
-	b.stateIn("mtm", "mtm", "gpu")
+func TestJobsNeedingEvacuatedTargetsAreRefused(t *testing.T) {
+	b := newHallHarness(t, "mtm", "sulph")
+	b.reportStateIn("mtm", "mtm", "gpu")
 	b.submit(jobOf("started", 1))
 	b.evacuate(7, "mtm")
 	labelled := jobOf("labelled", 1)
@@ -110,7 +110,7 @@
 	b.submit(jobOf("waits", 9))
 	b.submit(jobOf("last", 1)) // no room is left
 	b.evacuate(8, "mtm", "sulph")
-	b.wait(TickInterval)
+	b.advance(TickInterval)
 	assert.Equal(t, b.answers["last"].Why, code.JobEvacuated)
 	assert.Equal(t, b.answers["started"].Kind, Kind(0))
 	b.submit(jobOf("new", 1))
@@ -118,29 +118,29 @@
 }
 
 // TestAnEntryThatHasJustStartedWaitsForOtherHalls: the agents that it knows may not be all.
-func TestAnEntryThatHasJustStartedWaitsForOtherHalls(t *testing.T) {
-	b := newBench(t, "mtm")
-	b.stateIn("mtm", "mtm")
+func TestNoEvacuationRefusalDuringDiscovery(t *testing.T) {
+	b := newHarness(t, "mtm")
+	b.reportStateIn("mtm", "mtm")
 	b.evacuate(7, "mtm")
 	b.submit(jobOf("1", 1))
-	b.wait(60 * ms)
+	b.advance(60 * ms)
 	_, answered := b.answers["1"]
 	assert.Assert(t, !answered)
 	b.Connected(b.now, "sulph")
-	b.stateIn("sulph", "sulph")
+	b.reportStateIn("sulph", "sulph")
 	assert.Equal(t, len(b.starts("sulph")), 1)
 }
 
 // TestAnEvacuationIsToldAtOnceWhereItMatters: agents whose hall changes are told at once, the
 // others with the next frame to them, each once; the first frame to an agent that connects
 // has it.
-func TestAnEvacuationIsToldAtOnceWhereItMatters(t *testing.T) {
-	b := newWatchBench(t, 20)
+func TestEvacuationReachesAffectedAgentsFirst(t *testing.T) {
+	b := newWatchHarness(t, 20)
 	for k, a := range b.byName {
-		b.stateIn(a.name, []string{"mtm", "sulph"}[k%2])
+		b.reportStateIn(a.name, []string{"mtm", "sulph"}[k%2])
 	}
 	b.submit(jobOf("1", 1))
-	b.wait(40 * ms)
+	b.advance(40 * ms)
 	told := func() int {
 		count := 0
 		for _, a := range b.byName {
@@ -158,7 +158,7 @@
 		assert.Assert(t, a.profile.Hall != "mtm" || a.knownEvacuations == 7, a.name)
 	}
 	assert.Assert(t, told() < 20)
-	b.wait(peer.IdleHeartbeatInterval)
+	b.advance(peer.IdleHeartbeatInterval)
 	b.Heartbeats(b.now)
 	assert.Equal(t, told(), 20)
 	b.Connected(b.now, "new")
@@ -167,13 +167,13 @@
 
 // TestNewsOfAnAgentReachesTheOthers: an entry that can't reach the store hears it from an
 // agent and hands it on, but not back.
-func TestNewsOfAnAgentReachesTheOthers(t *testing.T) {
-	b := newHallBench(t, "a", "b", "c")
+func TestEvacuationIsForwardedToOtherAgents(t *testing.T) {
+	b := newHallHarness(t, "a", "b", "c")
 	b.frames = make(map[string][]*peer.Frame)
 	set := evacuation.NewSet(7, []string{"c"})
 	b.Receive(b.now, "a", &peer.Frame{Evacuations: &set})
 	assert.Assert(t, b.agents["c"].evacuated)
-	b.wait(2 * peer.HeartbeatInterval)
+	b.advance(2 * peer.HeartbeatInterval)
 	b.Heartbeats(b.now)
 	for name, want := range map[string]int{"a": 0, "b": 1, "c": 1} {
 		count := 0
--- a/owner/outage_test.go
+++ b/owner/outage_test.go
@@ -12,7 +12,7 @@
 )
 
 // pass lets time go on while the agents that speak are heard from.
-func (b *bench) pass(d time.Duration, speaks func(k int) bool) {
+func (b *harness) advanceWith(d time.Duration, speaks func(k int) bool) {
 	for end := b.now + d; b.now < end; {
 		b.now += TickInterval
 		for k, a := range b.byName {
@@ -33,13 +33,13 @@
 
 // TestAHallThatFallsSilentIsSuspected: nothing is ordered there, its quiet connections are given
 // up and carry no heartbeats, and one frame ends it.
-func TestAHallThatFallsSilentIsSuspected(t *testing.T) {
-	b := newClaimBench(t, 8)
+func TestUnresponsiveHallIsSuspected(t *testing.T) {
+	b := newClaimHarness(t, 8)
 	b.lastJobAt = b.now // it watches agents while jobs come
-	b.pass(time.Second, all)
-	b.pass(unresponsiveTime, func(k int) bool { return !inFirstHall(k) })
+	b.advanceWith(time.Second, all)
+	b.advanceWith(unresponsiveTime, func(k int) bool { return !inFirstHall(k) })
 	assert.Equal(t, b.HallsSuspected(), 0)
-	b.pass(TickInterval, func(k int) bool { return !inFirstHall(k) })
+	b.advanceWith(TickInterval, func(k int) bool { return !inFirstHall(k) })
 	assert.Equal(t, b.HallsSuspected(), 1)
 	before := len(b.frames[b.byName[0].name])
 	b.now += 200 * ms
@@ -48,31 +48,31 @@
 		assert.Equal(t, b.SilentTooLong(b.now, a.name), inFirstHall(k))
 	}
 	assert.Equal(t, len(b.frames[b.byName[0].name]), before)
-	b.pass(TickInterval, all)
+	b.advanceWith(TickInterval, all)
 	assert.Equal(t, b.HallsSuspected(), 0)
 }
 
 // TestOneVoiceIsEnoughAgainstASuspicion, and an entry that hears from nobody suspects itself.
-func TestOneVoiceIsEnoughAgainstASuspicion(t *testing.T) {
+func TestHallIsNotSuspectedOnPartialSilence(t *testing.T) {
 	for name, speaks := range map[string]func(int) bool{
 		"one of the hall": func(k int) bool { return k == 0 || !inFirstHall(k) },
 		"nobody":          func(int) bool { return false },
 	} {
-		b := newClaimBench(t, 8)
+		b := newClaimHarness(t, 8)
 		b.lastJobAt = b.now
-		b.pass(time.Second, all)
-		b.pass(time.Second, speaks)
+		b.advanceWith(time.Second, all)
+		b.advanceWith(time.Second, speaks)
 		assert.Equal(t, b.HallsSuspected(), 0, name)
-		b.pass(2*TickInterval, func(k int) bool { return !inFirstHall(k) }) // these are heard first
+		b.advanceWith(2*TickInterval, func(k int) bool { return !inFirstHall(k) }) // these are heard first
 		assert.Equal(t, b.HallsSuspected(), 0, name)
 	}
 }
 
 // TestJobsThatCantWaitForALostHallAreGivenUp at once; those that can go on.
-func TestJobsThatCantWaitForALostHallAreGivenUp(t *testing.T) {
-	b := newClaimBench(t, 8)
+func TestHopelessJobsInSuspectedHallAreGivenUp(t *testing.T) {
+	b := newClaimHarness(t, 8)
 	b.lastJobAt = b.now
-	b.pass(time.Second, all)
+	b.advanceWith(time.Second, all)
 	for n := range 4 {
 		b.now += ms // no job waits behind another
 		short, long := jobOf(fmt.Sprint("short-", n), 1), jobOf(fmt.Sprint("long-", n), 1)
@@ -92,7 +92,7 @@
 			inHall[o.Task.Job] = inFirstHall(k)
 		}
 	}
-	b.pass(unresponsiveTime+TickInterval, func(k int) bool { return !inFirstHall(k) })
+	b.advanceWith(unresponsiveTime+TickInterval, func(k int) bool { return !inFirstHall(k) })
 	assert.Equal(t, b.HallsSuspected(), 1)
 	given := 0
 	for n := range 4 {
@@ -116,7 +116,7 @@
 
 // TestAPartIsNoIsolation: an entry in a hall that is cut from the others reaches its own hall whole,
 // and starts there what comes; one that reaches a few agents of each hall is cut off itself.
-func TestAPartIsNoIsolation(t *testing.T) {
+func TestPartitionIsNotIsolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		speaks   func(k int) bool
 		isolated bool
@@ -127,20 +127,20 @@
 		"all but one of its own": {func(k int) bool { return k%3 == 0 && k > 0 }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			for k := range 18 {
 				agent := fmt.Sprintf("side-%02d", k)
 				b.Connected(b.now, agent)
 				b.Receive(b.now, agent, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
-				b.stateIn(agent, []string{"mtm", "sulph", "tepuke"}[k%3])
+				b.reportStateIn(agent, []string{"mtm", "sulph", "tepuke"}[k%3])
 			}
-			b.pass(time.Second, all)
+			b.advanceWith(time.Second, all)
 			for k, a := range b.byName {
 				if !c.speaks(k) {
 					b.Disconnected(b.now, b.now, a.name)
 				}
 			}
-			b.pass(TickInterval, c.speaks)
+			b.advanceWith(TickInterval, c.speaks)
 			assert.Equal(t, b.Isolated(), c.isolated)
 		})
 	}
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -17,7 +17,7 @@
 const ms = time.Millisecond
 
 // bench is an owner whose frames are kept.
-type bench struct {
+type harness struct {
 	*Owner
 	t       *testing.T
 	now     time.Duration
@@ -28,9 +28,9 @@
 
 // newBench returns an owner that is connected to agents, each with a target of
 // four cores.
-func newBench(t *testing.T, agents ...string) *bench {
+func newHarness(t *testing.T, agents ...string) *harness {
 	t.Helper()
-	b := &bench{t: t, now: 10 * time.Second, frames: make(map[string][]*peer.Frame), answers: make(map[string]Answer)}
+	b := &harness{t: t, now: 10 * time.Second, frames: make(map[string][]*peer.Frame), answers: make(map[string]Answer)}
 	b.Owner = NewOwner(slog.New(slog.DiscardHandler))
 	b.Send = func(agent string, f *peer.Frame) uint64 {
 		b.seq++
@@ -39,13 +39,13 @@
 	}
 	for _, name := range agents {
 		b.Connected(b.now, name)
-		b.state(name, 4000, 1, peer.Healthy)
+		b.reportState(name, 4000, 1, peer.Healthy)
 	}
 	return b
 }
 
 // state has an agent report its target's state, with all orders so far in it.
-func (b *bench) state(agent string, cpu int, speed float64, health peer.Health) {
+func (b *harness) reportState(agent string, cpu int, speed float64, health peer.Health) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
 		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true, SeenSeq: b.seq}})
@@ -56,18 +56,18 @@
 		Steps: []task.Step{{Count: tasks, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}}}
 }
 
-func (b *bench) submit(j task.Job) uint64 {
+func (b *harness) submit(j task.Job) uint64 {
 	return b.Submit(b.now, j, func(a Answer) { b.answers[j.ID] = a })
 }
 
 // cancel cancels a job on a caller's order and returns whether it was known at once.
-func (b *bench) cancel(id string) (known bool) {
+func (b *harness) cancel(id string) (known bool) {
 	b.CancelJob(b.now, id, func(k bool) { known = k })
 	return known
 }
 
 // starts returns the orders that an agent has got.
-func (b *bench) starts(agent string) []task.Order {
+func (b *harness) starts(agent string) []task.Order {
 	var list []task.Order
 	for _, f := range b.frames[agent] {
 		list = append(list, f.Starts...)
@@ -76,13 +76,13 @@
 }
 
 // ended has an agent report how a run ended.
-func (b *bench) ended(agent string, o task.Order, end task.End, why code.Code) {
+func (b *harness) reportEnd(agent string, o task.Order, end task.End, why code.Code) {
 	b.Receive(b.now, agent, &peer.Frame{Ended: []peer.Ended{{
 		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: end, Reason: why, Took: 100 * ms}}})
 }
 
 // wait lets time go on, with all agents in touch.
-func (b *bench) wait(d time.Duration) {
+func (b *harness) advance(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += 20 * ms
 		for _, a := range b.byName {
@@ -92,8 +92,8 @@
 	}
 }
 
-func TestAJobIsCompletedWhenAllTasksAre(t *testing.T) {
-	b := newBench(t, "a", "b")
+func TestJobCompletesOnlyAfterAllTasks(t *testing.T) {
+	b := newHarness(t, "a", "b")
 	b.submit(jobOf("1", 3))
 	all := map[string][]task.Order{"a": b.starts("a"), "b": b.starts("b")}
 	assert.Equal(t, len(all["a"])+len(all["b"]), 3)
@@ -102,26 +102,26 @@
 		for _, o := range orders {
 			_, answered := b.answers["1"]
 			assert.Assert(t, !answered)
-			b.ended(agent, o, task.EndDone, code.RunListed)
+			b.reportEnd(agent, o, task.EndDone, code.RunListed)
 			left--
 		}
 	}
 	assert.Equal(t, b.answers["1"].Kind, Completed)
 }
 
-func TestTheFasterTargetIsPreferred(t *testing.T) {
-	b := newBench(t, "a", "b")
-	b.state("a", 4000, 0.8, peer.Healthy)
-	b.state("b", 4000, 1.25, peer.Healthy)
+func TestFasterTargetIsChosen(t *testing.T) {
+	b := newHarness(t, "a", "b")
+	b.reportState("a", 4000, 0.8, peer.Healthy)
+	b.reportState("b", 4000, 1.25, peer.Healthy)
 	b.submit(jobOf("1", 1))
 	assert.Equal(t, len(b.starts("b")), 1)
-	b.state("b", 3000, 1.25, peer.Ejected)
+	b.reportState("b", 3000, 1.25, peer.Ejected)
 	b.submit(jobOf("2", 1))
 	assert.Equal(t, len(b.starts("a")), 1) // slow goes before ejected
 }
 
-func TestWithoutRoomItRequestsRoomAndUsesReservations(t *testing.T) {
-	b := newBench(t, "a")
+func TestRoomIsRequestedAndReservationUsed(t *testing.T) {
+	b := newHarness(t, "a")
 	b.submit(jobOf("1", 4))
 	b.submit(jobOf("2", 2))
 	assert.Equal(t, len(b.starts("a")), 4)
@@ -135,8 +135,8 @@
 	assert.Assert(t, last.RoomRequest != nil) // and room for it is requested again
 }
 
-func TestTheMostUrgentGoesFirst(t *testing.T) {
-	b := newBench(t, "a")
+func TestReservationGoesToMostUrgentJob(t *testing.T) {
+	b := newHarness(t, "a")
 	b.submit(jobOf("full", 4))
 	long := jobOf("long", 1)
 	long.Queue = "long"
@@ -148,100 +148,100 @@
 	assert.Equal(t, orders[len(orders)-1].Task.Job, "short")
 }
 
-func TestALaterStepWaits(t *testing.T) {
-	b := newBench(t, "a")
+func TestStepWaitsForDependencies(t *testing.T) {
+	b := newHarness(t, "a")
 	j := jobOf("1", 2)
 	j.Steps = append(j.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
 	b.submit(j)
 	assert.Equal(t, len(b.starts("a")), 2)
-	b.ended("a", b.starts("a")[0], task.EndDone, code.RunListed)
+	b.reportEnd("a", b.starts("a")[0], task.EndDone, code.RunListed)
 	assert.Equal(t, len(b.starts("a")), 2)
-	b.ended("a", b.starts("a")[1], task.EndDone, code.RunListed)
+	b.reportEnd("a", b.starts("a")[1], task.EndDone, code.RunListed)
 	assert.Equal(t, len(b.starts("a")), 3)
 	assert.Equal(t, b.starts("a")[2].Task.Step, 1)
 }
 
-func TestAFailedRunIsRetriedElsewhereAsOftenAsAllowed(t *testing.T) {
-	b := newBench(t, "a", "b")
+func TestFailedRunIsRetriedUpToAttemptLimit(t *testing.T) {
+	b := newHarness(t, "a", "b")
 	b.submit(jobOf("1", 1))
 	first := "a"
 	if len(b.starts("b")) > 0 {
 		first = "b"
 	}
 	second := map[string]string{"a": "b", "b": "a"}[first]
-	b.ended(first, b.starts(first)[0], task.EndFailed, code.RunListed)
+	b.reportEnd(first, b.starts(first)[0], task.EndFailed, code.RunListed)
 	assert.Equal(t, len(b.starts(second)), 1)
 	assert.Equal(t, b.starts(second)[0].Run, 2)
 	assert.Assert(t, b.starts(second)[0].FailedElsewhere) // it has failed elsewhere
-	b.ended(second, b.starts(second)[0], task.EndFailed, code.RunListed)
+	b.reportEnd(second, b.starts(second)[0], task.EndFailed, code.RunListed)
 	assert.Equal(t, b.answers["1"].Kind, Failed)
 	assert.Equal(t, b.answers["1"].Why, code.JobAttempts)
 }
 
-func TestARejectedOrderGoesElsewhere(t *testing.T) {
-	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Healthy)
+func TestRejectedOrderIsSentElsewhere(t *testing.T) {
+	b := newHarness(t, "a", "b")
+	b.reportState("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
-	b.ended("a", b.starts("a")[0], task.EndRejected, code.RunNoRoom)
+	b.reportEnd("a", b.starts("a")[0], task.EndRejected, code.RunNoRoom)
 	assert.Equal(t, len(b.starts("b")), 1)
 	assert.Equal(t, b.Stats().Rejected, uint64(1))
 }
 
-func TestAnOldRunGetsAHigherNumber(t *testing.T) {
-	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Healthy)
+func TestRejectedRunNumberIsRaised(t *testing.T) {
+	b := newHarness(t, "a", "b")
+	b.reportState("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
-	b.ended("a", b.starts("a")[0], task.EndRejected, code.RunOld)
+	b.reportEnd("a", b.starts("a")[0], task.EndRejected, code.RunOld)
 	assert.Equal(t, b.starts("b")[0].Run, 3)
 }
 
 // TestALostAgentsTasksWaitUntilTheyAreCertainlyOver is what keeps a task from
 // running at two targets.
-func TestALostAgentsTasksWaitUntilTheyAreCertainlyOver(t *testing.T) {
-	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Healthy)
+func TestLostAgentTaskIsNotRestartedBeforeClearTime(t *testing.T) {
+	b := newHarness(t, "a", "b")
+	b.reportState("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
 	j.ObjectiveFactor = 100
 	b.submit(j)
 	lost := b.now
 	b.Disconnected(b.now, b.now, "a")
 	for b.now < lost+ClearTime-20*ms {
-		b.wait(20 * ms)
+		b.advance(20 * ms)
 		assert.Equal(t, len(b.starts("b")), 0, "after %v", b.now-lost)
 	}
-	b.wait(40 * ms)
+	b.advance(40 * ms)
 	assert.Equal(t, len(b.starts("b")), 1)
 }
 
-func TestAnAgentThatIsClearFreesItsTasksAtOnce(t *testing.T) {
-	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Healthy)
+func TestClearedAgentReleasesTasksImmediately(t *testing.T) {
+	b := newHarness(t, "a", "b")
+	b.reportState("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
 	b.Disconnected(b.now, b.now, "a")
 	b.now += 50 * ms
 	b.Connected(b.now, "a")
 	assert.Equal(t, len(b.starts("a"))+len(b.starts("b")), 1)
-	b.state("a", 4000, 1, peer.Healthy)
+	b.reportState("a", 4000, 1, peer.Healthy)
 	assert.Equal(t, len(b.starts("a"))+len(b.starts("b")), 2)
 }
 
-func TestAResubmissionWaitsForTheRunsOfALostAgent(t *testing.T) {
-	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Healthy)
+func TestResubmissionWaitsForRunsOfLostAgent(t *testing.T) {
+	b := newHarness(t, "a", "b")
+	b.reportState("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
 	waiter := b.submit(j)
 	b.Disconnected(b.now, b.now, "a")
 	b.Cancel(b.now, "1", waiter)
-	b.wait(500 * ms)
+	b.advance(500 * ms)
 	j.ObjectiveFactor = 100
 	b.submit(j)
 	assert.Equal(t, len(b.starts("b")), 0)
-	b.wait(ClearTime)
+	b.advance(ClearTime)
 	assert.Equal(t, len(b.starts("b")), 1)
 }
 
-func TestAGoneCallersRunsAreStopped(t *testing.T) {
-	b := newBench(t, "a")
+func TestRunsStopWhenCallerDisconnects(t *testing.T) {
+	b := newHarness(t, "a")
 	waiter := b.submit(jobOf("1", 2))
 	b.Cancel(b.now, "1", waiter)
 	var stops []task.Ref
@@ -254,36 +254,36 @@
 
 // TestARefusalIsTrue: only a job of which nothing was started is refused; one
 // that was is given up.
-func TestARefusalIsTrue(t *testing.T) {
-	b := newBench(t, "a")
+func TestStartedJobIsNotRefused(t *testing.T) {
+	b := newHarness(t, "a")
 	b.submit(jobOf("begun", 5)) // four fit
 	b.submit(jobOf("waits", 1))
-	b.wait(3 * time.Second)
+	b.advance(3 * time.Second)
 	assert.Equal(t, b.answers["waits"].Kind, Refused)
 	assert.Assert(t, b.answers["waits"].Retry > 0)
 	assert.Equal(t, b.answers["begun"].Kind, GivenUp)
 }
 
-func TestAnOverdueRunIsStoppedAndRetriedElsewhere(t *testing.T) {
-	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Healthy)
+func TestOverdueRunIsRetriedOnlyAfterItsEnd(t *testing.T) {
+	b := newHarness(t, "a", "b")
+	b.reportState("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
 	j.ObjectiveFactor = 100
 	b.submit(j)
-	b.wait(2 * time.Second)
+	b.advance(2 * time.Second)
 	o := b.starts("a")[0]
 	assert.Equal(t, len(b.starts("b")), 0) // until its end is sure
-	b.ended("a", o, task.EndStopped, code.RunOwnerStops)
+	b.reportEnd("a", o, task.EndStopped, code.RunOwnerStops)
 	assert.Equal(t, len(b.starts("b")), 1)
 	assert.Equal(t, b.Stats().Moved, uint64(1))
 }
 
-func TestAnEjectedTargetsRunsAreMoved(t *testing.T) {
-	b := newBench(t, "a", "b")
-	b.state("b", 4000, 0.9, peer.Healthy)
+func TestRunsOfEjectedTargetAreStopped(t *testing.T) {
+	b := newHarness(t, "a", "b")
+	b.reportState("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 2))
 	before := len(b.frames["a"])
-	b.state("a", 0, 1, peer.Ejected)
+	b.reportState("a", 0, 1, peer.Ejected)
 	stops := 0
 	for _, f := range b.frames["a"][before:] {
 		stops += len(f.Stops)
@@ -291,8 +291,8 @@
 	assert.Equal(t, stops, len(b.starts("a")))
 }
 
-func TestTooManyJobsAreRefused(t *testing.T) {
-	b := newBench(t)
+func TestJobBeyondLimitIsRefused(t *testing.T) {
+	b := newHarness(t)
 	for k := range maxJobs {
 		b.submit(jobOf(fmt.Sprint(k), 1))
 	}
@@ -304,8 +304,8 @@
 	assert.Equal(t, b.Jobs(), maxJobs)
 }
 
-func TestACancelledJobIsStopped(t *testing.T) {
-	b := newBench(t, "a")
+func TestCancelStopsRuns(t *testing.T) {
+	b := newHarness(t, "a")
 	b.submit(jobOf("1", 2))
 	assert.Assert(t, b.cancel("1"))
 	assert.Equal(t, b.answers["1"].Kind, Cancelled)
@@ -316,8 +316,8 @@
 
 // TestAJobWhoseCallerLeavesTooSoonIsNotStarted: nobody would take its answer, and a
 // resend often comes with little time left.
-func TestAJobWhoseCallerLeavesTooSoonIsNotStarted(t *testing.T) {
-	b := newBench(t, "a")
+func TestJobIsRefusedWhenCallerTimeoutIsTooShort(t *testing.T) {
+	b := newHarness(t, "a")
 	j := jobOf("1", 2)
 	j.CallerTimeout = 50 * ms // its tasks take 100
 	b.submit(j)
@@ -332,36 +332,36 @@
 
 // TestAJobWhoseOrdersWereOnlyRejectedIsRefused: no agent has asked its target to start
 // a task of it, so the refusal is true, and need not wait until it is too late.
-func TestAJobWhoseOrdersWereOnlyRejectedIsRefused(t *testing.T) {
+func TestJobWithOnlyRejectedOrdersIsRefused(t *testing.T) {
 	for why, kind := range map[code.Code]Kind{
 		code.RunNoRoom: Refused, code.RunNotTaking: Refused, code.RunStaleOwner: Refused,
 		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunOld: GivenUp, // a target may have been asked
 	} {
-		b := newBench(t, "a")
+		b := newHarness(t, "a")
 		b.submit(jobOf("1", 1))
-		b.state("a", 0, 1, peer.Healthy)
-		b.ended("a", b.starts("a")[0], task.EndRejected, why)
+		b.reportState("a", 0, 1, peer.Healthy)
+		b.reportEnd("a", b.starts("a")[0], task.EndRejected, why)
 		assert.Equal(t, len(b.answers), 0)
-		b.wait(3 * time.Second)
+		b.advance(3 * time.Second)
 		assert.Equal(t, b.answers["1"].Kind, kind, why.String())
 	}
 }
 
-func TestStagesAndCausesAreObserved(t *testing.T) {
-	b := newBench(t, "a")
+func TestStagesAndCausesAreReported(t *testing.T) {
+	b := newHarness(t, "a")
 	took := make(map[stage.Stage][]time.Duration)
 	var causes []code.Code
 	b.ObserveStage = func(s stage.Stage, d time.Duration) { took[s] = append(took[s], d) }
 	b.CountAnswer = func(why code.Code) { causes = append(causes, why) }
-	b.state("a", 1000, 1, peer.Healthy)
+	b.reportState("a", 1000, 1, peer.Healthy)
 	b.submit(jobOf("1", 2)) // there is room for one of its tasks
 	first := b.starts("a")[0]
 	b.now += 30 * ms
-	b.state("a", 1000, 1, peer.Healthy)
+	b.reportState("a", 1000, 1, peer.Healthy)
 	second := b.starts("a")[1]
 	b.now += 70 * ms
-	b.ended("a", first, task.EndDone, code.RunListed)
-	b.ended("a", second, task.EndDone, code.RunListed)
+	b.reportEnd("a", first, task.EndDone, code.RunListed)
+	b.reportEnd("a", second, task.EndDone, code.RunListed)
 	assert.DeepEqual(t, took[stage.Waiting], []time.Duration{0})
 	assert.DeepEqual(t, took[stage.Placing], []time.Duration{30 * ms})
 	assert.DeepEqual(t, took[stage.Running], []time.Duration{100 * ms, 70 * ms})
--- a/owner/rate_test.go
+++ b/owner/rate_test.go
@@ -43,7 +43,7 @@
 
 // TestAnEntryWithNothingAtWorkCountsOnRoom: other entries use all of the target, and a
 // job of 4 cores waits here.
-func TestAnEntryWithNothingAtWorkCountsOnRoom(t *testing.T) {
+func TestWorkRateCountsFirstWaitingJob(t *testing.T) {
 	o := newTestOwner(1)
 	o.Receive(0, "a", &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Service: "s", Capacity: task.Needs{CPU: 16000}},
--- a/owner/retry_test.go
+++ b/owner/retry_test.go
@@ -11,7 +11,7 @@
 
 // TestARejectionByTheTargetKeepsTheTaskAway: an agent that rejects an order itself says
 // why in the state that comes with it, and the task may go there again at once.
-func TestARejectionByTheTargetKeepsTheTaskAway(t *testing.T) {
+func TestTargetRejectionBacksOffTask(t *testing.T) {
 	for why, away := range map[code.Code]bool{
 		code.RunNoRoom: false, code.RunNotTaking: false, code.RunStaleOwner: false,
 		code.RunTargetUnhealthy: true, code.RunTargetRoom: true, code.RunPresent: true,
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -20,7 +20,7 @@
 
 // TestRefusingWhereBeingServedCounts: a job that can still be late waits, and after a quarter of
 // its objective none is refused for those before it.
-func TestRefusingWhereBeingServedCounts(t *testing.T) {
+func TestMostServedRefusesOnlyHopelessJobsEarly(t *testing.T) {
 	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms, untilLatestLate: 900 * ms}
 	with := func(change func(*queuePosition)) queuePosition {
 		p := usual
@@ -47,7 +47,7 @@
 // TestOrder shows which of two jobs is served first. Unless a case says otherwise a
 // job has 200 ms of work left, which may take 1.2 times as long, and its objective in
 // 500 ms: its latest start is in 260 ms.
-func TestOrder(t *testing.T) {
+func TestRankOrder(t *testing.T) {
 	usual := urgency{now: time.Second, objectiveAt: 1500 * ms, lateObjectiveAt: 2500 * ms, remaining: 200 * ms,
 		spread: math.Log(1.2) / marginDeviations}
 	with := func(change func(*urgency)) urgency {
@@ -76,7 +76,7 @@
 }
 
 // TestPlacement shows which of two targets a task of 100 ms goes to.
-func TestPlacement(t *testing.T) {
+func TestCandidateCost(t *testing.T) {
 	s := task.Step{Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}
 	usual := candidate{speed: 1, capacity: task.Needs{CPU: 16000}, free: task.Needs{CPU: 16000}}
 	with := func(change func(*candidate)) candidate {
@@ -101,7 +101,7 @@
 
 // TestRefusalAndGivingUp shows what becomes of a job that arrived at 1 s with a late
 // objective of 1 s, 300 ms of work left and no deadline of its caller.
-func TestRefusalAndGivingUp(t *testing.T) {
+func TestDeadlineRefusalCause(t *testing.T) {
 	usual := deadlineState{arrived: time.Second, lateObjectiveAt: 2 * time.Second, remaining: 300 * ms}
 	for _, c := range []struct {
 		name   string
@@ -132,7 +132,7 @@
 
 // TestRefusalBehindOthers shows when a waiting job is refused because of those
 // before it.
-func TestRefusalBehindOthers(t *testing.T) {
+func TestRefusalInBacklog(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		place queuePosition
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestRetry(t *testing.T) {
+func TestOverdueAndAttemptLimits(t *testing.T) {
 	assert.Assert(t, !runOverdue(350*ms, 100*ms, 1, 0.15, 0))
 	assert.Assert(t, runOverdue(351*ms, 100*ms, 1, 0.15, 0))
 	assert.Assert(t, !runOverdue(600*ms, 100*ms, 0.5, 0.15, 0), "a slow target is given more time")
@@ -166,7 +166,7 @@
 
 // TestOnlyStartsThatCanBeMadeCountForTheirSpan: tasks of a step that waits for another
 // are not started now, so that they don't make the first starts more urgent.
-func TestOnlyStartsThatCanBeMadeCountForTheirSpan(t *testing.T) {
+func TestDependentTasksDoNotCountAsWaiting(t *testing.T) {
 	j := newJob(0, task.Job{Steps: []task.Step{{Count: 2}, {Count: 5, DependsOn: []int{0}}}})
 	assert.Equal(t, j.waitingTasks(), 2)
 	for n := range 2 {
--- a/owner/stopped_test.go
+++ b/owner/stopped_test.go
@@ -11,8 +11,8 @@
 
 // TestAStoppedEntryBeginsAnew: while it stood still its homes may have granted its jobs to other
 // entries. It gives up its connections, and starts nothing before it has claimed again.
-func TestAStoppedEntryBeginsAnew(t *testing.T) {
-	b := newClaimBench(t, 4)
+func TestStoppedEntryReclaimsJobs(t *testing.T) {
+	b := newClaimHarness(t, 4)
 	j := jobOf("0123456789abcdef", 1)
 	j.Steps[0].Estimate = 4 * time.Second
 	b.submit(j)
@@ -31,23 +31,23 @@
 	for _, a := range b.byName {
 		b.Connected(b.now, a.name)
 		b.Receive(b.now, a.name, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
-		b.state(a.name, 4000, 1, peer.Healthy)
+		b.reportState(a.name, 4000, 1, peer.Healthy)
 	}
 	b.grantAll(j.ID)
 	assert.Equal(t, len(b.allStarts()), starts, "it has not found all agents again")
-	b.wait(postStopIsolationTime)
+	b.advance(postStopIsolationTime)
 	assert.Assert(t, !b.Isolated())
 	b.grantAll(j.ID)
 	for _, a := range b.byName {
-		b.state(a.name, 4000, 1, peer.Healthy)
+		b.reportState(a.name, 4000, 1, peer.Healthy)
 	}
 	assert.Equal(t, len(b.allStarts()), starts+1)
 }
 
 // TestALateTickIsNoStop: a host whose processor time is a quota stands still for a tenth of a
 // second now and then.
-func TestALateTickIsNoStop(t *testing.T) {
-	b := newClaimBench(t, 4)
+func TestLateTickIsNotAStop(t *testing.T) {
+	b := newClaimHarness(t, 4)
 	b.submit(jobOf("0123456789abcdef", 1))
 	b.now += 100 * time.Millisecond
 	b.Tick(b.now)
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -14,9 +14,9 @@
 
 // newWatchBench returns an owner that is connected to agents of this version, of which it
 // knows nothing but what they say to who does not watch.
-func newWatchBench(t *testing.T, agents int) *bench {
+func newWatchHarness(t *testing.T, agents int) *harness {
 	t.Helper()
-	b := newBench(t)
+	b := newHarness(t)
 	b.Homes = 0 // claims have tests of their own
 	b.Addr = func(agent string) string { return "addr of " + agent }
 	b.Random = func(n int) int { return n / 2 }
@@ -24,13 +24,13 @@
 		name := fmt.Sprintf("side-%03d", k)
 		b.Connected(b.now, name)
 		b.Receive(b.now, name, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
-		b.state(name, 4000, 1, peer.Healthy)
+		b.reportState(name, 4000, 1, peer.Healthy)
 	}
 	return b
 }
 
 // requested returns the agents that were asked for room.
-func (b *bench) requested() []string {
+func (b *harness) requested() []string {
 	var list []string
 	for _, a := range b.byName {
 		if a.roomRequested {
@@ -41,14 +41,14 @@
 }
 
 // reserve has an agent reserve room.
-func (b *bench) reserve(agent string, cpu int) {
+func (b *harness) reserve(agent string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: cpu, MemoryMB: 100}}})
 }
 
 // TestAFewAgentsAreAskedForRoom: two for the task that waits, and more while nobody
 // answers; each of them is watched.
-func TestAFewAgentsAreAskedForRoom(t *testing.T) {
-	b := newWatchBench(t, 100)
+func TestRoomRequestsAreLimited(t *testing.T) {
+	b := newWatchHarness(t, 100)
 	b.submit(jobOf("j", 1))
 	assert.Equal(t, len(b.requested()), requestsPerTask)
 	assert.Equal(t, len(b.watched), requestsPerTask)
@@ -62,26 +62,26 @@
 }
 
 // TestAnOrderWithoutAReservationGoesOnlyToAnEmptyTarget: any other room may be gone.
-func TestAnOrderWithoutAReservationGoesOnlyToAnEmptyTarget(t *testing.T) {
-	b := newWatchBench(t, 1)
+func TestUnreservedOrderNeedsEmptyTarget(t *testing.T) {
+	b := newWatchHarness(t, 1)
 	b.beginWatch(b.now, b.agents["side-000"])
 	b.flush(b.now)
-	b.state("side-000", 3000, 1, peer.Healthy)
+	b.reportState("side-000", 3000, 1, peer.Healthy)
 	b.submit(jobOf("j", 1))
 	assert.Equal(t, len(b.starts("side-000")), 0)
 	assert.Equal(t, len(b.requested()), 1)
-	b.state("side-000", 4000, 1, peer.Healthy)
+	b.reportState("side-000", 4000, 1, peer.Healthy)
 	assert.Equal(t, len(b.starts("side-000")), 1)
 }
 
 // TestRoomIsRequestedWhereTheTaskEndsFirst: of the watched agents that are believed to
 // have room, the fastest are asked.
-func TestRoomIsRequestedWhereTheTaskEndsFirst(t *testing.T) {
-	b := newWatchBench(t, 5)
+func TestRoomIsRequestedFromFastestTargets(t *testing.T) {
+	b := newWatchHarness(t, 5)
 	for k, a := range b.byName {
 		b.beginWatch(b.now, a)
 		b.flush(b.now)
-		b.state(a.name, 2000, 0.5+float64(k)/4, peer.Healthy)
+		b.reportState(a.name, 2000, 0.5+float64(k)/4, peer.Healthy)
 	}
 	b.submit(jobOf("j", 1))
 	assert.DeepEqual(t, b.requested(), []string{"side-003", "side-004"})
@@ -90,7 +90,7 @@
 // TestWatchesAreBounded: however long a job waits, no more agents are asked than may be
 // watched; without jobs none is.
 func TestWatchesAreBounded(t *testing.T) {
-	b := newWatchBench(t, 100)
+	b := newWatchHarness(t, 100)
 	b.submit(jobOf("j", 30))
 	b.now += 200 * requestInterval
 	b.schedule(b.now, b.queue("trackd"))
@@ -105,8 +105,8 @@
 }
 
 // TestAnAgentThatIsSilentIsGivenUp: soon while it is used, later otherwise.
-func TestAnAgentThatIsSilentIsGivenUp(t *testing.T) {
-	b := newWatchBench(t, 1)
+func TestSilentConnectionTimesOut(t *testing.T) {
+	b := newWatchHarness(t, 1)
 	const name = "side-000"
 	heard := b.now
 	assert.Assert(t, !b.SilentTooLong(heard+peer.IdleSilence, name))
@@ -119,9 +119,9 @@
 
 // TestASpecGoesToOneAgentOverANarrowLink: the others are told where it is; over a wide link
 // each gets it.
-func TestASpecGoesToOneAgentOverANarrowLink(t *testing.T) {
+func TestSpecIsSentOnceOverNarrowLink(t *testing.T) {
 	for megabits, sent := range map[float64]int{0: 3, 1000: 3, 2: 1} {
-		b := newWatchBench(t, 3)
+		b := newWatchHarness(t, 3)
 		b.SetLink(megabits)
 		j := jobOf("j", 6)
 		j.Spec = strings.Repeat("x", 1200)
@@ -148,14 +148,14 @@
 
 // TestAnIdleEntryCostsLittle counts the bytes that an entry without jobs sends to 240
 // agents. They send it as much.
-func TestAnIdleEntryCostsLittle(t *testing.T) {
+func TestIdleTrafficIsBounded(t *testing.T) {
 	const (
 		agents  = 240
 		lasts   = 20 * time.Second
 		headers = 60   // bytes of a packet
 		most    = 14e3 // bytes a second, one way
 	)
-	b := newWatchBench(t, agents)
+	b := newWatchHarness(t, agents)
 	b.now += idleTime
 	b.Tick(b.now)
 	bytes := 0
@@ -177,7 +177,7 @@
 }
 
 // labelled has an agent tell that its target has a label.
-func (b *bench) labelled(agent, label string, cpu int) {
+func (b *harness) reportLabel(agent, label string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Labels: []string{label}, Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
 		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
@@ -186,14 +186,14 @@
 // TestRoomIsRequestedNearTheData: of a hundred agents the two whose targets hold the data
 // are asked, not the ones that are watched.
 func TestRoomIsRequestedNearTheData(t *testing.T) {
-	b := newWatchBench(t, 100)
+	b := newWatchHarness(t, 100)
 	for _, a := range b.byName[:5] {
 		b.beginWatch(b.now, a)
 		b.flush(b.now)
-		b.labelled(a.name, "rack-1", 4000)
+		b.reportLabel(a.name, "rack-1", 4000)
 	}
-	b.labelled("side-040", "rack-2", 4000)
-	b.labelled("side-080", "rack-2", 4000)
+	b.reportLabel("side-040", "rack-2", 4000)
+	b.reportLabel("side-080", "rack-2", 4000)
 	j := jobOf("j", 1)
 	j.Steps[0].Rack = "rack-2"
 	b.submit(j)
@@ -204,9 +204,9 @@
 }
 
 // TestOnlyAgentsThatMayRunATaskAreAsked: those with its label.
-func TestOnlyAgentsThatMayRunATaskAreAsked(t *testing.T) {
-	b := newWatchBench(t, 100)
-	b.labelled("side-010", "gpu", 4000)
+func TestRoomIsRequestedOnlyWithRequiredLabel(t *testing.T) {
+	b := newWatchHarness(t, 100)
+	b.reportLabel("side-010", "gpu", 4000)
 	j := jobOf("j", 1)
 	j.Steps[0].Label = "gpu"
 	b.submit(j)
@@ -217,10 +217,10 @@
 
 // TestAReservationGoesToTheJobWhoseDataIsNear, though another one is more urgent; without
 // such a job the most urgent takes it; a job that may not run there leaves it.
-func TestAReservationGoesToTheJobWhoseDataIsNear(t *testing.T) {
-	b := newWatchBench(t, 3)
-	b.labelled("side-000", "rack-1", 0)
-	b.labelled("side-001", "rack-2", 0)
+func TestReservationPrefersJobWithLocalData(t *testing.T) {
+	b := newWatchHarness(t, 3)
+	b.reportLabel("side-000", "rack-1", 0)
+	b.reportLabel("side-001", "rack-2", 0)
 	urgent, near, never := jobOf("1", 1), jobOf("2", 1), jobOf("3", 1)
 	urgent.Steps[0].Rack, near.Steps[0].Rack, never.Steps[0].Label = "rack-1", "rack-2", "none"
 	b.submit(urgent)
