--- a/owner/admission.go
+++ b/owner/admission.go
@@ -7,20 +7,17 @@
 )
 
 const (
-	// maxJobs caps the jobs one entry may hold. Beyond it, new jobs are refused before
-	// anything is allocated for them, so that a flood can't exhaust the process's
-	// memory. Not measured.
+	// maxJobs is the maximum number of jobs per entry. Jobs beyond it are refused before
+	// anything is allocated for them, which bounds the memory of the process.
 	maxJobs = 3000
-	// maxLinkDelay is how long the orders of a new job may have to wait for the host's
-	// link. Behind more, orders, stops and heartbeats come so late that runs are lost.
-	// Scenes with links as wide as needed, half and a quarter of it, earned: 20 ms 0.932
-	// 0.667 0.340, 30 ms 0.973 0.754 0.315, 40 ms 0.987 0.739 0.272; without 0.994 0.166
-	// 0.031.
+	// maxLinkDelay is the maximum time that the orders of a new job may wait for the host's
+	// link. Longer queues delay orders, stops and heartbeats until runs are lost.
 	maxLinkDelay = 40 * time.Millisecond
 )
 
-// admit decides whether an entry with the given number of jobs takes one more, whose orders
-// wait that long for the host's link. It returns code.OK or the reason for the refusal.
+// admit reports whether an entry that owns the given number of jobs accepts another one whose
+// orders would wait linkDelay for the host's link. It returns code.OK or the cause of the
+// refusal.
 func admit(owned int, linkDelay time.Duration) code.Code {
 	switch {
 	case owned >= maxJobs:
--- a/owner/comeback.go
+++ b/owner/comeback.go
@@ -21,13 +21,13 @@
 
 // returns says until when callers of one service have been asked to come back, on the
 // entry's clock: those with jobs of the most urgent priority, and all.
-type returns struct {
+type retrySchedule struct {
 	urgentUntil, until time.Duration
 }
 
 // next returns how long a caller should stay away whose job has so much work, in
 // core-seconds, and records it. rate is the work that returning jobs may bring a second.
-func (r *returns) next(now time.Duration, work, rate float64, urgent bool) time.Duration {
+func (r *retrySchedule) next(now time.Duration, work, rate float64, urgent bool) time.Duration {
 	if rate <= 0 {
 		return RetryAfter
 	}
--- a/owner/comeback_test.go
+++ b/owner/comeback_test.go
@@ -14,7 +14,7 @@
 // second, and each job has one: its caller is given half a second.
 func TestRetriesAreSpread(t *testing.T) {
 	const rate, work = 2.0, 1.0
-	var r returns
+	var r retrySchedule
 	now := time.Minute
 	for _, want := range []time.Duration{500 * ms, time.Second, 1500 * ms} {
 		assert.Equal(t, r.next(now, work, rate, false), want)
@@ -25,7 +25,7 @@
 	assert.Equal(t, r.next(now+time.Minute, work, rate, false), minRetryAfter, "what was long ago is over")
 	assert.Equal(t, r.next(now, work, 0, false), RetryAfter, "no target takes work")
 
-	r = returns{}
+	r = retrySchedule{}
 	for range 100 {
 		assert.Assert(t, r.next(now, work, rate, false) <= maxRetryAfter)
 	}
--- a/owner/order.go
+++ b/owner/order.go
@@ -5,51 +5,43 @@
 	"time"
 )
 
-// The order of waiting jobs: the job whose latest start comes first is served
-// first, shifted by priority and whether it has started; jobs that can't
-// meet their objective any more go after all that can.
+// Waiting jobs are served by latest start time, adjusted by priority and by whether the job has
+// started. Jobs that can no longer meet their objective come after all jobs that can.
 const (
-	// marginDeviations is by how many standard deviations of what runs are off their
-	// estimates the remaining work is taken to need longer than estimated. Measured over
-	// scenes under load, earned and by the worst class or size: 0.910 0.795, with 0.9
-	// 0.906 0.774, with 1.4 times the estimate whatever the spread 0.910 0.777.
+	// marginDeviations is the safety margin of the remaining work, in standard deviations of
+	// the estimation error.
 	marginDeviations = 0.6
-	// lowerPriorityDelay is how much later a job counts whose priority is not the
-	// most urgent. Measured over scenes under load against 25 ms: earned 0.888 to 0.891.
+	// lowerPriorityDelay is added to the rank of each job below the most urgent priority.
 	lowerPriorityDelay = 40 * time.Millisecond
-	// priorityDelay comes on top for each priority. It is small, since large steps
-	// would starve the last priority whenever there is too much work of the one
-	// before: its jobs' turn would come when it is too late. Half and double: no difference.
+	// priorityDelay is added per priority level. It is small so that the lowest level is not
+	// starved under overload.
 	priorityDelay = 2 * time.Millisecond
-	// startedAdvance is how much earlier a job counts that has started: what it
-	// has done is lost if the rest does not come in time. Measured in a burst
-	// against 100 and 300 ms: 0.875 to 0.875 and 0.869.
+	// startedAdvance is subtracted from the rank of a started job, whose finished work is lost
+	// if the rest is late.
 	startedAdvance = 40 * time.Millisecond
 )
 
-// lateBand is added to the rank of jobs that can't meet their objective any more.
-// It is larger than any other part of a rank.
+// lateRankOffset is added to the rank of jobs that can no longer meet their objective. It
+// exceeds all other components of a rank.
 const lateRankOffset = time.Hour
 
-// urgency is what decides the place of a job in its queue. Times are on the
-// entry's clock.
+// urgency holds the inputs of a job's rank in its queue. Times are on the entry's clock.
 type urgency struct {
 	now                          time.Duration
 	objectiveAt, lateObjectiveAt time.Duration
-	// remaining is the estimate of the job's longest chain that is not done.
+	// remaining is the estimate of the longest chain of unfinished steps.
 	remaining time.Duration
-	// spread is the standard deviation of the logarithm of the time that its tasks
-	// take over their estimates.
+	// spread is the standard deviation of the logarithm of task duration over estimate.
 	spread float64
-	// startSpan is the time from the first to the last start of its waiting tasks
-	// at the rate at which targets take work from this entry.
+	// startSpan is the time from the first to the last start of the job's waiting tasks at the
+	// current work rate of the queue.
 	startSpan time.Duration
 	priority  int // 0 is the most urgent
 	started   bool
 }
 
-// latestStart returns the latest time at which the rest of the job should start to
-// meet its objective.
+// latestStart returns the latest time at which the rest of the job should start to meet its
+// objective.
 func (u urgency) latestStart() time.Duration {
 	margin := math.Exp(marginDeviations * u.spread)
 	return u.objectiveAt - time.Duration(margin*float64(u.remaining)) - u.startSpan
@@ -61,8 +53,8 @@
 	return u.latestStart() + u.lateObjectiveAt - u.objectiveAt
 }
 
-// rank returns the job's place: the least is served first. Within a band it is the
-// latest start, shifted.
+// rank returns the sort key of the job: the lowest rank is served first. It is the adjusted
+// latest start time, or a key above all of these if the job can no longer meet its objective.
 func (u urgency) rank() time.Duration {
 	var shift time.Duration
 	if u.priority > 0 {
@@ -77,8 +69,8 @@
 	return lateRankOffset + u.lateObjectiveAt - u.remaining + shift
 }
 
-// urgency returns what decides j's place at now, with the span of its starts as of
-// the last call of rankAt.
+// urgency returns the inputs of j's rank at now. The span of its starts dates from the last
+// call of rankAt.
 func (j *job) urgency(now time.Duration) urgency {
 	return urgency{
 		now:             now,
@@ -98,8 +90,7 @@
 	return j.urgency(now).rank()
 }
 
-// missesObjective reports whether j's rank is that of a job that can't meet its
-// objective any more.
+// missesObjective reports whether j could no longer meet its objective when it was last ranked.
 func (j *job) missesObjective() bool {
 	return j.rank >= lateRankOffset
 }
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -8,32 +8,29 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Placement: a task goes to the target on which it is likely to end first, of
-// those that may run it and are believed to have room.
+// A task is placed on the target with the lowest cost, its expected duration weighted by load,
+// among the targets that may run it and have room as far as is known.
 const (
-	// loadWeight is how much a full target counts as slower than an empty one. Without
-	// it, seven scenes earn 0.0037 less (s.e. 0.0014).
+	// loadWeight is the relative cost of a full target over an empty one.
 	loadWeight = 0.5
-	// lastRoomWeight is how much a target counts as slower whose last room the task would
-	// take: by then another entry may have taken it. Without it, seven scenes earn 0.0031
-	// less (s.e. 0.0016).
+	// lastRoomWeight is the relative cost of taking a target's last room, for which orders of
+	// other entries may compete.
 	lastRoomWeight = 1.0
-	// ejectedPenalty, in seconds, puts ejected targets last: it is longer than any
-	// task. Half and double: no difference.
+	// ejectedPenalty, in seconds, sorts ejected targets last: it exceeds the duration of any
+	// task.
 	ejectedPenalty = 10.0
 )
 
 // candidate is a target that may run a task and has room for it.
 type candidate struct {
-	speed          float64    // 1 being usual
-	capacity, free task.Needs // as believed, pending orders taken off
-	far            bool       // the task's data lies elsewhere
+	speed          float64    // relative to the usual speed
+	capacity, free task.Needs // as last reported; pending orders are subtracted from free
+	far            bool       // the task's data is elsewhere
 	ejected        bool
 }
 
-// cost returns how long a task of the step is likely to take on the target, in
-// seconds, weighted by what speaks against it. The least is chosen. farFactor is
-// how many times as long it takes away from its data.
+// cost returns the weighted duration of a task of the step on the target, in seconds. farFactor
+// is the factor by which the task takes longer away from its data.
 func (c candidate) cost(s task.Step, farFactor float64) float64 {
 	likely := s.Estimate.Seconds() / c.speed
 	if c.far {
@@ -50,8 +47,8 @@
 	return cost
 }
 
-// lastRoomShare returns one where the task would take the last room, and less the
-// more tasks like it there is room for.
+// lastRoomShare returns 1 if the task would take the last room, and a smaller share the more
+// such tasks fit.
 func lastRoomShare(needs, room task.Needs) float64 {
 	if needs.CPU <= 0 {
 		return 0
@@ -59,9 +56,9 @@
 	return min(1, float64(needs.CPU)/float64(max(1, room.CPU)))
 }
 
-// choose returns the agent at which the task should be ordered, or nil where room should
-// be requested first: none of those that are watched is believed to have room, or it may
-// be gone before the order arrives.
+// chooseAgent returns the agent to which the task should be ordered. It returns nil if room
+// should be reserved first, because no watched agent has room or its room may be taken before
+// the order arrives.
 func (o *Owner) chooseAgent(now time.Duration, j *job, step, index int) *agent {
 	s := j.spec.Steps[step]
 	t := &j.steps[step].tasks[index]
@@ -73,7 +70,7 @@
 			continue
 		}
 		if !a.roomCertain() || a.level >= peer.LevelWatch && a.far(s) {
-			uncertain = true // or another one is nearer to the data
+			uncertain = true // a reservation may find room, or a target nearer to the data
 			continue
 		}
 		if cost := a.candidate(s).cost(s, o.FarFactor); best == nil || cost < least {
@@ -86,10 +83,9 @@
 	return best
 }
 
-// roomCertain reports whether the room that a is believed to have will surely be there
-// when an order arrives, as far as that can be known: the target is empty. Another entry
-// may take any other room in the meantime; a request for it costs one round trip. Agents
-// of the version before are given orders wherever there seems to be room.
+// roomCertain reports whether the known room will still be there when an order arrives: only an
+// empty target qualifies, as other entries compete for any other room. Agents below
+// peer.LevelWatch get orders wherever room is reported.
 func (a *agent) roomCertain() bool {
 	return a.level < peer.LevelWatch || a.freeRoom() == a.profile.Capacity
 }
@@ -105,14 +101,13 @@
 	}
 }
 
-// far reports whether the step's data lies away from a's target.
+// far reports whether the step's data is not in the rack of a's target.
 func (a *agent) far(s task.Step) bool {
 	return s.Rack != "" && !a.labels[s.Rack]
 }
 
-// allowed reports whether the task may run at a: it is not kept away by a backoff,
-// the target has the label that the step requires, and not too many tasks of the
-// step are there.
+// allowed reports whether the task may run at a: no backoff applies, the target has the
+// required label, and the step's limit of tasks per target is not reached.
 func (o *Owner) allowed(now time.Duration, j *job, step int, t *taskState, a *agent) bool {
 	s := j.spec.Steps[step]
 	if t.avoid == a.name && now < t.avoidUntil {
@@ -124,7 +119,7 @@
 	return s.MaxPerTarget == 0 || j.tasksAt(step, a) < s.MaxPerTarget
 }
 
-// tasksAt returns how many tasks of the step have a run at a.
+// tasksAt returns the number of tasks of the step that have a run at a.
 func (j *job) tasksAt(step int, a *agent) int {
 	count := 0
 	for n := range j.steps[step].tasks {
@@ -136,8 +131,8 @@
 	return count
 }
 
-// schedule starts the waiting tasks of a queue for which there is room, and
-// requests room for the rest.
+// schedule starts the waiting tasks of a queue for which there is room, and requests room for
+// the rest.
 func (o *Owner) schedule(now time.Duration, q *queue) {
 	q.trackBacklog(now)
 	for {
@@ -154,8 +149,8 @@
 	o.requestRoom(now, q)
 }
 
-// placeAll starts tasks of j while there is room, once it is claimed. It reports whether
-// none is left to start.
+// startTasks starts tasks of j while there is room, provided that j is claimed. It reports
+// whether no task is left to start.
 func (o *Owner) startTasks(now time.Duration, j *job) bool {
 	if !o.claimed(j) {
 		return false
@@ -196,7 +191,7 @@
 	a.usedAt = now
 	a.out.Starts = append(a.out.Starts, o.order(now, j, id, t.run, a))
 	o.markDirty(a)
-	a.pending = append(a.pending, pendingOrder{needs: t.needs(now, j.spec.Steps[step], a)}) // flush adds the frame's number
+	a.pending = append(a.pending, pendingOrder{needs: t.needs(now, j.spec.Steps[step], a)}) // flush sets the sequence number
 	o.stats.Starts++
 	o.logPlaced(now, j, id, t, a)
 }
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -7,34 +7,32 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// queue holds the jobs of one service that have tasks to start, in the order of
-// order.go.
+// queue holds the jobs of one service that have tasks to start, ordered by rank.
 type queue struct {
 	service string
 	waiting jobHeap
-	// workRate is how much work its targets take from this entry while jobs wait, in
-	// core-seconds a second, as of the last tick; knownRate is the last one at which
-	// any target took work.
+	// workRate is the rate at which targets accept this entry's work during a backlog, in
+	// core-seconds per second, as of the last tick. lastWorkRate is its last value above zero.
 	workRate, lastWorkRate float64
-	// returning says when callers that were refused have been asked to come back.
-	retries returns
-	// usualSpeed is that of the service's targets, as of the last tick.
+	// retries spreads the retries of refused callers.
+	retries retrySchedule
+	// usualSpeed is the median speed of the service's targets as of the last tick.
 	usualSpeed float64
-	// backlogSince is since when jobs have been waiting, zero while none is.
+	// backlogSince is when the queue last became non-empty, zero while it is empty.
 	backlogSince time.Duration
 }
 
-// minBacklogTime is for how long jobs must have been waiting for the queue to count as
-// backlogged: a shorter wait goes by itself.
+// minBacklogTime is how long jobs must wait before the queue counts as backlogged. Shorter
+// waits are normal.
 const minBacklogTime = 120 * time.Millisecond
 
-// backlogged reports whether jobs have been waiting for a while.
+// backlogged reports whether jobs have been waiting for at least minBacklogTime.
 func (q *queue) backlogged(now time.Duration) bool {
 	return q.backlogSince > 0 && now-q.backlogSince >= minBacklogTime
 }
 
-// startSpan returns the time from the first to the last start of the given number of tasks with that
-// much work in all, in core-seconds; zero without a backlog.
+// startSpan returns the time from the first to the last start of the given number of tasks with
+// the given total work in core-seconds. It is zero without a backlog.
 func (q *queue) startSpan(now time.Duration, tasks int, work float64) time.Duration {
 	if tasks < 2 || q.workRate <= 0 || !q.backlogged(now) {
 		return 0
@@ -43,20 +41,19 @@
 	return time.Duration(work / q.workRate * float64(time.Second))
 }
 
-// setWorkRate sets the rate at which its targets take work from this entry.
 func (q *queue) setWorkRate(rate float64) {
 	q.workRate = rate
 	q.recordWorkRate(rate)
 }
 
-// setKnownRate keeps the rate for the time to come back, unless no target takes work.
+// recordWorkRate stores a rate above zero for retry-after times.
 func (q *queue) recordWorkRate(rate float64) {
 	if rate > 0 {
 		q.lastWorkRate = rate
 	}
 }
 
-// trackBacklog updates since when jobs have been waiting.
+// trackBacklog updates backlogSince.
 func (q *queue) trackBacklog(now time.Duration) {
 	switch {
 	case len(q.waiting) == 0:
@@ -66,7 +63,7 @@
 	}
 }
 
-// add puts j into the queue, or moves it to its present place there.
+// add inserts j into the queue or updates its position.
 func (q *queue) add(now time.Duration, j *job) {
 	j.rank = j.rankAt(now)
 	if j.index >= 0 {
@@ -76,21 +73,21 @@
 	heap.Push(&q.waiting, j)
 }
 
-// reorder restores the heap after ranks were changed.
+// reorder restores the heap after ranks have changed.
 func (q *queue) reorder() {
 	heap.Init(&q.waiting)
 }
 
-// remove takes j out, if it is in.
+// remove removes j from the queue if it is there.
 func (q *queue) remove(j *job) {
 	if j.index >= 0 {
 		heap.Remove(&q.waiting, j.index)
 	}
 }
 
-// peek returns the job that goes first, or nil. Ranks mostly grow with time: the job on
-// top is ranked anew until one stays there. A job whose rank has fallen, because the rate
-// of starts has, keeps its place until refuseBehind ranks all of them.
+// peek returns the job of the lowest rank, or nil. Ranks mostly grow with time, so the top job
+// is ranked again until it stays on top. A job whose rank has fallen keeps its position until
+// refuseBacklogged ranks all jobs.
 func (q *queue) peek(now time.Duration) *job {
 	for len(q.waiting) > 0 {
 		j := q.waiting[0]
@@ -104,7 +101,7 @@
 	return nil
 }
 
-// waitingTasks returns how many tasks wait, but not more than most.
+// waitingTasks returns the number of waiting tasks, limited to most.
 func (q *queue) waitingTasks(most int) int {
 	count := 0
 	for _, j := range q.waiting {
@@ -116,8 +113,8 @@
 	return count
 }
 
-// firstDemand returns the room that the waiting tasks of the first job take, in
-// thousandths of a core.
+// firstJobCPU returns the CPU that the waiting tasks of the first job need, in thousandths of a
+// core.
 func (q *queue) firstJobCPU() int {
 	if len(q.waiting) == 0 {
 		return 0
@@ -130,8 +127,8 @@
 	return sum
 }
 
-// demand returns the room that the waiting tasks take. It stops counting when the
-// bound is reached in each part.
+// demand returns the room that the waiting tasks need. It stops counting once every resource
+// has reached the bound.
 func (q *queue) demand(bound task.Needs) task.Needs {
 	var sum task.Needs
 	for _, j := range q.waiting {
@@ -149,7 +146,7 @@
 	return sum
 }
 
-// jobHeap implements heap.Interface for queue; the least rank is on top.
+// jobHeap implements heap.Interface for queue; the lowest rank is on top.
 type jobHeap []*job
 
 func (h jobHeap) Len() int           { return len(h) }
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -8,52 +8,50 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-// Refusing and giving up. A job is refused while no order of it has reached a
-// target, so that the refusal is true; after that it is given up. Both answers go
-// out at once, with a time to come back.
+// A job is refused as long as none of its orders has reached a target, so that a refusal
+// guarantees that nothing ran. Afterwards it is given up. Both answers carry the time after
+// which the caller should submit the job again.
 const (
-	// optimism is the share of its estimate that a waiting job needs at the least:
-	// guesses err by some 40%. Without it: no difference.
+	// minRemainingFactor turns the estimate of the remaining time into an optimistic lower
+	// bound.
 	minRemainingFactor = 0.7
-	// waitingLateFactor is how many times its late objective a started job with
-	// tasks still to start may take, runningLateFactor one whose tasks all run:
-	// estimates err, and its work is lost when it is given up. Half and double: no difference.
+	// waitingLateFactor and runningLateFactor limit the time of a started job, as multiples of
+	// its late objective: the first applies while tasks still have to start, the second once
+	// all tasks run. They exceed 1 because estimates are inexact and giving up discards
+	// finished work.
 	waitingLateFactor = 1.2
 	runningLateFactor = 1.6
-	// answerMargin is how long before the caller stops waiting it gets the answer.
-	// One tick of the entry. Double: no difference.
+	// answerMargin is how long before the caller's deadline the answer is sent.
 	answerMargin = 20 * time.Millisecond
 
-	// refuseAfterShare is the share of its objective after which a job that the
-	// jobs before it leave no time is refused: until then waiting costs its caller
-	// little, and the load may turn. refuseMargin is how many times as long as is
-	// left before its latest start it must have to wait. Measured in a burst: with
-	// 0.1 and 1 in place of 0.2 and 2, the worth held before its refusal fell from
-	// 0.033 to 0.021.
+	// minRefusalShare is the share of its objective that a job waits before it can be refused
+	// because of the backlog. refuseMargin is the ratio of the expected wait to the time left
+	// until the latest start above which it is refused.
 	minRefusalShare = 0.10
 	refuseMargin    = 1.0
 
-	// commitShare is the share of its objective within which a job is refused, or never for
-	// the jobs before it, where being served at all counts most. The customers' letter.
+	// maxRefusalShare is the share of its objective after which MostServed no longer refuses a
+	// job because of the backlog.
 	maxRefusalShare = 0.25
 )
 
-// prospects is what decides whether a job can still be done in time. Times are on
-// the entry's clock.
+// deadlineState holds the inputs for deciding whether a job can still be done in time. Times
+// are on the entry's clock.
 type deadlineState struct {
 	now, arrived    time.Duration
-	lateObjectiveAt time.Duration // until when its completion counts at all
-	callerDeadline  time.Duration // when its caller stops waiting; zero: never
-	started         bool          // an order of it may have reached a target
-	// remaining is the estimate of the longest chain that is not done; it counts
-	// for jobs that are not started.
+	lateObjectiveAt time.Duration // completion is worthless after this time
+	callerDeadline  time.Duration // when the caller stops waiting; zero for never
+	started         bool          // one of its orders may have reached a target
+	// remaining is the estimate of the longest chain of unfinished steps. It is used for jobs
+	// that are not started.
 	remaining time.Duration
-	// waiting says that tasks of it may be started now; it counts for started jobs.
+	// waiting reports whether the job has tasks that can be started now. It is used for started
+	// jobs.
 	waiting bool
 }
 
-// verdict returns code.OK while the job should go on, or why it should be refused
-// or given up.
+// refusalCause returns code.OK if the job should go on, and otherwise the cause for which it is
+// refused or given up.
 func (p deadlineState) refusalCause() code.Code {
 	switch {
 	case p.callerDeadline > 0 && p.now >= p.callerDeadline-answerMargin:
@@ -70,12 +68,12 @@
 	return code.OK
 }
 
-// minRemaining is an optimistic estimate of the time the job still needs.
+// minRemaining returns an optimistic estimate of the time that the job still needs.
 func (p deadlineState) minRemaining() time.Duration {
 	return time.Duration(minRemainingFactor * float64(p.remaining))
 }
 
-// allowance returns how long a started job may take.
+// allowance returns the maximum time that a started job may take.
 func (p deadlineState) allowance() time.Duration {
 	factor := runningLateFactor
 	if p.waiting {
@@ -84,24 +82,23 @@
 	return time.Duration(factor * float64(p.lateObjectiveAt-p.arrived))
 }
 
-// place is the situation of a job that waits behind others.
+// queuePosition describes a job that waits behind others.
 type queuePosition struct {
 	waited, objective time.Duration
-	// untilLatestStart is the time left until it must start to meet its objective.
+	// untilLatestStart is the time left until the job must start to meet its objective.
 	untilLatestStart time.Duration
-	// wait is how long the jobs before it take, at the rate at which targets take work
-	// from this entry.
+	// wait is how long the jobs ahead will take at the current work rate of the queue.
 	wait time.Duration
-	// untilLatestLate is the time left until it must start to meet its late objective.
+	// untilLatestLate is the time left until the job must start to meet its late objective.
 	untilLatestLate time.Duration
-	// missesObjective says that it can't meet its objective any more, and
-	// othersMeet that a job before it still can meet its own.
+	// missesObjective reports whether the job can no longer meet its objective, earlierJobMeets
+	// whether a job ahead of it still can.
 	missesObjective, earlierJobMeets bool
 }
 
-// refuse reports whether the job should be refused because of the jobs before it:
-// it has missed its objective while others can meet theirs, or will have missed it
-// by the time its turn comes.
+// shouldRefuse reports whether the job should be refused because of the jobs ahead: it has
+// missed its objective while others can meet theirs, or it will have missed it when its turn
+// comes.
 func (p queuePosition) shouldRefuse() bool {
 	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) {
 		return false
@@ -112,9 +109,9 @@
 	return p.wait > time.Duration(refuseMargin*float64(p.untilLatestStart))
 }
 
-// refuseUnserved is refuse where being served at all counts most: a job is refused only where it
-// could not even be late, and only while it has waited for less than a quarter of its objective.
-// Afterwards the entry is committed to it.
+// shouldRefuseMostServed is shouldRefuse under MostServed: a job is refused only if it would
+// miss even its late objective, and only within the window from minRefusalShare to
+// maxRefusalShare of its objective.
 func (p queuePosition) shouldRefuseMostServed() bool {
 	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) || p.waited > time.Duration(maxRefusalShare*float64(p.objective)) {
 		return false
@@ -122,8 +119,8 @@
 	return p.wait > p.untilLatestLate
 }
 
-// checkDeadlines refuses or gives up j if it can't be done in time, and otherwise
-// stops those of its runs that are overdue.
+// checkDeadlines refuses or gives up j if it can't be done in time, and otherwise stops its
+// overdue runs.
 func (o *Owner) checkDeadlines(now time.Duration, j *job) {
 	p := deadlineState{
 		now:             now,
@@ -151,8 +148,8 @@
 	}
 }
 
-// refuseBehind refuses those waiting jobs of a queue that the jobs before them leave
-// no time. It refuses none while no target takes work.
+// refuseBacklogged refuses the waiting jobs of a queue that the jobs ahead leave no time. It
+// refuses none while no target accepts work.
 func (o *Owner) refuseBacklogged(now time.Duration, q *queue) {
 	q.trackBacklog(now)
 	if len(q.waiting) == 0 {
@@ -180,7 +177,7 @@
 	q.reorder()
 }
 
-// refuses applies the rule of the term in force.
+// shouldRefuse applies the refusal rule of the configured term.
 func (o *Owner) shouldRefuse(p queuePosition) bool {
 	if o.Term == MostServed {
 		return p.shouldRefuseMostServed()
@@ -188,7 +185,7 @@
 	return p.shouldRefuse()
 }
 
-// place returns j's place behind jobs that take the given time.
+// position returns the position of j behind jobs that take the given time.
 func (j *job) position(now, wait time.Duration, earlierJobMeets bool) queuePosition {
 	return queuePosition{
 		waited:           now - j.arrived,
@@ -201,8 +198,8 @@
 	}
 }
 
-// giveUp answers j without its work being done: refused if no order of it, nor of an
-// earlier submission, has reached a target, given up otherwise.
+// giveUp answers j before its tasks are done: as refused if no order of this or an earlier
+// submission has reached a target, and as given up otherwise.
 func (o *Owner) giveUp(now time.Duration, j *job, why code.Code) {
 	kind := Refused
 	if j.mayHaveRun() {
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -11,45 +11,45 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Moving and retrying runs. A run that takes far too long is stopped; its task is
-// started elsewhere once the agent reports the end, never before.
+// Overdue runs are stopped. A task is started elsewhere only after the agent has reported the
+// end of its previous run.
 const (
-	// A run is stopped when it takes so much longer than likely that few sound ones
-	// do: overdueDeviations standard deviations of what runs are off their estimates,
-	// but overdueFactor times as long at the least, and overdueSlack more. Each time that
-	// a task was overdue elsewhere already doubles it: then it is the task that takes
-	// long, and not the target.
+	// A run is overdue once its age exceeds the expected duration by a factor, plus
+	// overdueSlack. The factor covers overdueDeviations standard deviations of the estimation
+	// error and is at least overdueFactor. It doubles with each earlier overdue run of the
+	// task: then the task is slow and not the target.
 	overdueDeviations = 5.0
 	overdueFactor     = 2.5
 	overdueSlack      = 100 * time.Millisecond
-	// failureBackoff is how long a task is kept away from an agent at which it
-	// failed or was overdue, rejectionBackoff from one whose target did not start it.
-	// Where the agent itself rejected the order its state, in the same frame, says why.
+	// failureBackoff is how long a task avoids an agent at which it failed or was overdue,
+	// rejectionBackoff how long it avoids one whose target rejected it. An agent that rejects
+	// an order itself reports its new state in the same frame and needs no backoff.
 	failureBackoff   = 3 * time.Second
 	rejectionBackoff = 30 * time.Millisecond
-	// maxTargetFailures is how many failures that count as the target's fault a
-	// task may have beyond the attempts that its queue allows. Half and double: no difference.
+	// maxTargetFailures is the number of target failures that a task may have beyond the
+	// attempts of its queue.
 	maxTargetFailures = 5
 )
 
-// runOverdue reports whether a run of the given age should be stopped. estimate is
-// for a target of speed 1, spread the standard deviation of the logarithm of the time
-// that runs take over their estimates, moves how often the task was overdue before.
+// runOverdue reports whether a run of the given age should be stopped. estimate applies to a
+// target of speed 1, spread is the standard deviation of the logarithm of duration over
+// estimate, and overdueStops is the number of earlier runs of the task that were stopped as
+// overdue.
 func runOverdue(age, estimate time.Duration, speed, spread float64, overdueStops int) bool {
 	likely := float64(estimate) / speed
 	factor := math.Ldexp(max(overdueFactor, math.Exp(overdueDeviations*spread)), overdueStops)
 	return age > time.Duration(factor*likely)+overdueSlack
 }
 
-// attemptsUsedUp reports whether a task has failed too often for another run.
-// failures are all its failed runs, taskFailures those that were not the target's
-// fault, attempts what its queue allows.
+// attemptsUsedUp reports whether a task has failed too often to run again. failures counts all
+// failed runs, taskFailures those that were not the target's fault, and attempts is the limit
+// of the queue.
 func attemptsUsedUp(failures, taskFailures, attempts int) bool {
 	return taskFailures >= attempts || failures >= attempts+maxTargetFailures
 }
 
-// neverReachedTarget reports whether an order that was rejected for the reason was
-// not passed on to the target.
+// neverReachedTarget reports whether an order that was rejected for the given reason was not
+// forwarded to the target.
 func neverReachedTarget(why code.Code) bool {
 	switch why {
 	case code.RunNoRoom, code.RunNotTaking, code.RunStaleOwner, code.RunSpecUnknown, code.RunHallEvacuated:
@@ -58,7 +58,7 @@
 	return false
 }
 
-// checkOverdue stops a run that has taken far too long.
+// checkOverdue stops the run of a task if it is overdue.
 func (o *Owner) checkOverdue(now time.Duration, j *job, step, index int) {
 	t := &j.steps[step].tasks[index]
 	a := o.agents[t.agent]
@@ -71,7 +71,7 @@
 	}
 }
 
-// stopRun orders a run to stop. Its task starts elsewhere when the end is
+// stopRun orders a run to stop. The task restarts elsewhere when the end of the run is
 // reported.
 func (o *Owner) stopRun(now time.Duration, a *agent, id task.ID, t *taskState, why code.Code) {
 	if t.stopSent {
@@ -84,15 +84,15 @@
 	o.logMoved(now, id, t, a, why)
 }
 
-// keepAway keeps the task from a until the given time.
+// keepAway excludes a for the task until the given time.
 func (t *taskState) keepAway(a *agent, until time.Duration) {
 	t.avoid = a.name
 	t.avoidUntil = until
 }
 
-// runEnded handles the end of a run: its job is answered, or its task waits to be
-// started again. Ends of runs that are not expected are ignored: their job is
-// answered, or they belong to an earlier connection.
+// runEnded handles the reported end of a run: it answers the job or queues the task again.
+// Reports of unknown runs are ignored; their job was answered, or they belong to an earlier
+// connection.
 func (o *Owner) runEnded(now time.Duration, a *agent, e peer.Ended) {
 	id := e.Ref.Task
 	j := a.tasks[id]
@@ -132,8 +132,8 @@
 	o.requeue(now, j)
 }
 
-// taskDone records that a task ended with success. The job is completed with its
-// last task; with the last one of a step, later steps may start.
+// completeTask records that a task succeeded. The last task of a job completes the job; the
+// last task of a step may enable later steps.
 func (o *Owner) completeTask(now time.Duration, j *job, id task.ID) {
 	j.setPhase(id.Step, id.Index, done)
 	if j.unfinished == 0 {
@@ -145,7 +145,7 @@
 	}
 }
 
-// recordFailure counts a failed run.
+// recordFailure records a failed run.
 func (j *job) recordFailure(now time.Duration, a *agent, t *taskState, targetFault bool) {
 	t.keepAway(a, now+failureBackoff)
 	t.failures++
@@ -157,7 +157,7 @@
 	}
 }
 
-// recordRejection counts a run that did not begin.
+// recordRejection records an order whose run did not begin.
 func (o *Owner) recordRejection(now time.Duration, a *agent, j *job, t *taskState, why code.Code) {
 	o.stats.Rejected++
 	t.tries--
@@ -167,10 +167,10 @@
 		t.keepAway(a, now+rejectionBackoff)
 	}
 	if why == code.RunSpecUnknown {
-		a.specs = peer.Specs{} // the next order has it
+		a.specs = peer.Specs{} // the next order includes the spec
 		j.specAgent = ""
 	}
 	if why == code.RunOld {
-		t.run *= 2 // the target has seen a run with this number or a higher one
+		t.run *= 2 // the target has seen this run number or a higher one
 	}
 }
--- a/owner/spec.go
+++ b/owner/spec.go
@@ -27,7 +27,7 @@
 	rate   float64       // in bytes a second; zero: not known, and taken to be fast
 	freeAt time.Duration // when all that was sent has left
 	// returning says when callers that were refused have been asked to come back.
-	retries returns
+	retries retrySchedule
 }
 
 // add counts bytes that are sent.
