--- a/owner/agent.go
+++ b/owner/agent.go
@@ -9,89 +9,89 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// maxStateAge is how long after its last frame an agent is still given work. The agents
-// send a frame each 110 ms at least. Half and double: no difference.
+// maxStateAge is the maximum age of an agent's last frame at which it still gets work. Agents
+// send a frame at least every 110 ms.
 const maxStateAge = 300 * time.Millisecond
 
-// minSpeed bounds a target's speed from below: a target that reported no speed yet
-// must not seem infinitely slow. 0.1: no difference.
+// minSpeed is the lower bound of a target's speed, which is zero until the first report.
 const minSpeed = 0.05
 
-// agent is what this entry believes of one agent and the target beside it.
+// agent is the known state of one agent and its target.
 type agent struct {
 	name        string
 	connected   bool
-	level       peer.Level    // that the agent understands
-	lastFrameAt time.Duration // when its last frame came
-	// connectedAt is when the connection began.
+	level       peer.Level    // protocol level of the agent
+	lastFrameAt time.Duration // when its last frame arrived
+	// connectedAt is when the connection was made.
 	connectedAt time.Duration
-	sentAt      time.Duration // when the last frame to it was sent
+	sentAt      time.Duration // when the last frame was sent to it
 
-	// watching says that this entry watches the target, watchedSince since when, and
-	// usedAt when it last ordered something there or requested room: see watch.go.
+	// watching reports whether this entry watches the target, watchedSince since when. usedAt
+	// is when an order or a room request was last sent.
 	watching             bool
 	watchedSince, usedAt time.Duration
-	specs                peer.Specs // of jobs: which ones the agent remembers
+	specs                peer.Specs // specs that the agent has stored
 
-	// heardEvacuations is the revision of the evacuated halls that the agent was told of
-	// on this connection or has told, and evacuated says that its target's hall is one.
+	// knownEvacuations is the latest revision of the evacuated halls that the agent has sent or
+	// received on this connection. evacuated reports whether its target's hall is one of them.
 	knownEvacuations uint64
 	evacuated        bool
 
 	profile peer.Profile
 	state   peer.State
-	labels  map[string]bool // of the profile
+	labels  map[string]bool // labels of the profile
 	pending []pendingOrder  // orders that the state does not include yet
 
-	// tasks are those with a run placed here or, after the connection was lost,
-	// uncertain.
+	// tasks are those with a run placed here, or uncertain after the connection was lost.
 	tasks map[task.ID]*job
-	// clearAt is when no run of a lost connection can be at work any more; zero
-	// where none is in question.
+	// clearAt is when no run of a lost connection can be active any more, zero if there is
+	// none.
 	clearAt time.Duration
 
-	// hash is that of the name, for the ranks of homes; silentSince is since when the
-	// agent counts as silent because it left a claim unanswered, zero while it does not.
+	// hash is the hash of the name for ranking homes. silentSince is when the agent was found
+	// to have left a claim unanswered, zero while it answers.
 	hash        uint64
 	silentSince time.Duration
-	// lastHall is the data hall of its target as it was told last, on any connection.
+	// lastHall is the data hall of its target as last reported on any connection.
 	lastHall string
-	// home says that the fleet's jobs may be claimed there.
+	// home reports whether jobs may be claimed there.
 	home bool
-	// own says that tasks of this entry run there, others only where no own agent is left.
+	// own reports whether this entry prefers the agent. Other agents are used once no own agent
+	// is left.
 	own bool
-	// wasHome says that jobs could be claimed there, now or before its connection was lost.
+	// wasHome reports whether jobs could be claimed there on the current or an earlier
+	// connection.
 	wasHome bool
-	// stoppedAt is when the target stopped taking work last.
+	// stoppedAt is when the target last stopped accepting work.
 	stoppedAt time.Duration
-	// ending are the runs of dropped jobs whose end is not known: see ending.go.
+	// droppedRuns holds the runs of dropped jobs that are not known to have ended.
 	droppedRuns map[task.ID]int
-	// reserved is a reservation that is held for jobs whose claims are under way, nil
-	// where there is none, and reservedAt when it came.
+	// reserved is a reservation kept for jobs whose claims are pending, or nil. reservedAt is
+	// when it arrived.
 	reserved   *peer.Reservation
 	reservedAt time.Duration
 
-	// roomRequested says that the agent holds a request for room of this entry,
-	// and requestRank the rank of the job that it was made for.
+	// roomRequested reports whether the agent has a pending room request of this entry,
+	// requestRank the rank of the job that caused it.
 	roomRequested bool
 	requestRank   time.Duration
 
-	out   peer.Frame // collects what the next frame says
-	dirty bool       // out has something, or a heartbeat is due
+	out   peer.Frame // next frame
+	dirty bool       // out has content, or a heartbeat is due
 }
 
-// pendingOrder is room that was taken by one order.
+// pendingOrder is room taken by an order that the agent's state may not include yet.
 type pendingOrder struct {
-	seq   uint64 // of the frame with the order; zero until it is sent
+	seq   uint64 // sequence number of the frame with the order; zero until sent
 	needs task.Needs
 }
 
-// speed returns the target's learned speed, 1 being usual.
+// speed returns the target's speed; 1 is the usual speed.
 func (a *agent) speed() float64 {
 	return max(a.state.Speed, minSpeed)
 }
 
-// freeRoom returns the room that the target is believed to have for this entry.
+// freeRoom returns the target's reported free room less pending orders.
 func (a *agent) freeRoom() task.Needs {
 	free := a.state.Free
 	for _, p := range a.pending {
@@ -100,17 +100,17 @@
 	return free
 }
 
-// taskIDs returns the tasks that are here, sorted.
+// taskIDs returns the sorted ids of the tasks at a.
 func (a *agent) taskIDs() []task.ID {
 	return slices.SortedFunc(maps.Keys(a.tasks), task.ID.Compare)
 }
 
-// serves reports whether the agent takes work of a service, as far as is known.
+// serves reports whether the agent accepts work of a service, as far as is known.
 func (a *agent) serves(service string) bool {
 	return a.takesWork() && a.state.Cleared && a.profile.Service == service
 }
 
-// takesWork reports whether the agent takes work at all, as far as is known.
+// takesWork reports whether the agent accepts any work, as far as is known.
 func (a *agent) takesWork() bool {
 	return a.connected && a.state.Accepting && !a.evacuated && a.silentSince == 0
 }
@@ -120,7 +120,7 @@
 	return a.serves(service) && now-a.lastFrameAt <= maxStateAge
 }
 
-// applyState replaces the state and forgets the pending orders that it includes.
+// applyState replaces the state and removes the pending orders that it includes.
 func (a *agent) applyState(st *peer.State) {
 	if st.Profile != nil {
 		a.profile = *st.Profile
@@ -135,12 +135,12 @@
 	}
 }
 
-// deleteAgent deletes a from a list.
+// deleteAgent removes a from a list.
 func deleteAgent(list []*agent, a *agent) []*agent {
 	return slices.DeleteFunc(list, func(b *agent) bool { return a == b })
 }
 
-// insertByName inserts a into a list that is sorted by name.
+// insertByName inserts a into a list sorted by name.
 func insertByName(list []*agent, a *agent) []*agent {
 	k, _ := slices.BinarySearchFunc(list, a.name, func(b *agent, name string) int {
 		if b.name < name {
--- a/owner/answer.go
+++ b/owner/answer.go
@@ -8,38 +8,36 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Answers: the end of a job, whatever it is. Its callers are told once, and what is left
-// of its runs is stopped.
+// An answer ends a job: each caller gets it once, and the remaining runs are stopped.
 
-// Kind is how a job was answered. Its numbers appear in logs.
+// Kind is the kind of an answer. Its numeric values appear in logs.
 type Kind uint8
 
 // Kinds of answers.
 const (
-	// Completed means that every task ended well.
+	// Completed means that every task succeeded.
 	Completed Kind = iota + 1
-	// Failed means that a task has failed as often as its queue allows.
+	// Failed means that a task has used up the attempts of its queue.
 	Failed
-	// GivenUp means that the job can't be done in time, though tasks of it may
-	// have been started.
+	// GivenUp means that the job can't be done in time and tasks of it may have been started.
 	GivenUp
-	// Refused means that no task of the job was started or will be.
+	// Refused means that no task of the job was or will be started.
 	Refused
-	// Cancelled means that the caller has cancelled the job.
+	// Cancelled means that the job was cancelled by a caller.
 	Cancelled
 )
 
 // Answer is the final answer to a job.
 type Answer struct {
 	Kind Kind
-	// Why is the cause.
+	// Why is the cause of the answer.
 	Why code.Code
-	// Retry is how long the caller should wait before it submits the job again;
-	// set for jobs that were refused or given up.
+	// Retry is how long the caller should wait before it submits the job again. It is set for
+	// jobs that were refused or given up.
 	Retry time.Duration
 }
 
-// answer gives the final answer to j's callers and stops what is left of it.
+// answer sends the final answer to j's callers and stops its remaining runs.
 func (o *Owner) answer(now time.Duration, j *job, a Answer) {
 	o.stats.count(a.Kind)
 	o.logAnswered(now, j, a)
@@ -50,12 +48,11 @@
 	callers := j.callers
 	j.callers = nil
 	o.drop(now, j, a)
-	for _, give := range callers {
-		give(a)
+	for _, callback := range callers {
+		callback(a)
 	}
 }
 
-// count counts an answer.
 func (s *Stats) count(k Kind) {
 	switch k {
 	case Completed:
@@ -71,33 +68,33 @@
 	}
 }
 
-// countAnswer passes on the cause of an answer.
+// countAnswer reports the cause of an answer to CountAnswer.
 func (o *Owner) countAnswer(why code.Code) {
 	if o.CountAnswer != nil {
 		o.CountAnswer(why)
 	}
 }
 
-// drop forgets j, which was answered so, and has its runs stopped.
+// drop removes j after the given answer and stops its runs.
 func (o *Owner) drop(now time.Duration, j *job, a Answer) {
 	delete(o.jobs, j.spec.ID)
 	j.queue.remove(j)
-	o.releaseAll(j)
+	o.detachRuns(j)
 	o.settle(now, j, a)
 }
 
-// releaseAll has the runs of j stopped.
-func (o *Owner) releaseAll(j *job) {
+// detachRuns stops the runs of j.
+func (o *Owner) detachRuns(j *job) {
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
-			o.release(task.ID{Job: j.spec.ID, Step: k, Index: n}, &j.steps[k].tasks[n])
+			o.detachRun(task.ID{Job: j.spec.ID, Step: k, Index: n}, &j.steps[k].tasks[n])
 		}
 	}
 }
 
-// release removes a task from its agent and has its run stopped there, whose end is awaited.
-// Where the agent is lost, the run may go on until the agent is clear.
-func (o *Owner) release(id task.ID, t *taskState) {
+// detachRun detaches a task from its agent, orders its run to stop and records it as dropped. The
+// run of a lost agent may continue until the agent is clear.
+func (o *Owner) detachRun(id task.ID, t *taskState) {
 	a := o.agents[t.agent]
 	if a == nil {
 		return
--- a/owner/callers.go
+++ b/owner/callers.go
@@ -7,9 +7,9 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// The callers' interface: jobs come, and callers leave.
+// Interface for callers: submission and cancellation of jobs.
 
-// WaitingJobs returns how many jobs of a queue have no task started.
+// WaitingJobs returns the number of jobs of a queue with no started task.
 func (o *Owner) WaitingJobs(queue string) int {
 	count := 0
 	for _, j := range o.jobs {
@@ -20,10 +20,9 @@
 	return count
 }
 
-// Submit takes a job. A job with the id of one that is owned joins it: both
-// callers get the same answer. answer is called once, possibly before Submit
-// returns, and never after Cancel with the returned number, which names this
-// caller's interest in the job.
+// Submit accepts or refuses a job. A job with the id of an owned job joins it, and both callers
+// get the same answer. answer is called once, possibly before Submit returns, and never after
+// Cancel is called with the returned caller number.
 func (o *Owner) Submit(now time.Duration, spec task.Job, answer func(Answer)) uint64 {
 	defer o.flush(now)
 	o.callers++
@@ -45,7 +44,7 @@
 	return o.callers
 }
 
-// rejectJob answers a job for which nothing was allocated.
+// rejectJob refuses a job before anything is allocated for it.
 func (o *Owner) rejectJob(now time.Duration, spec task.Job, why code.Code, answer func(Answer)) {
 	o.stats.Refused++
 	o.logRejectedJob(spec, why)
@@ -57,7 +56,7 @@
 	answer(Answer{Kind: Refused, Why: why, Retry: retry})
 }
 
-// accept makes spec a job of this entry and queues it.
+// accept adds a job and queues it.
 func (o *Owner) accept(now time.Duration, spec task.Job) *job {
 	q := o.queue(spec.Service)
 	j := newJob(now, o.withEstimates(spec, q.usualSpeed))
@@ -74,8 +73,7 @@
 	return j
 }
 
-// Cancel ends one caller's interest in a job. A job that nobody waits for any more
-// is stopped without an answer.
+// Cancel removes one caller from a job. A job without callers is stopped without an answer.
 func (o *Owner) Cancel(now time.Duration, id string, caller uint64) {
 	defer o.flush(now)
 	j := o.jobs[id]
@@ -86,7 +84,7 @@
 	o.cancelIfAbandoned(now, j)
 }
 
-// abandonUnwanted stops a job that nobody waits for, here or at another entry. It reports
+// cancelIfAbandoned stops j if no caller waits for it, here or at another entry. It reports
 // whether it did.
 func (o *Owner) cancelIfAbandoned(now time.Duration, j *job) bool {
 	if len(j.callers) > 0 || j.hasRemoteWaiter() {
--- a/owner/cancel.go
+++ b/owner/cancel.go
@@ -9,24 +9,23 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-// Cancellations by callers, of jobs that this entry has and of those that another one has.
+// Cancellation of jobs by callers, for jobs of this entry and of others.
 
 const (
-	// cancelTimeout is how long the homes of a job may take to say whether they know it.
-	// Some ten round trips. Not measured.
+	// cancelTimeout is how long the homes of a job may take to report whether they know it.
 	cancelTimeout = 100 * time.Millisecond
 )
 
-// lookup is a cancellation of a job that this entry does not have.
+// lookup is a pending cancellation of a job that this entry does not own.
 type lookup struct {
 	since   time.Duration
-	homes   int // that have not answered
+	homes   int // homes that have not replied
 	answers []func(known bool)
 }
 
-// CancelJob ends a job on a caller's order and answers all who wait for it. answer is called
-// once, possibly before CancelJob returns: whether the job was known here or at its homes,
-// which pass the order on to the entry that has it.
+// CancelJob cancels a job and answers all callers that wait for it. answer is called once,
+// possibly before CancelJob returns, with whether the job was known here or at its homes, which
+// forward the cancellation to the entry that holds it.
 func (o *Owner) CancelJob(now time.Duration, id string, answer func(known bool)) {
 	defer o.flush(now)
 	if j := o.jobs[id]; j != nil {
@@ -46,8 +45,8 @@
 	o.lookups[id] = &lookup{since: now, homes: asked, answers: []func(bool){answer}}
 }
 
-// askHomesToCancel passes a cancellation on to the homes that the job would have, and returns
-// how many they are.
+// sendCancellations sends a cancellation to the agents that would be homes of the job and
+// returns their number.
 func (o *Owner) sendCancellations(id string) int {
 	j := &job{hash: claim.Hash(id)}
 	for range o.Homes {
@@ -65,7 +64,7 @@
 	return len(j.homes)
 }
 
-// cancelReply handles what a home says of a cancellation.
+// cancelReply handles a home's reply to a cancellation.
 func (o *Owner) cancelReply(now time.Duration, r claim.Reply) {
 	l := o.lookups[r.Job]
 	if l == nil {
@@ -83,7 +82,7 @@
 	}
 }
 
-// endLookup answers the callers who cancelled a job.
+// endLookup answers the callers that cancelled the job.
 func (o *Owner) endLookup(now time.Duration, id string, known bool) {
 	l := o.lookups[id]
 	delete(o.lookups, id)
@@ -93,7 +92,7 @@
 	}
 }
 
-// checkLookups ends the cancellations whose homes do not answer.
+// checkLookups ends the lookups whose homes have not replied in time.
 func (o *Owner) checkLookups(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(o.lookups)) {
 		if now-o.lookups[id].since >= cancelTimeout {
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -151,7 +151,7 @@
 func (o *Owner) yield(now time.Duration, j *job, given []*agent) {
 	o.stats.Yielded++
 	o.logYielded(now, j)
-	o.releaseAll(j)
+	o.detachRuns(j)
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
 			if p := j.steps[k].tasks[n].phase; p == placed || p == uncertain {
--- a/owner/ending.go
+++ b/owner/ending.go
@@ -9,20 +9,20 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Endings: the runs of a job that was dropped go on until their stops are carried out, which
-// may take as long as a lease. Until the agents have told all their ends, or are surely clear,
-// the job starts anew neither here nor, since its homes hear of it only then, elsewhere.
+// Runs of a dropped job continue until their stops take effect, which may take as long as a
+// lease. The job must not start again, here or at another entry, until all these runs are known
+// to have ended. Its homes are therefore informed only then.
 
-// ending is a dropped job with runs whose end is not known.
+// droppedJob is a dropped job with runs that are not known to have ended.
 type droppedJob struct {
 	pendingRuns int
-	homes       []*agent // that are told when the last one has ended
-	// wanted says that another entry waits for it.
+	homes       []*agent // to be informed when the last run has ended
+	// remoteWaiter reports whether another entry waits for the job.
 	remoteWaiter bool
-	losses       int // of a task, as the homes are to remember: see suspect.go
+	losses       int // runs of a task that were lost with their targets, for the homes to store
 }
 
-// addEnding records a run at a of a job that is dropped.
+// addDroppedRun records a run at a of a job that is being dropped.
 func (o *Owner) addDroppedRun(a *agent, id task.ID, run int) {
 	if !o.AwaitEndings {
 		return
@@ -36,8 +36,8 @@
 	e.pendingRuns++
 }
 
-// endingOver records that such a run has ended. With the last one the job's homes are told,
-// and the job itself may start if it was submitted again meanwhile.
+// droppedRunEnded records the end of a run of a dropped job. After the last one, the homes are
+// informed, and the job is claimed again if it was resubmitted in the meantime.
 func (o *Owner) droppedRunEnded(now time.Duration, a *agent, id task.ID) {
 	delete(a.droppedRuns, id)
 	e := o.dropped[id.Job]
@@ -54,7 +54,7 @@
 	}
 }
 
-// reclaim claims j again at its homes, which were just told that nothing of it is left.
+// reclaim claims j again at its homes, which were just informed that none of its runs is left.
 func (o *Owner) reclaim(now time.Duration, j *job) {
 	homes := j.homes
 	j.homes = nil
@@ -68,7 +68,7 @@
 	o.claimsChanged(now, j)
 }
 
-// clearEndings records that no run of this entry is left at a.
+// clearDroppedRuns records that all runs of dropped jobs at a have ended.
 func (o *Owner) clearDroppedRuns(now time.Duration, a *agent) {
 	for _, id := range slices.SortedFunc(maps.Keys(a.droppedRuns), task.ID.Compare) {
 		o.droppedRunEnded(now, a, id)
--- a/owner/job.go
+++ b/owner/job.go
@@ -7,19 +7,19 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// phase is the state of a task. setPhase alone changes it:
+// phase is the state of a task. Only setPhase changes it:
 //
 //	waiting   -> placed     an order was sent
 //	placed    -> waiting    its run has ended without success
 //	placed    -> done       its run has ended with success
 //	placed    -> uncertain  the connection to its agent was lost
-//	uncertain -> waiting    no run of it can be at work any more
+//	uncertain -> waiting    none of its runs can be active any more
 type phase uint8
 
 const (
 	waiting   phase = iota // to be started
 	placed                 // ordered at an agent
-	uncertain              // ordered at an agent that was lost: a run may be at work
+	uncertain              // ordered at an agent that was lost: a run may be active
 	done                   // ended with success
 )
 
@@ -29,20 +29,19 @@
 	agent  string        // where its latest run was ordered
 	run    int           // number of its latest run
 	sentAt time.Duration // when that run was ordered
-	// stopSent says that the latest run was ordered to stop.
+	// stopSent reports whether the latest run was ordered to stop.
 	stopSent bool
-	// failures counts the failed runs, taskFailures those of them that count as
-	// the task's own fault and not its target's.
+	// failures counts failed runs, taskFailures those that were not the target's fault.
 	failures, taskFailures int
 	tries                  int // runs that may have begun, for logs
 	losses                 int // runs whose target crashed or fell silent
-	// crashes are those whose target crashed; the next run is one of its own until
-	// aloneUntil: see suspect.go.
+	// crashes lists runs whose target crashed. Until exclusiveUntil, the task runs only on an
+	// otherwise empty target.
 	crashes        []crash
 	exclusiveUntil time.Duration
-	exclusiveRuns  []int // numbers of the runs that were alone on their targets
-	overdueStops   int   // runs that were stopped because they were overdue
-	// avoid is an agent at which the task must not run until avoidUntil.
+	exclusiveRuns  []int // numbers of the runs that had their target to themselves
+	overdueStops   int   // runs that were stopped as overdue
+	// avoid is an agent that the task must not use before avoidUntil.
 	avoid      string
 	avoidUntil time.Duration
 }
@@ -52,58 +51,56 @@
 	tasks      []taskState
 	waiting    int // tasks in the phase waiting
 	unfinished int // tasks that are not done
-	// took holds how long the tasks took that have ended with success, on a target
-	// of speed 1.
+	// durations holds how long its successful tasks took, scaled to a target of speed 1.
 	durations []time.Duration
-	// spread is the standard deviation of the logarithm of the time that a task takes
-	// over the step's estimate.
+	// spread is the standard deviation of the logarithm of task duration over estimate.
 	spread float64
 }
 
 // job is a job of this entry. Times are on the entry's clock.
 type job struct {
 	spec       task.Job
-	callers    map[uint64]func(Answer) // who waits for the answer
+	callers    map[uint64]func(Answer) // callers that wait for the answer
 	steps      []stepState
 	unfinished int // tasks that are not done
 
 	arrived         time.Duration
-	objectiveAt     time.Duration // until when its completion counts in full
-	lateObjectiveAt time.Duration // until when it counts at all
-	callerDeadline  time.Duration // when the caller stops waiting; zero: never
-	// hash is that of the id, for the ranks of homes, and homes where the job is claimed,
-	// the least rank first; claimedAt is when all of them had granted it, zero before.
+	objectiveAt     time.Duration // completion has full value until then
+	lateObjectiveAt time.Duration // completion has reduced value until then
+	callerDeadline  time.Duration // when the caller stops waiting; zero for never
+	// hash is the hash of the job's id for ranking homes. homes lists where the job is claimed,
+	// lowest rank first. claimedAt is when all homes had granted the claim, zero before that.
 	hash      uint64
 	homes     []home
 	claimedAt time.Duration
-	// contestedAt is since when another entry has had a home of it that ranks first, while
-	// tasks of it are started here; zero: none has.
+	// contestedAt is when another entry was found to hold the lowest-ranked home while tasks of
+	// the job are started here, zero if none was.
 	contestedAt time.Duration
-	// homesWanted is how many homes it should have.
+	// homeCount is the number of homes that the job should have.
 	homeCount int
-	// earlierRun says that an earlier submission of the job may have run, here or at
+	// earlierRun reports whether an earlier submission of the job may have run, here or at
 	// another entry.
 	earlierRun bool
-	// earlierLosses is how many runs of a task of earlier submissions ended with the loss of
-	// their target, as its homes remember.
+	// earlierLosses is the number of runs of a task that earlier submissions lost with their
+	// targets, as reported by the homes.
 	earlierLosses int
-	// firstOrder and lastOrder are when the first and the latest order to start a
-	// task was sent; zero: none yet.
+	// firstOrder and lastOrder are when the first and the latest start order was sent, zero
+	// before that.
 	firstOrder, lastOrder time.Duration
 	// orders counts the orders that may have reached a target.
 	orders    int
-	specAgent string   // the agent that the spec was sent to last
-	failedAt  []string // the agents at which a run of it has failed
-	suspect   bool     // a target has crashed under a task of it
+	specAgent string   // the agent that last received the spec
+	failedAt  []string // agents at which a run of the job has failed
+	suspect   bool     // a target has crashed under a task of the job
 
 	queue *queue // the queue of its service
-	index int    // in the queue's heap, -1 while it is not in it
-	// rank orders the queue, the least first; startSpan goes into it. Both are as
-	// of the last call of updateRank.
+	index int    // in the queue's heap, -1 if not queued
+	// rank orders the queue, lowest first, and depends on startSpan. Both date from the last
+	// call of rankAt.
 	rank, startSpan time.Duration
 }
 
-// newJob returns a job that has just arrived.
+// newJob returns a job that arrived at now.
 func newJob(now time.Duration, spec task.Job) *job {
 	j := &job{
 		spec:       spec,
@@ -124,7 +121,7 @@
 	return j
 }
 
-// setObjectives sets the objectives by the present estimates.
+// setObjectives derives the objectives from the current estimates.
 func (j *job) setObjectives() {
 	j.objectiveAt = j.arrived + j.spec.Objective()
 	j.lateObjectiveAt = j.arrived + j.spec.LateObjective()
@@ -135,8 +132,8 @@
 	return j.orders > 0
 }
 
-// mayHaveRun reports whether a task of this submission or of an earlier one may have been
-// started: then the job can't be refused as not run.
+// mayHaveRun reports whether a task of this or an earlier submission may have been started.
+// Such a job can't be refused.
 func (j *job) mayHaveRun() bool {
 	return j.started() || j.earlierRun
 }
@@ -151,7 +148,7 @@
 	return false
 }
 
-// ready reports whether the steps that a step depends on are done.
+// ready reports whether all dependencies of a step are done.
 func (j *job) ready(step int) bool {
 	for _, earlier := range j.spec.Steps[step].DependsOn {
 		if j.steps[earlier].unfinished > 0 {
@@ -161,7 +158,7 @@
 	return true
 }
 
-// startable reports whether a task of j may be started now.
+// startable reports whether j has a task that can be started now.
 func (j *job) startable() bool {
 	for k := range j.steps {
 		if j.steps[k].waiting > 0 && j.ready(k) {
@@ -171,7 +168,7 @@
 	return false
 }
 
-// nextTask returns the first task that may be started now, or false.
+// nextTask returns the first task that can be started now.
 func (j *job) nextTask() (step, index int, ok bool) {
 	for k := range j.steps {
 		s := &j.steps[k]
@@ -187,7 +184,7 @@
 	return 0, 0, false
 }
 
-// waitingTasks returns how many tasks of j may be started now.
+// waitingTasks returns the number of tasks of j that can be started now.
 func (j *job) waitingTasks() int {
 	count := 0
 	for k := range j.steps {
@@ -198,8 +195,7 @@
 	return count
 }
 
-// startableWork returns the work of the tasks of j that may be started now, in
-// core-seconds.
+// startableWork returns the work of the tasks of j that can be started now, in core-seconds.
 func (j *job) startableWork() float64 {
 	sum := 0.0
 	for k := range j.steps {
@@ -210,7 +206,7 @@
 	return sum
 }
 
-// waitingWork returns the work of j's waiting tasks, in core-seconds.
+// waitingWork returns the work of all waiting tasks of j, in core-seconds.
 func (j *job) waitingWork() float64 {
 	sum := 0.0
 	for k := range j.steps {
@@ -224,14 +220,13 @@
 	return task.Job{Steps: []task.Step{{Count: tasks, Needs: s.Needs, Estimate: s.Estimate}}}.Work()
 }
 
-// remaining returns the estimate of the longest chain of steps that are not done,
-// on a target of the usual speed.
+// remaining returns the estimate of the longest chain of unfinished steps, on a target of the
+// usual speed.
 func (j *job) remaining() time.Duration {
 	return j.spec.ChainOf(func(step int) bool { return j.steps[step].unfinished > 0 })
 }
 
-// spread returns the standard deviation of the logarithm of the time that the tasks take
-// over their estimates, of the first step that is not done.
+// spread returns the spread of the first unfinished step.
 func (j *job) spread() float64 {
 	for k := range j.steps {
 		if j.steps[k].unfinished > 0 {
@@ -241,7 +236,7 @@
 	return 0
 }
 
-// setPhase moves a task to another phase and keeps the counts.
+// setPhase moves a task to another phase and updates the counters.
 func (j *job) setPhase(step, index int, to phase) {
 	s := &j.steps[step]
 	t := &s.tasks[index]
@@ -258,7 +253,7 @@
 	t.phase = to
 }
 
-// find returns the task of the id, or nil.
+// find returns the task with the id, or nil.
 func (j *job) find(id task.ID) *taskState {
 	if id.Step < 0 || id.Step >= len(j.steps) {
 		return nil
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -9,10 +9,10 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// Settlements: what the homes of a job are told when it is answered or dropped, and what they
-// tell of others who care for it.
+// Settlements inform the homes of a job that it was answered or dropped. Interests inform this
+// entry that another entry waits for one of its jobs.
 
-// answerOf returns the answer that a home has.
+// answerOf converts the answer in a home's reply.
 func answerOf(r claim.Reply) Answer {
 	kinds := map[claim.Outcome]Kind{
 		claim.Completed: Completed, claim.Failed: Failed, claim.GivenUp: GivenUp, claim.Cancelled: Cancelled,
@@ -21,7 +21,7 @@
 	return Answer{Kind: kinds[r.Outcome], Why: r.Why, Retry: r.Retry}
 }
 
-// outcomeOf returns what homes are told of an answer; the zero answer is none.
+// outcomeOf converts the kind of an answer; the zero Kind has no outcome.
 func outcomeOf(k Kind) claim.Outcome {
 	outcomes := map[Kind]claim.Outcome{
 		Completed: claim.Completed, Failed: claim.Failed, GivenUp: claim.GivenUp, Cancelled: claim.Cancelled,
@@ -30,9 +30,10 @@
 	return outcomes[k]
 }
 
-// settle tells the homes of a job that is dropped how it was answered. A job without an answer
-// to remember is free once its runs have ended: ending.go tells it then. A refusal goes at once,
-// since its caller may come back soon, but not over a busy link.
+// settle informs the homes of a dropped job of its answer. If the job has no answer, it may
+// start elsewhere once its runs have ended, and droppedRunEnded informs the homes then.
+// Refusals are sent at once unless the link is busy, since the caller may soon submit the job
+// again.
 func (o *Owner) settle(now time.Duration, j *job, a Answer) {
 	s := claim.Settlement{Job: j.spec.ID, Outcome: outcomeOf(a.Kind), Why: a.Why, Retry: a.Retry}
 	s.Ran = s.Outcome == claim.None && j.mayHaveRun()
@@ -53,11 +54,11 @@
 	}
 }
 
-// tellSettled adds a settlement to the next frame to a home, at once where somebody waits for
-// it. Without anybody it may take as long as a heartbeat.
+// sendSettlement adds a settlement to the next frame to a home. If atOnce is false, the
+// settlement may wait for the next heartbeat.
 func (o *Owner) sendSettlement(a *agent, s claim.Settlement, atOnce bool) {
 	if !a.connected || a.level < peer.LevelClaim {
-		return // it forgets the claim, or grants it to nobody before its time is over
+		return // the home drops the claim or lets it expire
 	}
 	a.out.Settled = append(a.out.Settled, s)
 	if atOnce || o.shuttingDown {
@@ -65,8 +66,9 @@
 	}
 }
 
-// receiveInterest handles that another entry waits for a job, or a caller there cancels it.
-// Whatever becomes of it, a frame goes back: so the home knows that this entry lives.
+// receiveInterest handles a notice that another entry waits for a job, or that a caller there
+// cancels it. A frame is sent back in any case, which proves to the home that this entry is
+// alive.
 func (o *Owner) receiveInterest(now time.Duration, a *agent, i claim.Interest) {
 	o.markDirty(a)
 	j := o.jobs[i.Job]
@@ -87,8 +89,8 @@
 	}
 }
 
-// Leave has every settlement told at once from now on, since the process is about to end, and
-// those that wait for a frame.
+// Leave sends all pending settlements and makes later ones be sent at once. It is called before
+// the process exits.
 func (o *Owner) Leave(now time.Duration) {
 	o.shuttingDown = true
 	for _, a := range o.byName {
@@ -99,7 +101,7 @@
 	o.flush(now)
 }
 
-// setWanted records whether another entry waits for j at a home.
+// setRemoteWaiter records whether another entry waits for j at a home.
 func (j *job) setRemoteWaiter(a *agent, wanted bool) {
 	for k := range j.homes {
 		if j.homes[k].agent == a {
@@ -108,7 +110,7 @@
 	}
 }
 
-// wanted reports whether another entry waits for j's answer.
+// hasRemoteWaiter reports whether another entry waits for j's answer.
 func (j *job) hasRemoteWaiter() bool {
 	return slices.ContainsFunc(j.homes, func(h home) bool { return h.remoteWaiter })
 }
