--- a/owner/claim.go
+++ b/owner/claim.go
@@ -8,24 +8,24 @@
 	"github.com/beaconpoint/beaconpoint/stage"
 )
 
-// Claims: before a task of a job starts, the job is claimed at its homes, so that no other
-// entry has it (package claim). Where another entry has it the job joins: it starts nothing
-// here, and gets that entry's answer, or the claim when that entry gives it up or is lost.
+// A job is claimed at its homes before any of its tasks starts, so that a single entry runs it
+// (package claim). If another entry holds the job, this entry joins it: it starts nothing, and
+// receives that entry's answer, or the claim if that entry drops the job or is lost.
 
 const (
-	// contestTime is how long an entry that has started a job waits for another one to give
-	// the job back that has not. A few round trips. Not measured.
+	// contestTimeout is how long an entry that has started a job waits for another entry to
+	// release the claim before it stops its own runs.
 	contestTimeout = 30 * time.Millisecond
-	// holdTime is how long a reservation is held for jobs whose claims are under way: it
-	// and the claims are asked for at once. Half of what the agent reserves it for
-	// (reservationTime in package supervisor).
+	// reservationHoldTime is how long a reservation is kept for jobs whose claims are pending.
+	// It is half the time for which the agent reserves the room (reservationTime in package
+	// supervisor).
 	reservationHoldTime = 20 * time.Millisecond
 )
 
-// claimed reports whether tasks of j may be started as far as other entries go: every home
-// has granted it, and no run of an earlier submission is left. A job without homes is not
-// protected where no agent of this version is connected; where all are silent, or most, it
-// waits, since it is this entry that is cut off: others may have other homes for it.
+// claimed reports whether the claims of j permit its tasks to start: every home has granted the
+// claim, and no run of an earlier submission is left. A job without homes may start unclaimed
+// only if no connected agent supports claims. New jobs wait while this entry is isolated, or
+// partitioned without a shared home, because other entries may choose other homes for them.
 func (o *Owner) claimed(j *job) bool {
 	if o.dropped[j.spec.ID] != nil || len(j.homes) == 0 && j.homeCount > 0 && o.homesExist() {
 		return false
@@ -39,12 +39,12 @@
 	return !slices.ContainsFunc(j.homes, func(h home) bool { return h.state == asked || h.state == held })
 }
 
-// joined reports whether another entry has j, as far as is known.
+// joined reports whether another entry holds j, as far as is known.
 func (j *job) joined() bool {
 	return !j.started() && slices.ContainsFunc(j.homes, func(h home) bool { return h.state == held })
 }
 
-// receiveReply handles what a home says of a claim.
+// receiveReply handles a home's reply to a claim.
 func (o *Owner) receiveReply(now time.Duration, a *agent, r claim.Reply) {
 	o.cancelReply(now, r)
 	j := o.jobs[r.Job]
@@ -72,7 +72,7 @@
 	o.claimsChanged(now, j)
 }
 
-// setHomeState records what a home of j said.
+// setHomeState records the state of the claim of j at a home.
 func (j *job) setHomeState(a *agent, state homeState) {
 	for k := range j.homes {
 		if j.homes[k].agent == a {
@@ -81,10 +81,10 @@
 	}
 }
 
-// claimHeld handles that another entry has j at a home. Of two entries that each have a home,
-// the one whose home ranks first keeps it: so this entry gives back those that rank later. Where
-// it has started the job and the other one has not, that one gives it back; where that takes too
-// long this one stops what runs here.
+// handleHeld handles a reply that another entry holds j at a home. Of two entries that each
+// hold a home, the one with the lower-ranked home keeps the job, so this entry releases the
+// homes of higher rank. If only this entry has started the job, the other one releases the
+// claim; if it does not within contestTimeout, this entry stops its runs.
 func (o *Owner) handleHeld(now time.Duration, j *job, a *agent) {
 	rank := claim.RankOf(j.hash, a.hash)
 	first := slices.IndexFunc(j.homes, func(h home) bool { return h.state == granted })
@@ -105,7 +105,7 @@
 	o.releaseLaterHomes(j, rank)
 }
 
-// checkContested yields the jobs that other entries have and have not given back.
+// checkContested yields the jobs that other entries have not released within contestTimeout.
 func (o *Owner) checkContested(now time.Duration) {
 	for _, j := range o.sortedJobs() {
 		if j.contestedAt == 0 || now-j.contestedAt < contestTimeout {
@@ -119,8 +119,8 @@
 	}
 }
 
-// concede gives j, of which nothing was started here, back to an entry that has started it and
-// waits for it at a home, and joins it there.
+// transferClaim releases the claim of j, which is not started here, to an entry that has
+// started it and waits for it at a home, and claims j there again to join it.
 func (o *Owner) transferClaim(now time.Duration, j *job, a *agent) {
 	k := slices.IndexFunc(j.homes, func(h home) bool { return h.agent == a })
 	if k < 0 || j.started() {
@@ -133,7 +133,8 @@
 	o.claimsChanged(now, j)
 }
 
-// giveBack gives the homes of j back that rank after one, and returns them.
+// releaseLaterHomes releases the claims of j at the homes of higher rank and returns those
+// homes.
 func (o *Owner) releaseLaterHomes(j *job, rank claim.Rank) []*agent {
 	var given []*agent
 	for _, h := range j.homes {
@@ -146,8 +147,8 @@
 	return given
 }
 
-// yield stops the runs of j, which another entry has: the job waits like one that never
-// started here. The homes given back hear when the runs have ended.
+// yield stops the runs of j, which another entry holds. The job then waits like one that was
+// never started here. The released homes are informed when the runs have ended.
 func (o *Owner) yield(now time.Duration, j *job, given []*agent) {
 	o.stats.Yielded++
 	o.logYielded(now, j)
@@ -166,8 +167,8 @@
 	j.queue.remove(j)
 }
 
-// claimsChanged acts on a change of j's claims: it waits in its queue unless another entry
-// has it, and starts once it is claimed.
+// claimsChanged updates j after a change of its claims: it leaves the queue if another entry
+// holds it, and starts if it is claimed.
 func (o *Owner) claimsChanged(now time.Duration, j *job) {
 	if j.joined() {
 		j.queue.remove(j)
--- a/owner/comeback.go
+++ b/owner/comeback.go
@@ -2,31 +2,29 @@
 
 import "time"
 
-// Coming back: when a caller whose job was not done should submit it again. Callers are
-// asked to come back one after the other, so that what they bring takes a small share of
-// the targets' room: refused together and back together they would be refused again. The
-// most urgent priority returns ahead of the others.
+// Callers whose jobs were not done are told to submit them again at spread times, so that
+// retries use a small share of the targets' room. Callers that all returned at once would be
+// refused again. Retries of the most urgent priority come first.
 const (
-	// returnShare is the share of what the targets take from this entry that returning
-	// jobs should make.
+	// retryShare is the share of the work rate that retried jobs may use.
 	retryShare = 0.2
-	// minReturn and maxReturn bound the time to come back: a shorter one only meets
-	// the same backlog, a longer one helps nobody when the load has turned.
+	// minRetryAfter and maxRetryAfter bound the retry-after time: an earlier retry would meet
+	// the same backlog, and by a later one the load may long have dropped.
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// RetryAfter is the time to come back where nothing was ever known of the load: the
-	// entry has no configuration, too many jobs, or no target has taken work yet.
+	// RetryAfter is the retry-after time while the load is unknown: the entry has no
+	// configuration, too many jobs, or no target has accepted work yet.
 	RetryAfter = time.Second
 )
 
-// returns says until when callers of one service have been asked to come back, on the
-// entry's clock: those with jobs of the most urgent priority, and all.
+// retrySchedule holds the times, on the entry's clock, up to which retries are assigned: those
+// of the most urgent priority, and all.
 type retrySchedule struct {
 	urgentUntil, until time.Duration
 }
 
-// next returns how long a caller should stay away whose job has so much work, in
-// core-seconds, and records it. rate is the work that returning jobs may bring a second.
+// next assigns a retry to a job of the given work, in core-seconds, and returns the time until
+// then. rate is the work per second that retries may bring.
 func (r *retrySchedule) next(now time.Duration, work, rate float64, urgent bool) time.Duration {
 	if rate <= 0 {
 		return RetryAfter
@@ -42,7 +40,7 @@
 	return start - now
 }
 
-// comeBackAfter returns when j's caller should submit it again.
+// retryAfter returns when j's caller should submit it again.
 func (o *Owner) retryAfter(now time.Duration, j *job) time.Duration {
 	return j.queue.retries.next(now, j.spec.Work(), retryShare*j.queue.lastWorkRate, j.spec.Priority == 0)
 }
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -9,10 +9,9 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// What agents tell, and the beginning and the end of the connections to them.
+// Connections to agents and the frames received from them.
 
-// Connected records a new connection to an agent. Nothing that was believed of the
-// agent holds any more until its first state.
+// Connected records a new connection to an agent and resets its state until the first report.
 func (o *Owner) Connected(now time.Duration, name string) {
 	defer o.flush(now)
 	a := o.agents[name]
@@ -44,9 +43,9 @@
 	o.logAgentConnected(a)
 }
 
-// Disconnected records that the connection to an agent is lost. Its runs may still
-// be at work until ClearTime after lastSent, when the last frame was sent to it;
-// their tasks wait that long before they are started elsewhere.
+// Disconnected records the loss of the connection to an agent. Its runs may be active until
+// ClearTime after lastSent, the time of the last frame sent to it; their tasks are not started
+// elsewhere before that.
 func (o *Owner) Disconnected(now, lastSent time.Duration, name string) {
 	defer o.flush(now)
 	a := o.agents[name]
@@ -66,8 +65,8 @@
 	o.loseHome(now, a)
 }
 
-// clearAgent makes the uncertain tasks of a startable again: no run of theirs is
-// at work any more.
+// clearAgent makes the uncertain tasks of a startable again, as none of their runs can be
+// active any more.
 func (o *Owner) clearAgent(now time.Duration, a *agent) {
 	a.clearAt = 0
 	for _, id := range a.taskIDs() {
@@ -82,7 +81,7 @@
 	o.clearDroppedRuns(now, a)
 }
 
-// Receive handles a frame of an agent.
+// Receive handles a frame from an agent.
 func (o *Owner) Receive(now time.Duration, name string, f *peer.Frame) {
 	defer o.flush(now)
 	a := o.agents[name]
@@ -129,8 +128,8 @@
 	}
 }
 
-// updateState applies a state update from an agent and, if its target was just
-// ejected, stops its runs so that they can be retried elsewhere.
+// updateState applies a state update from an agent. If the target was just ejected, its runs
+// are stopped so that they can be retried elsewhere.
 func (o *Owner) updateState(now time.Duration, a *agent, st *peer.State) {
 	ejected := st.Health == peer.Ejected && a.state.Health != peer.Ejected
 	accepted := a.state.Accepting
--- a/owner/estimates.go
+++ b/owner/estimates.go
@@ -8,12 +8,11 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Estimates. A step's Estimate is for a target of speed 1, as agents learn speeds: what
-// a task takes on a target is the estimate over its speed. Objectives are times on the
-// clock: a step's Longest is for a target of the usual speed.
+// A step's Estimate applies to a target of speed 1; the expected duration on a target is the
+// estimate divided by its speed. Objectives are clock times: a step's Longest applies to a
+// target of the usual speed.
 
-// withEstimates returns the job with its callers' guesses replaced by what its tasks are
-// likely to take.
+// withEstimates returns the job with its callers' guesses replaced by estimates.
 func (o *Owner) withEstimates(spec task.Job, usualSpeed float64) task.Job {
 	e := o.estimator(spec.Queue)
 	steps := slices.Clone(spec.Steps)
@@ -26,7 +25,7 @@
 	return spec
 }
 
-// setSpreads sets how far the tasks of a new job are likely to be off their estimates.
+// setSpreads sets the expected estimation error of the steps of a new job.
 func (o *Owner) setSpreads(j *job) {
 	spread := o.estimator(j.spec.Queue).Spread()
 	for k := range j.steps {
@@ -34,13 +33,13 @@
 	}
 }
 
-// setEstimate sets what one task of a step is likely to take, and the longest of them.
+// setEstimate sets the estimated duration of one task of a step, and of the longest one.
 func setEstimate(s *task.Step, e *estimate.Estimator, one time.Duration, usualSpeed float64) {
 	s.Estimate = one
 	s.Longest = time.Duration(float64(e.Longest(one, s.Count)) / usualSpeed)
 }
 
-// estimator returns the estimator of a queue of the configuration.
+// estimator returns the estimator of a configured queue and creates it if necessary.
 func (o *Owner) estimator(queue string) *estimate.Estimator {
 	e := o.estimators[queue]
 	if e == nil {
@@ -50,9 +49,9 @@
 	return e
 }
 
-// learn records how long a task took on a's target. The first of a step to end tells of
-// the others, which are much alike; the estimates of the queue learn from the whole step,
-// since those of its tasks that end first are the shortest.
+// learn records how long a task took on a's target. The first task of a step to end corrects
+// the estimate of the others. The queue's estimator gets all durations of a step at once, since
+// the tasks that end first are the shortest.
 func (o *Owner) learn(j *job, step int, a *agent, took time.Duration) {
 	s := &j.steps[step]
 	e := o.estimator(j.spec.Queue)
@@ -67,8 +66,7 @@
 	}
 }
 
-// usualSpeed returns the middle one of the learned speeds of a service's targets, 1
-// where none is known.
+// usualSpeed returns the median speed of a service's targets, or 1 if none is known.
 func (o *Owner) usualSpeed(service string) float64 {
 	var speeds []float64
 	for _, a := range o.byName {
--- a/owner/evacuation.go
+++ b/owner/evacuation.go
@@ -10,12 +10,12 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// Evacuated data halls: nothing is ordered on their targets, no room is requested there, and
-// their room does not count for what the queue can take. What runs there goes on.
+// Targets in evacuated data halls get no orders and no room requests, and their room does not
+// count toward the work rate. Running tasks continue.
 
-// Evacuate applies what is heard of evacuated halls, unless it is older than what is known;
-// from says where it was heard. The agents in halls that are evacuated or taken back are told
-// at once, the others with the next frame to each, so that they hand it on.
+// Evacuate applies a set of evacuated halls unless it is older than the current one. from names
+// its source in the log. Agents whose hall was added or removed are informed at once, the
+// others with the next frame to each.
 func (o *Owner) Evacuate(now time.Duration, set evacuation.Set, from string) {
 	if !set.NewerThan(o.evacuations) {
 		return
@@ -41,18 +41,17 @@
 	}
 }
 
-// sameHalls reports whether the same halls are evacuated in both.
+// sameHalls reports whether both sets contain the same halls.
 func sameHalls(a, b evacuation.Set) bool {
 	return slices.Equal(a.Halls, b.Halls)
 }
 
-// setEvacuated sets whether a's target stands in an evacuated hall.
+// setEvacuated sets whether a's target is in an evacuated hall.
 func (o *Owner) setEvacuated(a *agent) {
 	a.evacuated = a.profile.Hall != "" && o.evacuations.Has(a.profile.Hall)
 }
 
-// tellEvacuations adds what is known of evacuated halls to the next frame to a, if a is not
-// known to have heard as much.
+// addEvacuations adds the evacuated halls to the next frame to a unless a has this revision.
 func (o *Owner) addEvacuations(a *agent) {
 	if a.knownEvacuations < o.evacuations.Revision {
 		a.knownEvacuations = o.evacuations.Revision
@@ -61,14 +60,13 @@
 	}
 }
 
-// hallsKnownTime is how long after the first agent has connected an entry takes the agents
-// that it knows for all there are: all connect within 0.5 s where no packet is lost. Before,
-// a job waits for targets in other halls; it also waits for an agent that was lost so short
-// a time ago.
+// discoveryTime is how long after the first connection the set of known agents may be
+// incomplete. Until then, jobs wait for targets in other halls. It is also how long a lost
+// agent may still come back.
 const discoveryTime = time.Second
 
-// onlyEvacuated reports whether j, which is not started, has a step that may only run on
-// targets in evacuated halls: it can't be done before one of them is taken back.
+// needsEvacuatedHall reports whether j, which is not started, has a step that only targets in
+// evacuated halls may run.
 func (o *Owner) needsEvacuatedHall(now time.Duration, j *job) bool {
 	if len(o.evacuations.Halls) == 0 || o.Partial || o.firstConnectedAt == 0 || now-o.firstConnectedAt < discoveryTime {
 		return false
@@ -91,13 +89,13 @@
 	return false
 }
 
-// present reports whether a is connected or may be back in a moment.
+// present reports whether a is connected or may reconnect shortly.
 func (a *agent) present(now time.Duration) bool {
 	return a.connected || now-a.lastFrameAt < discoveryTime
 }
 
-// refuseEvacuated refuses the jobs that wait for targets in evacuated halls alone. How long
-// an evacuation lasts is not known: a job of less than a second does not wait for its end.
+// refuseEvacuated refuses the jobs that only targets in evacuated halls may run. The end of an
+// evacuation is unknown, so the jobs don't wait for it.
 func (o *Owner) refuseEvacuated(now time.Duration) {
 	if len(o.evacuations.Halls) == 0 {
 		return
@@ -109,7 +107,7 @@
 	}
 }
 
-// EvacuatedTargets returns how many known targets stand in evacuated halls.
+// EvacuatedTargets returns the number of known targets in evacuated halls.
 func (o *Owner) EvacuatedTargets() int {
 	count := 0
 	for _, a := range o.byName {
@@ -120,12 +118,12 @@
 	return count
 }
 
-// Evacuations returns which halls are evacuated, as far as is known.
+// Evacuations returns the latest known set of evacuated halls.
 func (o *Owner) Evacuations() evacuation.Set {
 	return o.evacuations
 }
 
-// logEvacuations says which halls are evacuated now.
+// logEvacuations logs the evacuated halls.
 func (o *Owner) logEvacuations(from string) {
 	o.log(event.HallsEvacuated,
 		slog.Any("halls", o.evacuations.Halls),
--- a/owner/flush.go
+++ b/owner/flush.go
@@ -9,10 +9,9 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Frames to agents: what is decided while something is handled goes out as one frame to each
-// agent when that is done.
+// Changes made while an input is handled are collected and sent as one frame to each agent.
 
-// markDirty has a frame sent to a with the next flush.
+// markDirty schedules a frame to a for the next flush.
 func (o *Owner) markDirty(a *agent) {
 	if !a.dirty {
 		a.dirty = true
@@ -20,20 +19,20 @@
 	}
 }
 
-// stop adds the order to stop a run to the next frame to a.
+// stop adds an order to stop a run to the next frame to a.
 func (o *Owner) stop(a *agent, ref task.Ref) {
 	a.out.Stops = append(a.out.Stops, ref)
 	o.markDirty(a)
 }
 
-// flush sends each agent the frame that has collected for it.
+// flush sends the collected frames.
 func (o *Owner) flush(now time.Duration) {
 	list := o.dirty
 	o.dirty = nil
 	slices.SortFunc(list, func(a, b *agent) int { return strings.Compare(a.name, b.name) })
 	for _, a := range list {
 		if !a.dirty {
-			continue // it was lost in the meantime
+			continue // disconnected since it was marked
 		}
 		o.addEvacuations(a)
 		f := a.out
@@ -50,9 +49,10 @@
 	}
 }
 
-// Heartbeats sends an empty frame to each agent that has got none for the interval of its
-// connection, so that this entry's lease there goes on. Quiet agents of a suspected hall get
-// none: the sooner the lease is over, the sooner their tasks start elsewhere.
+// Heartbeats sends an empty frame to each agent that has received none for the heartbeat
+// interval of its connection, which renews this entry's lease. Unresponsive agents of a
+// suspected hall get none: their leases should expire soon, so that their tasks can start
+// elsewhere.
 func (o *Owner) Heartbeats(now time.Duration) {
 	for _, a := range o.byName {
 		if a.connected && now-a.sentAt >= peer.Interval(a.used()) && !(o.hallSuspected(a) && a.unresponsive(now)) {
--- a/owner/home.go
+++ b/owner/home.go
@@ -9,26 +9,27 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// Homes: at which agents a job is claimed, and which of them do not answer.
+// Homes are the agents at which a job is claimed. Silent ones are replaced.
 
 const (
-	// DefaultHomes is how many homes a job has, so that one may restart and forget.
+	// DefaultHomes is the number of homes of a job. With two, one home may restart and lose its
+	// claims.
 	DefaultHomes = 2
-	// DefaultClaimTimeout is after how long without a reply an agent counts as silent, and
-	// another one becomes home: a host whose processor time is a quota may stand still for a
-	// tenth of a second, and two entries that take different agents for silent may each
-	// find homes of their own.
+	// DefaultClaimTimeout is how long an agent may leave a claim unanswered before it counts as
+	// silent and is replaced as home. It exceeds the pauses of a host with a CPU quota, about
+	// 100 ms: entries that replace different agents may choose different homes for the same
+	// job.
 	DefaultClaimTimeout = 120 * time.Millisecond
 )
 
-// homeState is what a home said of a claim.
+// homeState is the state of a claim at a home.
 type homeState uint8
 
 const (
-	asked     homeState = iota // nothing yet
-	granted                    // this entry has the job
-	held                       // another entry has it: the home says so when that changes
-	outranked                  // another entry has it there, but yields when it hears of this one
+	asked     homeState = iota // no reply yet
+	granted                    // this entry holds the job
+	held                       // another entry holds it; the home reports when that changes
+	outranked                  // another entry holds it, but will release it to this one
 )
 
 // home is an agent at which a job is claimed.
@@ -36,11 +37,11 @@
 	agent        *agent
 	rank         claim.Rank
 	state        homeState
-	askedAt      time.Duration // when the claim has left this host's link, as estimated
+	askedAt      time.Duration // estimated time at which the claim left this host's link
 	remoteWaiter bool          // another entry waits there for the answer
 }
 
-// answers reports whether claims sent to a are answered, as far as is known.
+// answers reports whether a is expected to answer claims.
 func (a *agent) answers() bool {
 	return a.connected && a.level >= peer.LevelClaim && a.silentSince == 0
 }
@@ -50,14 +51,13 @@
 	return a.home && a.answers()
 }
 
-// homesExist reports whether an agent is connected at which jobs may be claimed, be it silent.
+// homesExist reports whether an agent that supports claims is connected, silent or not.
 func (o *Owner) homesExist() bool {
 	return slices.ContainsFunc(o.byName, func(a *agent) bool { return a.connected && a.level >= peer.LevelClaim })
 }
 
-// homesOfNewJob returns how many homes a job gets that comes now: one where this host's link
-// is so busy that room is requested sparingly, too. With two, a scene of links of half the need
-// earned 0.649 in place of 0.679.
+// newJobHomeCount returns the number of homes of a new job. It is at most one while this host's
+// link is busy.
 func (o *Owner) newJobHomeCount(now time.Duration) int {
 	if o.linkBusy(now) {
 		return min(1, o.Homes)
@@ -65,8 +65,8 @@
 	return o.Homes
 }
 
-// completeHomes claims j at further homes until it has as many as it should: the agent of the
-// least rank, and that of the least in another data hall.
+// completeHomes claims j at further agents until it has homeCount homes: the agent of the
+// lowest rank, and the agent of the lowest rank in another data hall.
 func (o *Owner) completeHomes(now time.Duration, j *job) {
 	for len(j.homes) < j.homeCount {
 		a := o.nextHome(j, true)
@@ -80,8 +80,8 @@
 	}
 }
 
-// nextHome returns the agent of the least rank that is not a home of j yet, or nil;
-// otherHall asks for one in a data hall where j has none.
+// nextHome returns the agent of the lowest rank that is not yet a home of j, or nil. If
+// otherHall is set, it considers only data halls without a home of j.
 func (o *Owner) nextHome(j *job, otherHall bool) *agent {
 	var best *agent
 	var least claim.Rank
@@ -101,7 +101,7 @@
 	return slices.ContainsFunc(j.homes, func(h home) bool { return h.agent == a })
 }
 
-// hasHomeInHall reports whether a home of j stands in a data hall.
+// hasHomeInHall reports whether j has a home in a data hall.
 func (j *job) hasHomeInHall(hall string) bool {
 	return slices.ContainsFunc(j.homes, func(h home) bool { return h.agent.profile.Hall == hall })
 }
@@ -119,8 +119,8 @@
 	o.markDirty(a)
 }
 
-// claimAt claims the jobs of this entry at an agent that has just connected, or is not silent
-// any more, where it ranks before a home that they have, or they have too few.
+// claimJobsAt claims jobs at an agent that has connected or is no longer silent: those with too
+// few homes, and those for which it ranks before one of their homes.
 func (o *Owner) claimJobsAt(now time.Duration, a *agent) {
 	if !a.mayBeHome() {
 		return
@@ -133,9 +133,9 @@
 	}
 }
 
-// loseHome takes a for no home of any job any more, since its connection has ended or it is
-// silent; others take its place. An agent that is only slow is told that the jobs which it
-// has not granted are not claimed.
+// loseHome removes a from the homes of all jobs after its connection was lost or it became
+// silent, and claims the jobs at other agents. A silent agent that is still connected is
+// informed that the claims it has not granted are void.
 func (o *Owner) loseHome(now time.Duration, a *agent) {
 	for _, j := range o.sortedJobs() {
 		k := slices.IndexFunc(j.homes, func(h home) bool { return h.agent == a })
@@ -152,8 +152,8 @@
 	}
 }
 
-// checkSilentHomes takes the agents for silent that have left a claim unanswered. It judges
-// none while this process itself was late.
+// checkSilentHomes marks the agents silent that have left a claim unanswered for ClaimTimeout.
+// After a late tick it marks none for that long, because received frames may still be unread.
 func (o *Owner) checkSilentHomes(now time.Duration) {
 	onTime := now-o.lastTickAt <= 2*TickInterval
 	o.lastTickAt = now
@@ -162,7 +162,7 @@
 	}
 	if now-o.lastLateTickAt < o.ClaimTimeout {
 		o.checkIsolation(now)
-		return // what has come meanwhile is not read yet
+		return // received frames may still be unread
 	}
 	var silent []*agent
 	for _, j := range o.sortedJobs() {
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -6,31 +6,32 @@
 	"github.com/beaconpoint/beaconpoint/claim"
 )
 
-// Isolation: an entry to which most agents are silent takes itself to be cut off, and not
-// them. It starts no job that it had not claimed before, since other entries may find other
-// homes for the same job.
+// An entry from which most agents are silent or lost considers itself isolated. It starts no
+// job that it had not claimed before, since other entries may choose other homes for the same
+// job.
 //
-// A data hall that is cut from the others is no isolation: its agents all answer, callers keep
-// coming, and its targets are sound. But it looks the same to an entry that is cut off from the
-// other halls by itself. So it starts the jobs of which it reaches a home that the others choose,
-// too: they meet there. Of three halls that is two jobs of three; the others wait, until the lost
-// halls were not heard from for isolationTime.
+// A data hall that is cut off from the others is not isolated: its agents and targets are
+// reachable, and callers keep submitting. An entry that is itself cut off from the other halls
+// can't tell the difference. It therefore starts only those new jobs of which it reaches a home
+// that entries with full connectivity would choose, because conflicting claims meet there. With
+// three halls that is two jobs in three. The other jobs wait until the lost halls have been
+// silent for isolationTime.
 
-// isolationTime is for how long a silent or lost agent counts. Longer ago it is not this
-// entry's cut: halls may be dark for long, and those left serve on. Not measured.
+// isolationTime is how long a silent or lost agent counts toward isolation. After that it is
+// taken to be down, and the remaining halls resume service.
 const isolationTime = 3 * time.Second
 
-// wholeMissing is the share of a hall's agents that may be silent or lost where the hall counts as
-// reached: single hosts fail by themselves. Not measured.
+// maxMissingShare is the share of a hall's agents that may be silent or lost while the hall
+// counts as reachable, since single hosts fail independently.
 const maxMissingShare = 0.2
 
-// settleTime is for how long an entry that was connected to nobody counts as isolated after its
-// first connection: those to the other agents are made within milliseconds of each other, and
-// until then it would choose homes among the few that it knows. Without it 5 of 2,000 histories
-// with copies of submissions at other entries ran a task twice at once.
+// startupIsolationTime is how long an entry without connections counts as isolated after its
+// first connection. The other connections follow within milliseconds; before that, homes would
+// be chosen among few agents.
 const startupIsolationTime = 60 * time.Millisecond
 
-// beginSettling is called with each new connection, before it counts.
+// beginIsolation starts the isolation that follows a first connection. It must be called for
+// each new connection before the agent is marked as connected.
 func (o *Owner) beginIsolation(now time.Duration) {
 	for _, a := range o.byName {
 		if a.connected {
@@ -41,8 +42,8 @@
 	o.isolated = true
 }
 
-// reach counts the agents of which an entry has heard in the last few seconds, and those of them
-// that are silent or lost now.
+// reachability counts the agents heard from within isolationTime, and those of them that are
+// silent or lost now.
 type reachability struct {
 	known, missing int
 }
@@ -55,12 +56,13 @@
 	}
 }
 
-// whole reports whether nearly all are reached, and enough of them to say so.
+// mostlyReachable reports whether at most maxMissingShare of at least minUnresponsive agents
+// are missing.
 func (r reachability) mostlyReachable() bool {
 	return r.known >= minUnresponsive && float64(r.missing) <= maxMissingShare*float64(r.known)
 }
 
-// partitioned reports whether a whole data hall is reached while others are not.
+// partitioned reports whether at least one data hall is mostly reachable.
 func partitioned(halls map[string]reachability) bool {
 	for hall, r := range halls {
 		if hall != "" && r.mostlyReachable() {
@@ -70,9 +72,9 @@
 	return false
 }
 
-// checkIsolation sets whether this entry is isolated: of the agents that it has heard from in
-// the last few seconds more than half are silent or lost now, and in each hall some, or it has just
-// found the first.
+// checkIsolation updates isolated and partitioned. More than half of the agents heard from
+// within isolationTime must be silent or lost; the entry is then partitioned if a whole hall is
+// reachable, and isolated otherwise. It is also isolated until isolatedUntil.
 func (o *Owner) checkIsolation(now time.Duration) {
 	var all reachability
 	halls := make(map[string]reachability)
@@ -102,8 +104,8 @@
 	}
 }
 
-// meetsOthers reports whether one of j's homes is one that entries choose which reach all agents:
-// of those heard of lately the first by rank, or the first in another hall.
+// sharesHome reports whether j has a home that entries with full connectivity would choose: the
+// agent of the lowest rank, or the agent of the lowest rank in another hall.
 func (o *Owner) sharesHome(now time.Duration, j *job) bool {
 	first := o.lowestRankedAgent(now, j, nil)
 	if first == nil || j.hasHome(first) {
@@ -113,8 +115,8 @@
 	return second != nil && j.hasHome(second)
 }
 
-// leastOf returns the agent of the least rank for j of those that were heard of lately, in another
-// hall than one that is not nil.
+// lowestRankedAgent returns the agent of the lowest rank for j among those heard from within
+// isolationTime. If other is not nil, agents in other's hall are excluded.
 func (o *Owner) lowestRankedAgent(now time.Duration, j *job, other *agent) *agent {
 	var best *agent
 	var least claim.Rank
@@ -130,7 +132,7 @@
 	return best
 }
 
-// Isolated reports whether this entry takes itself to be cut off.
+// Isolated reports whether this entry considers itself cut off from most agents.
 func (o *Owner) Isolated() bool {
 	return o.isolated
 }
--- a/owner/log.go
+++ b/owner/log.go
@@ -11,15 +11,15 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// One function a kind of line; package event says what each kind means. Durations
-// are in milliseconds.
+// Each function logs one kind of event; package event documents the kinds. Durations are in
+// milliseconds.
 
-// log writes a line with the attributes.
+// log writes an event with attributes.
 func (o *Owner) log(kind event.Kind, attrs ...slog.Attr) {
 	o.Log.LogAttrs(context.Background(), slog.LevelInfo, kind, attrs...)
 }
 
-// logRejectedJob says that a job was refused before it was accepted.
+// logRejectedJob logs that a job was refused before it was accepted.
 func (o *Owner) logRejectedJob(spec task.Job, why code.Code) {
 	o.log(event.JobRefused,
 		slog.String("job", spec.ID),
@@ -28,8 +28,7 @@
 		slog.String("why", why.String()))
 }
 
-// logAccepted says that a job was accepted; guess is the caller's for its longest
-// chain.
+// logAccepted logs that a job was accepted. guess is the caller's guess for its longest chain.
 func (o *Owner) logAccepted(j *job, guess time.Duration) {
 	o.log(event.JobAccepted,
 		slog.String("job", j.spec.ID),
@@ -43,7 +42,7 @@
 		slog.Int("waiting", len(j.queue.waiting)))
 }
 
-// logPlaced says that a run was ordered.
+// logPlaced logs that a run was ordered.
 func (o *Owner) logPlaced(now time.Duration, j *job, id task.ID, t *taskState, a *agent) {
 	o.log(event.TaskPlaced,
 		slog.String("task", id.String()),
@@ -56,7 +55,7 @@
 		event.Milliseconds("claim_ms", max(0, j.claimedAt-j.arrived)))
 }
 
-// logMoved says that a run was ordered to stop, to be retried elsewhere.
+// logMoved logs that a run was ordered to stop and will be retried elsewhere.
 func (o *Owner) logMoved(now time.Duration, id task.ID, t *taskState, a *agent, why code.Code) {
 	o.log(event.TaskMoved,
 		slog.String("task", id.String()),
@@ -66,7 +65,7 @@
 		event.Milliseconds("age_ms", now-t.sentAt))
 }
 
-// logWaits says that a task waits again after its run has ended.
+// logWaits logs that a task waits again after the end of a run.
 func (o *Owner) logWaits(t *taskState, a *agent, e peer.Ended) {
 	o.log(event.TaskWaits,
 		slog.String("task", e.Ref.Task.String()),
@@ -78,12 +77,12 @@
 		slog.Int("tries", t.tries))
 }
 
-// logSuspect says that a target crashed under a task.
+// logSuspect logs that a target crashed under a task.
 func (o *Owner) logSuspect(ref task.Ref, t *taskState, a *agent) {
 	o.log(event.TaskSuspect, slog.String("task", ref.Task.String()), slog.Int("run", ref.Run), slog.String("agent", a.name), slog.Int("crashes", len(t.crashes)))
 }
 
-// logAnswered says how a job was answered.
+// logAnswered logs the answer to a job.
 func (o *Owner) logAnswered(now time.Duration, j *job, a Answer) {
 	o.log(event.JobAnswered,
 		slog.String("job", j.spec.ID),
@@ -97,7 +96,7 @@
 		slog.Int("undone", j.unfinished))
 }
 
-// logCancelled says that nobody waits for a job any more.
+// logCancelled logs that no caller waits for a job any more.
 func (o *Owner) logCancelled(now time.Duration, j *job) {
 	o.log(event.JobCancelled,
 		slog.String("job", j.spec.ID),
@@ -105,42 +104,42 @@
 		event.Milliseconds("age_ms", now-j.arrived))
 }
 
-// logJoined says that another entry has a job, or its answer, by one of its homes.
+// logJoined logs that another entry holds a job or has its answer, as reported by a home.
 func (o *Owner) logJoined(j *job, a *agent, how string) {
 	o.log(event.JobJoined, slog.String("job", j.spec.ID), slog.String("home", a.name), slog.String("state", how))
 }
 
-// logStopped says for how long the process stood still.
+// logStopped logs how long the process was suspended.
 func (o *Owner) logStopped(now time.Duration) {
 	o.log(event.EntryStopped, slog.Int64("stopped_ms", (now-o.lastTickAt).Milliseconds()), slog.Int("jobs", len(o.jobs)))
 }
 
-// logYielded says that a job's runs are stopped since another entry has it.
+// logYielded logs that the runs of a job are stopped because another entry holds it.
 func (o *Owner) logYielded(now time.Duration, j *job) {
 	o.log(event.JobYielded, slog.String("job", j.spec.ID), event.Milliseconds("age_ms", now-j.arrived))
 }
 
-// logCancelPassed says what became of a cancellation of a job that is not owned here.
+// logCancelPassed logs the result of a cancellation that was forwarded to the job's homes.
 func (o *Owner) logCancelPassed(id string, known bool, took time.Duration) {
 	o.log(event.JobCancelPassed, slog.String("job", id), slog.Bool("known", known), event.Milliseconds("took_ms", took))
 }
 
-// logIsolation says that this entry takes itself to be cut off, or does not any more.
+// logIsolation logs that this entry became isolated or is no longer isolated.
 func (o *Owner) logIsolation(known, missing int) {
 	o.log(event.EntryIsolated, slog.Bool("isolated", o.isolated), slog.Int("agents", known), slog.Int("missing", missing))
 }
 
-// logHomeSilent says that an agent left a claim unanswered.
+// logHomeSilent logs that an agent left a claim unanswered.
 func (o *Owner) logHomeSilent(now time.Duration, a *agent) {
 	o.log(event.HomeSilent, slog.String("agent", a.name), event.Milliseconds("heard_ms", now-a.lastFrameAt))
 }
 
-// logAgentConnected says that an agent is connected.
+// logAgentConnected logs a new connection to an agent.
 func (o *Owner) logAgentConnected(a *agent) {
 	o.log(event.AgentConnected, slog.String("agent", a.name))
 }
 
-// logAgentLost says that the connection to an agent is lost.
+// logAgentLost logs the loss of the connection to an agent.
 func (o *Owner) logAgentLost(now time.Duration, a *agent) {
 	o.log(event.AgentLost,
 		slog.String("agent", a.name),
@@ -148,7 +147,7 @@
 		event.Milliseconds("clear_in_ms", a.clearAt-now))
 }
 
-// logTargetEjected says that an agent has ejected its target.
+// logTargetEjected logs that an agent has ejected its target.
 func (o *Owner) logTargetEjected(a *agent) {
 	o.log(event.AgentTargetEjected,
 		slog.String("agent", a.name),
--- a/owner/outage.go
+++ b/owner/outage.go
@@ -10,37 +10,37 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// Lost data halls: where several agents of a hall fall silent together and none there is heard
-// from, the hall is suspected to be lost. Nothing is ordered there, and what runs there is
-// taken for lost sooner than agent by agent. docs/design/lost-halls.md says why.
+// A data hall is suspected to be lost when several of its agents become unresponsive together
+// and none of the others responds. The hall then gets no orders, and its runs are taken for
+// lost earlier than by the timeouts of single agents.
 
 const (
-	// quietTime is how long an agent that is in use may be silent before it counts as quiet:
-	// two heartbeats.
+	// unresponsiveTime is the silence after which an agent in use counts as unresponsive: two
+	// heartbeats.
 	unresponsiveTime = 220 * time.Millisecond
-	// freshTime is how long ago another hall was heard from at the most: in a cut of this
-	// entry's own, the agents of one hall count as quiet up to a heartbeat before those of
-	// the others.
+	// maxContactAge is the maximum time since the last frame from any agent. If this entry
+	// itself is cut off, the agents of one hall become unresponsive up to a heartbeat before
+	// those of the others.
 	maxContactAge = 60 * time.Millisecond
-	// minQuiet is how many agents of a hall must be quiet: one or two fail by themselves.
-	// Not measured.
+	// minUnresponsive is the minimum number of unresponsive agents for a suspicion, since one
+	// or two agents fail independently.
 	minUnresponsive = 3
-	// quietLostTime is for how long an agent whose connection was lost counts as quiet.
-	// Not measured.
+	// lostAgentTime is how long a disconnected agent counts as unresponsive.
 	lostAgentTime = 3 * time.Second
 )
 
-// hallHeard is what an entry has heard of the agents of one hall.
+// hallContact counts the unresponsive and the responsive agents of one hall.
 type hallContact struct {
 	unresponsive, responsive int
 }
 
-// lost reports whether the hall should be suspected, given when any hall was heard from last.
+// shouldSuspect reports whether the hall should be suspected. lastContactAt is when the last
+// frame arrived from any agent.
 func (h hallContact) shouldSuspect(now, lastContactAt time.Duration) bool {
 	return h.responsive == 0 && h.unresponsive >= minUnresponsive && now-lastContactAt <= maxContactAge
 }
 
-// quiet reports whether a should have been heard from and was not.
+// unresponsive reports whether a frame from a is overdue.
 func (a *agent) unresponsive(now time.Duration) bool {
 	switch {
 	case !a.connected:
@@ -51,9 +51,9 @@
 	return a.used() && now-max(a.lastFrameAt, a.watchedSince) > unresponsiveTime
 }
 
-// checkHalls begins and ends the suspicion of halls. An entry that is late itself or isolated,
-// or heard from nobody a moment ago, suspects none: the first frames after a cut of its own come
-// from one hall.
+// checkHalls updates the suspected halls. An entry suspects none while it is isolated, after a
+// late tick, or shortly after it heard from no agent: the first frames after its own outage may
+// all come from one hall.
 func (o *Owner) checkHalls(now time.Duration) {
 	contacts := make(map[string]hallContact)
 	lastContactAt := time.Duration(0)
@@ -89,8 +89,8 @@
 	}
 }
 
-// loseHall acts on a new suspicion: room that was requested there is requested elsewhere, and
-// jobs that can't wait for the end of their runs there are given up.
+// handleSuspectedHall handles a new suspicion. Room requested in the hall is requested
+// elsewhere, and jobs that can't wait until their runs there have certainly ended are given up.
 func (o *Owner) handleSuspectedHall(now time.Duration, hall string) {
 	for _, a := range o.byName {
 		if a.profile.Hall != hall {
@@ -109,29 +109,30 @@
 	}
 }
 
-// tooLateAfter reports whether j can't be done in time where one of its tasks starts no sooner
-// than at a time, even by an optimistic estimate.
+// tooLateAfter reports whether j can't be done in time, by an optimistic estimate, if one of
+// its tasks starts no earlier than start.
 func (j *job) tooLateAfter(start time.Duration) bool {
 	done := start + time.Duration(minRemainingFactor*float64(j.remaining()))
 	return done > j.lateObjectiveAt || j.callerDeadline > 0 && done > j.callerDeadline
 }
 
-// hallSuspected reports whether a stands in a hall that is suspected to be lost.
+// hallSuspected reports whether a is in a suspected hall.
 func (o *Owner) hallSuspected(a *agent) bool {
 	return len(o.suspected) > 0 && o.suspected[a.profile.Hall]
 }
 
-// HallsSuspected returns how many halls are suspected to be lost.
+// HallsSuspected returns the number of halls that are suspected to be lost.
 func (o *Owner) HallsSuspected() int {
 	return len(o.suspected)
 }
 
-// logHallSuspected says that a hall is suspected to be lost, and by how many agents.
+// logHallSuspected logs that a hall is suspected to be lost, with the number of unresponsive
+// agents.
 func (o *Owner) logHallSuspected(hall string, h hallContact) {
 	o.log(event.HallSuspected, slog.String("hall", hall), slog.Int("quiet", h.unresponsive))
 }
 
-// logHallFound says that an agent of a suspected hall was heard from.
+// logHallFound logs that an agent of a suspected hall responded.
 func (o *Owner) logHallFound(hall string) {
 	o.log(event.HallFound, slog.String("hall", hall))
 }
--- a/owner/rate.go
+++ b/owner/rate.go
@@ -6,10 +6,10 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// workRate returns how much work the targets of a service that this entry watches take
-// from it while jobs wait, in core-seconds a second: their whole capacity at their speeds,
-// times this entry's share of the room in use, its first waiting job taken to be at work.
-// Ejected targets don't count.
+// workRate returns the rate at which the watched targets of a service accept this entry's work
+// during a backlog, in core-seconds per second: their total capacity at their speeds, times
+// this entry's share of the room in use. The first waiting job counts as running. Ejected
+// targets don't count.
 func (o *Owner) workRate(now time.Duration, q *queue) float64 {
 	capacity := 0.0
 	firstJob := q.firstJobCPU()
--- a/owner/release.go
+++ b/owner/release.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// What the process asks that chooses the agents to connect to (package reach).
+// Queries of the process that selects the agents to connect to (package reach).
 
-// Releasable reports whether the connection to an agent serves nothing: no run, watch or claim of
-// this entry is there, nor any whose end is awaited.
+// Releasable reports whether the connection to an agent is not needed: this entry has no run,
+// watch, claim or dropped run there.
 func (o *Owner) Releasable(name string) bool {
 	a := o.agents[name]
 	if a == nil {
@@ -30,8 +30,7 @@
 	return true
 }
 
-// Release forgets an agent that is releasable. It is not lost: what is said of lost agents does
-// not hold for it.
+// Release removes a releasable agent. The agent is not handled as lost.
 func (o *Owner) Release(name string) {
 	a := o.agents[name]
 	if a == nil {
@@ -43,15 +42,15 @@
 	a.dirty = false
 }
 
-// RefreshRoles asks anew at which agents jobs may be claimed and which are this entry's own. Jobs
-// keep the homes that they have, and watches go on.
+// RefreshRoles queries IsHome and IsOwn for all agents again. Jobs keep their homes, and
+// watches continue.
 func (o *Owner) RefreshRoles() {
 	for _, a := range o.byName {
 		o.refreshRoles(a)
 	}
 }
 
-// refreshRoles asks for the roles of one agent.
+// refreshRoles queries IsHome and IsOwn for one agent.
 func (o *Owner) refreshRoles(a *agent) {
 	a.home = o.IsHome == nil || o.IsHome(a.name)
 	a.own = o.IsOwn == nil || o.IsOwn(a.name)
@@ -63,7 +62,7 @@
 	return a != nil && len(a.tasks) > 0
 }
 
-// Short reports whether jobs have been waiting for room for a while.
+// Short reports whether a queue is backlogged.
 func (o *Owner) Short(now time.Duration) bool {
 	for _, q := range o.queues {
 		if q.backlogged(now) {
@@ -73,8 +72,8 @@
 	return false
 }
 
-// noteLabels notes whether j asks for a label or a rack that no connected agent has, where there
-// are others.
+// recordMissingLabels records whether j requires a label or a rack that no connected agent has,
+// if there are agents to which the process does not connect.
 func (o *Owner) recordMissingLabels(j *job) {
 	if !o.Partial {
 		return
@@ -88,8 +87,8 @@
 	}
 }
 
-// TakeMissingLabel reports whether a job has asked for a label that no connected agent has, since it
-// was last called.
+// TakeMissingLabel reports whether a job has required a label that no connected agent has since
+// the last call.
 func (o *Owner) TakeMissingLabel() bool {
 	missing := o.missingLabel
 	o.missingLabel = false
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -9,28 +9,23 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// requestStep is by how much a waiting job must be more urgent than the one that an
-// agent knows of for the agent to get a new request. It bounds the frames while
-// jobs wait. Half and double: no difference.
+// minRankGain is by how much a job must be more urgent than the one known to an agent for the
+// request to be updated. It limits the frames sent during a backlog.
 const minRankGain = 10 * time.Millisecond
 
 const (
-	// requestsPerTask is how many agents are asked at once for each task that waits:
-	// most that are believed to have room do. Four scenes, worst class and frames a run:
-	// 1 0.914 8.7, 2 0.918 9.6, 3 0.898 10.3.
+	// requestsPerTask is the number of agents asked at first for each waiting task.
 	requestsPerTask = 2
-	// requestPause is after how long one more is asked: a few round trips. Four scenes, 8
-	// seeds, worst class and frames a run: 1 ms 0.913 8.1, 3 ms 0.919 7.8, 5 ms 0.908 7.8.
+	// requestInterval is the interval at which one more agent is asked: a few round trips.
 	requestInterval = 3 * time.Millisecond
-	// requestLinkShare is how many times as long as a request takes on this host's link
-	// the pause is at the least: on narrow links requests leave room for orders.
-	// Without it, six scenes earn 0.0185 less (s.e. 0.0089).
+	// requestIntervalFactor is the minimum interval in transmission times of a request, which
+	// leaves room for orders on narrow links.
 	requestIntervalFactor = 10
 )
 
-// requestRoom asks agents of a queue's service to reserve room for its first job: a few
-// for each task that waits, and more the longer it does. Those that hold a request are
-// told when a more urgent job waits.
+// requestRoom asks agents to reserve room for the first job of a queue: a few for each waiting
+// task, and more over time. Agents with a pending request are informed when a more urgent job
+// waits.
 func (o *Owner) requestRoom(now time.Duration, q *queue) {
 	j := q.peek(now)
 	if j == nil {
@@ -38,7 +33,7 @@
 	}
 	step, index, ok := j.nextTask()
 	if !ok || !o.claimed(j) && o.chooseAgent(now, j, step, index) != nil {
-		return // it needs no room to be reserved
+		return // room is available without a reservation
 	}
 	asked := 0
 	for _, a := range o.watched {
@@ -56,7 +51,7 @@
 	}
 }
 
-// requestLimit returns how many agents may hold a request at once.
+// requestLimit returns the maximum number of agents with a pending request.
 func (o *Owner) requestLimit(now time.Duration, q *queue) int {
 	perTask := requestsPerTask
 	if o.linkBusy(now) {
@@ -66,9 +61,9 @@
 	return perTask*q.waitingTasks(len(o.byName)) + int((now-q.backlogSince)/interval)
 }
 
-// toAsk returns up to count agents to ask for room for a task: first those near its data.
-// Agents of the version before are asked in any case. Ejected targets are not: they get
-// single probes only.
+// requestCandidates returns up to count agents to ask for room for a task, those near its data
+// first, and all eligible agents below peer.LevelWatch in addition. Ejected targets are
+// excluded, as they get single probes only.
 func (o *Owner) requestCandidates(now time.Duration, j *job, step, index, count int) []*agent {
 	var legacy []*agent
 	may := func(a *agent) bool {
@@ -92,8 +87,8 @@
 	return append(list, legacy...)
 }
 
-// withRoom returns up to count agents that are watched and believed to have room, those
-// first on which the task is likely to end first.
+// withRoom returns up to count watched agents with enough known free room, by ascending cost of
+// the task.
 func (o *Owner) withRoom(now time.Duration, service string, s task.Step, meets func(*agent) bool, count int) []*agent {
 	list := o.watchedWhere(now, service, func(a *agent) bool { return s.Needs.Fits(a.freeRoom()) && meets(a) })
 	slices.SortStableFunc(list, func(a, b *agent) int {
@@ -102,15 +97,15 @@
 	return list[:max(0, min(len(list), count))]
 }
 
-// withoutRoom returns up to count agents that are watched and believed to be full: room
-// there may be free soon.
+// withoutRoom returns up to count watched agents without enough known free room, which may have
+// room soon.
 func (o *Owner) withoutRoom(now time.Duration, service string, s task.Step, meets func(*agent) bool, count int) []*agent {
 	list := o.watchedWhere(now, service, func(a *agent) bool { return !s.Needs.Fits(a.freeRoom()) && meets(a) })
 	return list[:max(0, min(len(list), count))]
 }
 
-// watchedWhere returns the agents of this version that are watched, may be given work and
-// meet the condition.
+// watchedWhere returns the watched agents of at least peer.LevelWatch that may be given work
+// and meet the condition.
 func (o *Owner) watchedWhere(now time.Duration, service string, meets func(*agent) bool) []*agent {
 	var list []*agent
 	for _, a := range o.watched {
@@ -121,8 +116,8 @@
 	return list
 }
 
-// unknownAgents returns up to count agents that are not watched and meet the condition, as
-// long as more may be watched.
+// unwatchedAgents returns up to count unwatched agents that meet the condition, within the
+// limit of watched agents.
 func (o *Owner) unwatchedAgents(service string, meets func(*agent) bool, count int) []*agent {
 	var list []*agent
 	for len(list) < min(count, o.maxWatched()-len(o.watched)) {
@@ -135,8 +130,8 @@
 	return list
 }
 
-// addRoomRequest adds a request for room for the step's tasks, and in all for the
-// queue's, to the next frame.
+// addRoomRequest adds a request for room to the next frame, with the needs of the step's tasks
+// and the total demand of the queue.
 func (o *Owner) addRoomRequest(now time.Duration, q *queue, a *agent, j *job, step int) {
 	a.roomRequested = true
 	a.requestRank = j.rank
@@ -149,9 +144,10 @@
 	}
 }
 
-// useReservation fills the room that a has reserved for this entry with the tasks that are
-// first now. Where the next one does not fit, the rest is given back and room is requested
-// anew. Where jobs wait for their claims alone it is held a while.
+// useReservation starts tasks in the room that a has reserved for this entry. If the next task
+// does not fit, the rest is returned and room is requested again. If the queue has only jobs
+// with pending claims, the reservation is kept until one is claimed or reservationHoldTime has
+// passed.
 func (o *Owner) useReservation(now time.Duration, a *agent, r *peer.Reservation) {
 	a.reserved = nil
 	if o.nextJobFor(now, o.queue(a.profile.Service), a) == nil && o.claimsUnderWay(o.queue(a.profile.Service)) {
@@ -186,12 +182,12 @@
 	}
 }
 
-// claimsUnderWay reports whether a job of the queue waits for its claims.
+// claimsUnderWay reports whether a job of the queue has pending claims.
 func (o *Owner) claimsUnderWay(q *queue) bool {
 	return slices.ContainsFunc(q.waiting, func(j *job) bool { return !o.claimed(j) })
 }
 
-// useHeld uses the reservations that are held, since a job of the queue was claimed.
+// useHeldReservations uses the kept reservations after a job of the queue was claimed.
 func (o *Owner) useHeldReservations(now time.Duration, q *queue) {
 	for _, a := range o.watched {
 		if a.reserved != nil && a.profile.Service == q.service {
@@ -200,7 +196,7 @@
 	}
 }
 
-// giveBackHeld gives the reservations back that were held for too long.
+// releaseHeldReservations returns the reservations kept for longer than reservationHoldTime.
 func (o *Owner) releaseHeldReservations(now time.Duration) {
 	for _, a := range o.watched {
 		if a.reserved != nil && now-a.reservedAt >= reservationHoldTime {
@@ -212,9 +208,8 @@
 	}
 }
 
-// firstFor returns the claimed job of the queue that goes first at a: the most urgent one, unless
-// its next task may not run there or has its data elsewhere, and that of another job may
-// and has not. Nil where no job may run there.
+// nextJobFor returns the job of the queue to start at a, or nil: the most urgent job, unless
+// its next task may not run there or is far from its data, and another claimed job fits better.
 func (o *Owner) nextJobFor(now time.Duration, q *queue, a *agent) *job {
 	first := q.peek(now)
 	if first == nil || o.claimed(first) && o.fit(now, first, a) == fitsLocal {
@@ -233,7 +228,7 @@
 	return best
 }
 
-// fit says whether the next task of a job may run at an agent, and near its data.
+// fit rates whether the next task of a job may run at an agent, and whether its data is there.
 type fit uint8
 
 const (
@@ -242,15 +237,15 @@
 	fitsLocal
 )
 
-// fit returns how well the next task of j fits a. A job without one fits, so that it is
-// seen and taken out of the queue.
+// fit rates how well the next task of j fits a. A job without a next task fits, so that the
+// caller removes it from the queue.
 func (o *Owner) fit(now time.Duration, j *job, a *agent) fit {
 	step, index, ok := j.nextTask()
 	switch {
 	case !ok:
 		return fitsLocal
 	case j.steps[step].tasks[index].needsEmptyTarget(now):
-		return noFit // reserved room is not all of a target's
+		return noFit // a reservation does not cover an entire target
 	case !o.allowed(now, j, step, &j.steps[step].tasks[index], a):
 		return noFit
 	case a.far(j.spec.Steps[step]):
--- a/owner/stopped.go
+++ b/owner/stopped.go
@@ -6,25 +6,23 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// A process may be stopped for seconds: frozen, or suspended with its host. Meanwhile the agents
-// stop its runs and close its connections, and its homes grant its jobs to other entries. It
-// has read nothing of it when it goes on.
+// A process may be suspended for seconds, alone or with its host. Meanwhile agents stop its
+// runs and close its connections, and its homes grant its jobs to other entries. When it
+// resumes, it has read none of this.
 
 const (
-	// stoppedTime is how late a tick must be for the process to count as stopped: by then
-	// agents that it uses have given it up.
+	// minStopTime is the minimum delay of a tick for the process to count as suspended: by then
+	// the agents that it uses have closed its connections.
 	minStopTime = peer.Silence
-	// rejoinTime is for how long afterwards the process counts as isolated: its connections
-	// are made anew meanwhile. Made one by one as their silence shows, each entry would
-	// choose homes among those that are back. Not measured.
+	// postStopIsolationTime is how long the process counts as isolated after it resumes, while
+	// it reconnects to all agents. Homes chosen before that could differ from those of other
+	// entries.
 	postStopIsolationTime = 300 * time.Millisecond
 )
 
-// checkStopped has the process begin anew, before anything else is decided, where it was
-// stopped: its connections are given up, and every job is claimed again. Orders that go out
-// between the stop and this tick carry no fresh lease (node.Entry.send), so that agents reject
-// them. Of 3,200 histories with copies of submissions and frozen entries 25 ran a task twice at
-// once without it, and 1 of these 25 with it.
+// checkStopped detects a suspension, before any other decision of the tick, and resets the
+// state: all connections are closed and all jobs claimed again. Orders sent after the process
+// resumed and before this tick carry no fresh lease (node.Entry.send), so agents reject them.
 func (o *Owner) checkStopped(now time.Duration) {
 	if o.lastTickAt == 0 || now-o.lastTickAt < minStopTime || o.TrustStopped {
 		return
@@ -39,13 +37,13 @@
 	}
 }
 
-// outlived reports whether the connection to a is from before the process was stopped.
+// predatesStop reports whether the connection to a was made before the last suspension.
 func (o *Owner) predatesStop(a *agent) bool {
 	return a.connectedAt < o.stoppedUntil
 }
 
-// Rejoining reports whether the process was stopped a moment ago: connections from before are
-// given up though nothing was read from them since.
+// Rejoining reports whether the process resumed within postStopIsolationTime. Connections from
+// before the suspension are then closed even if nothing was read from them since.
 func (o *Owner) Rejoining(now time.Duration) bool {
 	return o.stoppedUntil > 0 && now-o.stoppedUntil < postStopIsolationTime
 }
--- a/owner/suspect.go
+++ b/owner/suspect.go
@@ -8,58 +8,55 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Suspects: a task may crash each target that starts it, and with the target all else that runs
-// there, which is as suspect as the task itself. A task whose target has crashed, or fell silent
-// for good, runs next on a target that has nothing else, which takes all of its room: where that
-// crashes, too, the task is given up.
+// A task may crash every target that starts it, along with all other tasks there, which become
+// equally suspect. After a crash, or once a target is silent for good, the task runs next on an
+// empty target, of which it takes all room. If that target crashes as well, its job is given
+// up.
 
 const (
-	// crashesAllowed is under how many crashes of targets a task is given up where it ran
-	// alone under one of them, crashesBeside where it never did. The platform's pages allow
-	// two. With two in any case, 35 of 3,452 jobs were given up that had only run beside
-	// those that crash targets, with three 9 (TestTasksThatCrashTheirTargets, 70
-	// agents, one seed, in forms that differ in more than this).
+	// maxCrashes is the number of crashes at which a job is given up if the task had one of the
+	// targets to itself, maxNonExclusiveCrashes the number if it never had.
 	maxCrashes             = 2
 	maxNonExclusiveCrashes = 3
-	// lossesAllowed bounds the runs of a task whose targets crashed or fell silent for good:
-	// which of the two it was may show only seconds later. The platform's pages allow two more
-	// starts after three crashes.
+	// maxLosses is the number of runs of a task, lost with crashed or silent targets, at which
+	// its job is given up. Whether a target has crashed or is silent may be known only seconds
+	// later.
 	maxLosses = 5
-	// lossesBefore bounds them where the job is submitted again: an earlier submission may
-	// have used the two starts.
+	// maxEarlierLosses is the number of such runs in earlier submissions at which a resubmitted
+	// job is given up.
 	maxEarlierLosses = 3
-	// aloneTime is how long a suspect waits for an empty target at the most: most suspects are
-	// innocent. Not measured.
+	// exclusiveWaitTime is how long a suspect task waits for an empty target before it may
+	// share one.
 	exclusiveWaitTime = 200 * time.Millisecond
-	// sharedTime is within what time targets that crash together do so for one cause, and
-	// sharedShare the share of the connected agents, sharedLeast the number, that makes a
-	// crash shared: the loss of a rack or of power is no task's fault. At 759 jobs a second, 2%
-	// of which crash eight targets each, 12 of 800 do so by chance in that time.
+	// correlationWindow is the time within which crashes of several targets count as one event.
+	// Such an event, like the loss of a rack or of power, is not attributed to tasks if it
+	// affects at least correlatedShare of the connected agents and at least minCorrelated
+	// agents.
 	//
-	// A job of many tasks crashes as many targets at once, so that a crash under a task that
-	// ran alone counts in any case.
+	// A job of many tasks may crash as many targets at once. A crash under a task with the
+	// target to itself therefore counts in any case.
 	correlationWindow = 100 * time.Millisecond
 	correlatedShare   = 0.1
 	minCorrelated     = 3
 )
 
-// crash is the end of a target with a run of a task at work; at is when the target stopped
-// taking work.
+// crash is the crash of a target during a run of a task. at is when the target stopped
+// accepting work.
 type crash struct {
 	agent     *agent
 	at        time.Duration
-	exclusive bool // nothing else ran there
+	exclusive bool // no other run was there
 }
 
-// stoppedTaking records when a's target stopped taking work: several that do so at one moment
-// have one cause.
+// recordAccepting records when a's target stopped accepting work, for the detection of
+// correlated crashes.
 func (a *agent) recordAccepting(now time.Duration, accepted bool) {
 	if accepted && !a.state.Accepting {
 		a.stoppedAt = now
 	}
 }
 
-// shared reports whether many other targets stopped taking work when this one crashed.
+// correlated reports whether many other targets stopped accepting work when this one crashed.
 func (o *Owner) correlated(c crash) bool {
 	connected, stopped := 0, 0
 	for _, a := range o.byName {
@@ -74,8 +71,8 @@
 	return stopped >= max(minCorrelated, int(correlatedShare*float64(connected)))
 }
 
-// recordLoss counts the end of a run of t whose target crashed or fell silent. It reports whether
-// the job was given up for it, since whichever it was, it was too often.
+// recordLoss records the end of a run whose target crashed or fell silent. It reports whether
+// the job was given up because the task has lost too many targets.
 func (o *Owner) recordLoss(now time.Duration, a *agent, j *job, id task.ID, t *taskState, why code.Code) bool {
 	switch why {
 	case code.RunTargetGone:
@@ -93,8 +90,8 @@
 	return true
 }
 
-// lostTooOften gives j up before it starts where targets were lost under earlier submissions of it,
-// too often. It reports whether it did.
+// giveUpAfterLosses gives up j before it starts if earlier submissions of it have lost too many
+// targets. It reports whether it did.
 func (o *Owner) giveUpAfterLosses(now time.Duration, j *job) bool {
 	if j.started() || j.earlierLosses < maxEarlierLosses {
 		return false
@@ -103,8 +100,8 @@
 	return true
 }
 
-// losses returns how many runs of a task of j, over all submissions, ended with the loss of their
-// target.
+// losses returns the number of runs of a task of j, over all submissions, that were lost with
+// their targets.
 func (j *job) losses() int {
 	most := 0
 	for k := range j.steps {
@@ -115,7 +112,7 @@
 	return j.earlierLosses + most
 }
 
-// recordCrash records that a target crashed with a run of t at work.
+// recordCrash records that a target crashed during a run of t.
 func (o *Owner) recordCrash(now time.Duration, a *agent, j *job, ref task.Ref, t *taskState) {
 	t.crashes = append(t.crashes, crash{agent: a, at: a.stoppedAt, exclusive: slices.Contains(t.exclusiveRuns, ref.Run)})
 	t.exclusiveUntil = now + exclusiveWaitTime
@@ -123,8 +120,7 @@
 	o.logSuspect(ref, t, a)
 }
 
-// runCrashed handles the late news that a run which had lapsed was at work when its target
-// crashed.
+// runCrashed handles a late report that a lapsed run was active when its target crashed.
 func (o *Owner) runCrashed(now time.Duration, a *agent, ref task.Ref) {
 	j := o.jobs[ref.Task.Job]
 	if j == nil {
@@ -135,8 +131,9 @@
 	}
 }
 
-// guilty reports whether t is to be given up. Its last crash counts once it shows whether other
-// targets crashed with it.
+// crashesTooOften reports whether the job of t should be given up. A crash under a task that
+// had the target to itself counts at once, any other one after correlationWindow and only if it
+// was not correlated.
 func (o *Owner) crashesTooOften(now time.Duration, t *taskState) bool {
 	count, exclusive := 0, false
 	for _, c := range t.crashes {
@@ -148,7 +145,8 @@
 	return count >= maxNonExclusiveCrashes || count >= maxCrashes && exclusive
 }
 
-// checkSuspects gives up the job of a task under which targets crash. It reports whether it did.
+// checkSuspects gives up j if one of its tasks crashes targets too often. It reports whether it
+// did.
 func (o *Owner) checkSuspects(now time.Duration, j *job) bool {
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
@@ -161,13 +159,13 @@
 	return false
 }
 
-// runsAlone reports whether t may run now on an empty target only.
+// needsEmptyTarget reports whether t may run only on an empty target at now.
 func (t *taskState) needsEmptyTarget(now time.Duration) bool {
 	return now < t.exclusiveUntil
 }
 
-// holdSuspect takes j out of its queue where its next task waits for an empty target, so that
-// others need not wait behind it. It reports whether it did; Tick puts it back.
+// deferSuspect removes j from its queue if its next task waits for an empty target, so that it
+// does not block other jobs. It reports whether it did; requeueSuspects puts the job back.
 func (o *Owner) deferSuspect(now time.Duration, j *job) bool {
 	step, index, ok := j.nextTask()
 	if !ok || !o.claimed(j) || !j.steps[step].tasks[index].needsEmptyTarget(now) {
@@ -177,7 +175,7 @@
 	return true
 }
 
-// releaseSuspects puts the jobs back into their queues that wait for empty targets.
+// requeueSuspects puts the jobs removed by deferSuspect back into their queues.
 func (o *Owner) requeueSuspects(now time.Duration) {
 	for _, j := range o.sortedJobs() {
 		if j.suspect && j.index < 0 && j.startable() && !j.joined() {
@@ -186,7 +184,7 @@
 	}
 }
 
-// needs returns the room that a run of t takes at a: all of it where t runs alone.
+// needs returns the room that a run of t takes at a: all of it if t needs an empty target.
 func (t *taskState) needs(now time.Duration, s task.Step, a *agent) task.Needs {
 	if t.needsEmptyTarget(now) {
 		return a.profile.Capacity
--- a/owner/tick.go
+++ b/owner/tick.go
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// What happens because time has passed, and in which order.
+// Periodic work and its order.
 
-// Tick acts on everything whose time has come: lost agents that are clear, jobs
-// and runs past their deadlines, refusals, and waiting tasks. It should be called
-// each TickInterval.
+// Tick performs periodic work: it clears lost agents, enforces the deadlines of jobs and runs,
+// refuses jobs and starts waiting tasks. It should be called every TickInterval.
 func (o *Owner) Tick(now time.Duration) {
 	defer o.flush(now)
 	o.checkStopped(now)
@@ -41,12 +40,12 @@
 	}
 }
 
-// sortedQueues returns the queues by service, so that histories repeat exactly.
+// sortedQueues returns the queues by service, in a deterministic order.
 func (o *Owner) sortedQueues() []*queue {
 	return slices.SortedFunc(maps.Values(o.queues), func(a, b *queue) int { return strings.Compare(a.service, b.service) })
 }
 
-// sortedJobs returns the jobs by id, so that histories repeat exactly.
+// sortedJobs returns the jobs by id, in a deterministic order.
 func (o *Owner) sortedJobs() []*job {
 	return slices.SortedFunc(maps.Values(o.jobs), func(a, b *job) int { return strings.Compare(a.spec.ID, b.spec.ID) })
 }
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -8,31 +8,27 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Watches: which agents this entry uses. It watches a few, which tell it of each change
-// of their targets' room; the others send a heartbeat now and then, and cost next to
-// nothing. Where those that it watches have no room, others are asked for some, and are
-// watched from then on. An agent of the version before is always watched.
+// An entry watches a few agents, which report each change of their targets' room. The other
+// agents send only rare heartbeats. If the watched agents have no room, others are asked for
+// room and watched from then on. Agents below peer.LevelWatch are always watched.
 const (
-	// minWatched is how many agents an entry watches at the least while jobs come. With
-	// 11 agents it watches all of them. Four scenes: 6 earned 0.0018 less (s.e. 0.0010).
+	// minWatched is the number of agents watched while jobs are submitted.
 	minWatched = 12
-	// watchedPerBusy is how many more it may watch for each agent that runs a task of
-	// it: with fewer, jobs wait while there is room elsewhere. Four scenes, worst class: 1
-	// 0.002 less (s.e. 0.001), 4 0.0026 less (s.e. 0.0016).
+	// watchedPerBusy is the number of further agents that may be watched for each agent that
+	// runs tasks of this entry.
 	watchedPerBusy = 2
-	// watchTime is how long after its last use an agent is watched, where more than
-	// minWatched are. 100 ms and 2 s: no difference.
+	// watchRetention is how long an unused agent stays watched if more than minWatched are.
 	watchRetention = 500 * time.Millisecond
-	// idleAfter is how long after the last job an entry watches nobody. Not measured.
+	// idleTime is how long after the last submission an entry stops watching agents.
 	idleTime = 10 * time.Second
 )
 
-// used reports whether the connection is in use, as the agent sees it, too.
+// used reports whether the connection is in use. The agent applies the same rule.
 func (a *agent) used() bool {
 	return a.level < peer.LevelWatch || a.watching || len(a.tasks) > 0
 }
 
-// beginWatch makes the entry watch a; it believes of no room there until it is told.
+// beginWatch starts to watch a. Its room counts as zero until the next report.
 func (o *Owner) beginWatch(now time.Duration, a *agent) {
 	if a.watching {
 		return
@@ -49,7 +45,7 @@
 	o.markDirty(a)
 }
 
-// endWatch ends the watch of a.
+// endWatch stops watching a.
 func (o *Owner) endWatch(a *agent) {
 	if !a.watching {
 		return
@@ -65,7 +61,7 @@
 	o.markDirty(a)
 }
 
-// busy returns how many of the watched agents have tasks of this entry.
+// busy returns the number of watched agents that run tasks of this entry.
 func (o *Owner) busy() int {
 	count := 0
 	for _, a := range o.watched {
@@ -76,13 +72,13 @@
 	return count
 }
 
-// mayWatch returns how many agents may be watched at once.
+// maxWatched returns the maximum number of watched agents.
 func (o *Owner) maxWatched() int {
 	return minWatched + watchedPerBusy*o.busy()
 }
 
-// adjustWatches ends the watches that are not needed, those used longest ago first, and
-// begins some where jobs come and too few agents are watched.
+// adjustWatches ends surplus watches, least recently used first, and begins new ones if jobs
+// are being submitted and too few agents are watched.
 func (o *Owner) adjustWatches(now time.Duration) {
 	keep := minWatched
 	if now-o.lastJobAt > idleTime {
@@ -105,8 +101,8 @@
 	}
 }
 
-// endEvacuatedWatches ends the watches of targets in evacuated halls on which nothing of
-// this entry runs: watches of others take their place.
+// endEvacuatedWatches stops watching targets in evacuated halls that run no task of this entry,
+// which makes room for other watches.
 func (o *Owner) endEvacuatedWatches() {
 	for _, a := range slices.Clone(o.watched) {
 		if a.evacuated && a.level >= peer.LevelWatch && len(a.tasks) == 0 {
@@ -115,8 +111,8 @@
 	}
 }
 
-// leastUsed returns the watched agent whose watch may end and that was used longest ago,
-// or nil. Ejected targets stay watched: somebody must probe them.
+// leastUsed returns the least recently used agent whose watch may end, or nil. Ejected targets
+// stay watched so that they are probed.
 func (o *Owner) leastUsed(now time.Duration) *agent {
 	var least *agent
 	for _, a := range o.watched {
@@ -130,9 +126,8 @@
 	return least
 }
 
-// unwatched returns an agent that is not watched and meets the condition, or nil: one of this
-// entry's own, if there is any. It looks from a random one on, so that entries spread over the
-// agents.
+// pickUnwatched returns an unwatched agent that meets the condition, or nil, and prefers own
+// agents. The search starts at a random agent so that entries spread over the agents.
 func (o *Owner) pickUnwatched(meets func(*agent) bool) *agent {
 	if len(o.watched) == len(o.byName) {
 		return nil
@@ -154,7 +149,7 @@
 	return other
 }
 
-// Level returns the level that an agent understands.
+// Level returns the protocol level of an agent.
 func (o *Owner) Level(agent string) peer.Level {
 	if a := o.agents[agent]; a != nil {
 		return a.level
@@ -162,9 +157,9 @@
 	return peer.LevelBase
 }
 
-// SilentTooLong reports whether the connection to an agent should be given up. One without
-// runs of this entry is given up soon after a claim was left unanswered: nothing is lost by it,
-// and a new connection may work where the open one went silent for good. So is one to a quiet agent of a
+// SilentTooLong reports whether the connection to an agent should be closed. A connection
+// without runs is closed soon after a claim was left unanswered, since a new connection may
+// work where the old one has stalled. So is the connection to an unresponsive agent of a
 // suspected hall.
 func (o *Owner) SilentTooLong(now time.Duration, name string) bool {
 	a := o.agents[name]
