--- a/owner/bounds_test.go
+++ b/owner/bounds_test.go
@@ -11,7 +11,7 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-// bytesInUse returns the bytes that are in use after a collection.
+// bytesInUse returns the size of the heap after a garbage collection.
 func bytesInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -19,11 +19,10 @@
 	return m.HeapAlloc
 }
 
-// TestAnEntrysStateIsBounded presses 3,500 jobs on an entry that knows 1,200 agents, all of
-// them full: it holds as many jobs as it may, refuses the others at once, and its state takes
-// less than a quarter of the 64 MB of a process.
+// Guards against unbounded memory: 3,500 jobs at an entry with 1,200 full agents may use 16 MB,
+// a quarter of the process's limit, and those beyond maxJobs are refused.
 func TestMemoryIsBounded(t *testing.T) {
-	const most = 16 << 20 // bytes
+	const limit = 16 << 20 // bytes
 	before := bytesInUse()
 	o := newFleet(1200)
 	for _, a := range o.byName {
@@ -34,7 +33,7 @@
 	for k := range 3500 {
 		j := jobOf(fmt.Sprintf("%016x", k), 8)
 		j.Spec = fmt.Sprintf("%1200d", k)
-		j.Steps[0].Estimate = time.Minute // nobody is refused for being late
+		j.Steps[0].Estimate = time.Minute // no job is refused as late
 		o.Submit(now, j, func(a Answer) {
 			if a.Why == code.QueueFull {
 				refused++
@@ -44,7 +43,7 @@
 	used := bytesInUse() - before
 	assert.Equal(t, o.Jobs(), maxJobs)
 	assert.Equal(t, refused, 3500-maxJobs)
-	assert.Assert(t, used < most, "%d bytes", used)
+	assert.Assert(t, used < limit, "%d bytes", used)
 	t.Logf("%.1f MB with 1,200 agents and %d jobs of 8 tasks", float64(used)/(1<<20), o.Jobs())
 	runtime.KeepAlive(o)
 }
--- a/owner/cancel.go
+++ b/owner/cancel.go
@@ -37,12 +37,12 @@
 		l.answers = append(l.answers, answer)
 		return
 	}
-	asked := o.sendCancellations(id)
-	if asked == 0 {
+	sent := o.sendCancellations(id)
+	if sent == 0 {
 		answer(false)
 		return
 	}
-	o.lookups[id] = &lookup{since: now, homes: asked, answers: []func(bool){answer}}
+	o.lookups[id] = &lookup{since: now, homes: sent, answers: []func(bool){answer}}
 }
 
 // sendCancellations sends a cancellation to the agents that would be homes of the job and
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -136,20 +136,20 @@
 // releaseLaterHomes releases the claims of j at the homes of higher rank and returns those
 // homes.
 func (o *Owner) releaseLaterHomes(j *job, rank claim.Rank) []*agent {
-	var given []*agent
+	var released []*agent
 	for _, h := range j.homes {
 		if h.rank > rank {
-			given = append(given, h.agent)
+			released = append(released, h.agent)
 			o.sendSettlement(h.agent, claim.Settlement{Job: j.spec.ID, Clear: !j.started(), Ran: j.mayHaveRun()}, true)
 		}
 	}
 	j.homes = slices.DeleteFunc(j.homes, func(h home) bool { return h.rank > rank })
-	return given
+	return released
 }
 
 // yield stops the runs of j, which another entry holds. The job then waits like one that was
 // never started here. The released homes are informed when the runs have ended.
-func (o *Owner) yield(now time.Duration, j *job, given []*agent) {
+func (o *Owner) yield(now time.Duration, j *job, released []*agent) {
 	o.stats.Yielded++
 	o.logYielded(now, j)
 	o.detachRuns(j)
@@ -161,7 +161,7 @@
 		}
 	}
 	if e := o.dropped[j.spec.ID]; e != nil {
-		e.homes, e.remoteWaiter = given, true
+		e.homes, e.remoteWaiter = released, true
 	}
 	j.orders = 0
 	j.queue.remove(j)
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -13,8 +13,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newClaimBench returns an owner that is connected to agents at which jobs are claimed, by turns
-// in two data halls.
+// newClaimHarness returns an owner connected to agents that support claims, alternating between
+// two data halls.
 func newClaimHarness(t *testing.T, agents int) *harness {
 	t.Helper()
 	b := newHarness(t)
@@ -32,12 +32,12 @@
 	return b
 }
 
-// reply has a home say something of a job.
+// reply has a home reply to a claim.
 func (b *harness) reply(a *agent, r claim.Reply) {
 	b.Receive(b.now, a.name, &peer.Frame{Claimed: []claim.Reply{r}})
 }
 
-// homesOf returns the agents at which a job is claimed, the least rank first.
+// homesOf returns the agents at which a job is claimed, lowest rank first.
 func (b *harness) homesOf(id string) []*agent {
 	var list []*agent
 	for _, h := range b.jobs[id].homes {
@@ -46,7 +46,7 @@
 	return list
 }
 
-// grantAll has the homes of a job grant it.
+// grantAll has the homes of a job grant the claim.
 func (b *harness) grantAll(id string) []*agent {
 	homes := b.homesOf(id)
 	for _, a := range homes {
@@ -55,7 +55,7 @@
 	return homes
 }
 
-// allStarts returns the orders that all agents have got.
+// allStarts returns the start orders sent to all agents.
 func (b *harness) allStarts() []task.Order {
 	var list []task.Order
 	for _, a := range b.byName {
@@ -64,7 +64,7 @@
 	return list
 }
 
-// settled returns what an agent was told of jobs, in all frames and in the one that collects.
+// settled returns the settlements sent to an agent, including those in its next frame.
 func (b *harness) settled(a *agent) []claim.Settlement {
 	var list []claim.Settlement
 	for _, f := range b.frames[a.name] {
@@ -73,7 +73,7 @@
 	return append(list, a.out.Settled...)
 }
 
-// endAll has the runs of all orders so far end.
+// endAll reports the end of the runs of all orders so far.
 func (b *harness) endAll(end task.End) {
 	for _, a := range b.byName {
 		for _, o := range b.starts(a.name) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestAllEntriesChooseTheSameHomes whatever the order in which they met the agents.
+// Entries that choose different homes could both start the same job.
 func TestHomesDoNotDependOnConnectionOrder(t *testing.T) {
 	first, second := newClaimHarness(t, 9), newHarness(t)
 	for k := 8; k >= 0; k-- {
@@ -118,8 +118,7 @@
 	}
 }
 
-// TestAJobThatAnotherEntryHasIsJoined: nothing starts here, it is not refused as not run, and
-// the other entry's answer is this one's.
+// A job that another entry holds must not start here, nor be refused as not run.
 func TestHeldJobIsJoinedAndNotStarted(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
@@ -138,7 +137,7 @@
 	assert.Equal(t, b.Stats().Joined, uint64(2))
 }
 
-// TestAJoinedJobIsTakenOver once its homes grant it.
+// Guards against a joined job that never starts after its homes have granted the claim.
 func TestJoinedJobStartsAfterTakeover(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
@@ -150,7 +149,7 @@
 	assert.Equal(t, len(b.allStarts()), 1)
 }
 
-// TestOfTwoEntriesOneGivesBack: the one that has only the home of the higher rank.
+// Guards against a deadlock of two entries that each hold one home of a job.
 func TestLaterHomeIsReleasedOnConflict(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
@@ -159,21 +158,21 @@
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	assert.DeepEqual(t, b.settled(homes[1]), []claim.Settlement{{Job: "1", Clear: true, Ran: true}})
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Granted})
-	assert.Equal(t, len(b.allStarts()), 0) // the other one is claimed anew
+	assert.Equal(t, len(b.allStarts()), 0) // the other home is claimed again
 	b.grantAll("1")
 	assert.Equal(t, len(b.allStarts()), 1)
 }
 
-// TestARunningJobYields where the home of the least rank says that another entry has it.
+// Guards against a job that keeps running at two entries after conflicting claims.
 func TestRunningJobYieldsAfterContestTimeout(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	assert.Equal(t, len(b.allStarts()), 1)
-	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Held}) // the later rank: that one yields
+	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Held}) // higher rank: the other entry yields
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
-	assert.Equal(t, b.Stats().Yielded, uint64(0)) // the other one may have started nothing
+	assert.Equal(t, b.Stats().Yielded, uint64(0)) // the other entry may have started nothing
 	b.advance(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(1))
 	stops := 0
@@ -189,7 +188,7 @@
 	assert.Equal(t, len(b.allStarts()), 1)
 }
 
-// TestARunningJobGoesOnWhereTheOtherEntryGivesItBack: it had started nothing.
+// Guards against a stop of running tasks if the other entry has started nothing.
 func TestRunningJobContinuesAfterTransfer(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
@@ -199,17 +198,17 @@
 	b.advance(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 
-	b.submit(jobOf("2", 1)) // the other side of it
+	b.submit(jobOf("2", 1)) // the entry that has started nothing
 	homes = b.homesOf("2")
 	b.reply(homes[0], claim.Reply{Job: "2", State: claim.Granted})
 	b.reply(homes[1], claim.Reply{Job: "2", State: claim.Held})
 	b.Receive(b.now, homes[0].name, &peer.Frame{Interests: []claim.Interest{{Job: "2", Waits: true, Begun: true}}})
 	assert.DeepEqual(t, b.settled(homes[0])[0], claim.Settlement{Job: "2", Clear: true, Ran: true})
 	last := b.frames[homes[0].name][len(b.frames[homes[0].name])-1]
-	assert.Equal(t, len(last.Claims), 1) // it waits there for the answer
+	assert.Equal(t, len(last.Claims), 1) // joins the job at the home
 }
 
-// TestASilentHomeIsReplaced, and is one again when it is heard from.
+// Guards against a job that waits forever for a silent home.
 func TestSilentHomeIsReplacedAndRestored(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
@@ -233,8 +232,7 @@
 	assert.Equal(t, b.Stats().SilentHomes, uint64(1))
 }
 
-// TestAnEntryThatIsCutOffStartsNothingNew: most agents are silent, so that others may find other
-// homes for its jobs.
+// While most agents are silent, other entries may choose other homes for the same jobs.
 func TestIsolatedEntryStartsNoNewJobs(t *testing.T) {
 	b := newClaimHarness(t, 5)
 	for n := range 20 {
@@ -260,8 +258,7 @@
 	assert.Assert(t, !b.Isolated())
 }
 
-// TestADroppedJobIsFreeWhenItsRunsHaveEnded: its homes hear of it only then, and the job does
-// not start anew here before.
+// Guards against a second start of a job, here or elsewhere, while dropped runs are active.
 func TestDroppedJobIsClearedOnlyAfterRunsEnd(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	caller := b.submit(jobOf("1", 1))
@@ -273,12 +270,13 @@
 	assert.Equal(t, len(b.allStarts()), 1)
 	b.endAll(task.EndStopped)
 	assert.DeepEqual(t, b.settled(homes[0]), []claim.Settlement{{Job: "1", Clear: true, Ran: true}})
-	assert.Equal(t, len(b.allStarts()), 1) // claimed anew first
+	assert.Equal(t, len(b.allStarts()), 1) // not before it is claimed again
 	b.grantAll("1")
 	assert.Equal(t, len(b.allStarts()), 2)
 }
 
-// TestAJobGoesOnForAnotherEntry whose caller waits for it, when its own has gone.
+// Guards against the stop of a job whose local caller has left while another entry waits for
+// it.
 func TestJobContinuesForRemoteWaiter(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	caller := b.submit(jobOf("1", 1))
@@ -327,8 +325,7 @@
 	assert.Equal(t, b.answers["here"].Kind, Cancelled)
 }
 
-// TestRoomIsHeldForAClaimUnderWay: the reservation and the claim are asked for at once, and one
-// may come before the other.
+// Guards against the loss of a reservation that arrives before the claim is granted.
 func TestReservationIsHeldDuringClaim(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	for _, a := range b.byName {
@@ -356,22 +353,21 @@
 	for _, f := range b.frames[from.name] {
 		last = max(last, f.UsedReservation)
 	}
-	assert.Equal(t, last, uint64(8)) // given back
+	assert.Equal(t, last, uint64(8)) // returned
 }
 
-// TestAnEntryThatEndsLeavesItsAnswers at the homes.
+// Guards against answers that are lost when the process exits.
 func TestLeaveFlushesSettlements(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.endAll(task.EndDone)
-	assert.Equal(t, len(homes[0].out.Settled), 1) // waits for a frame
+	assert.Equal(t, len(homes[0].out.Settled), 1) // waits for the next frame
 	b.Leave(b.now)
 	assert.Equal(t, len(homes[0].out.Settled), 0)
 }
 
-// TestWithoutAgentsOfThisVersionJobsAreNotClaimed: an upgrade replaces one process after the
-// other.
+// Guards against jobs that never start during an upgrade, before any agent supports claims.
 func TestJobsStartUnclaimedWithLegacyAgents(t *testing.T) {
 	b := newHarness(t, "a", "b")
 	b.submit(jobOf("1", 1))
--- a/owner/comeback_test.go
+++ b/owner/comeback_test.go
@@ -10,8 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestCallersReturnOneAfterTheOther: targets take 2 core-seconds of returning work a
-// second, and each job has one: its caller is given half a second.
+// Targets accept 2 core-seconds of retried work a second, and each job has one, so retries are
+// 500 ms apart.
 func TestRetriesAreSpread(t *testing.T) {
 	const rate, work = 2.0, 1.0
 	var r retrySchedule
@@ -19,11 +19,11 @@
 	for _, want := range []time.Duration{500 * ms, time.Second, 1500 * ms} {
 		assert.Equal(t, r.next(now, work, rate, false), want)
 	}
-	assert.Equal(t, r.next(now, work, rate, true), minRetryAfter, "the most urgent go ahead")
-	assert.Equal(t, r.next(now, work, rate, true), time.Second, "one after the other as well")
-	assert.Equal(t, r.next(now, work, rate, false), 3*time.Second, "and the others make room")
-	assert.Equal(t, r.next(now+time.Minute, work, rate, false), minRetryAfter, "what was long ago is over")
-	assert.Equal(t, r.next(now, work, 0, false), RetryAfter, "no target takes work")
+	assert.Equal(t, r.next(now, work, rate, true), minRetryAfter, "most urgent priority first")
+	assert.Equal(t, r.next(now, work, rate, true), time.Second, "most urgent priority spread as well")
+	assert.Equal(t, r.next(now, work, rate, false), 3*time.Second, "other priorities after the most urgent")
+	assert.Equal(t, r.next(now+time.Minute, work, rate, false), minRetryAfter, "old assignments expired")
+	assert.Equal(t, r.next(now, work, 0, false), RetryAfter, "no target accepts work")
 
 	r = retrySchedule{}
 	for range 100 {
@@ -31,8 +31,7 @@
 	}
 }
 
-// TestTheTimeToComeBackOutlivesTheTargets: the load that was known last counts while no
-// target takes work, and from an agent's first state on.
+// Guards against a retry-after time without load data while no target accepts work.
 func TestLastWorkRateOutlivesTargets(t *testing.T) {
 	o := newTestOwner()
 	q := o.queue("s")
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -89,13 +89,13 @@
 		return
 	}
 	a.lastFrameAt = now
-	back := a.silentSince > 0
+	wasSilent := a.silentSince > 0
 	a.silentSince = 0
 	if f.Hello != nil {
 		a.level = f.Hello.Level
 		a.wasHome = a.level >= peer.LevelClaim
 	}
-	if f.Hello != nil || back {
+	if f.Hello != nil || wasSilent {
 		o.claimJobsAt(now, a)
 	}
 	if a.level < peer.LevelWatch {
@@ -132,9 +132,9 @@
 // are stopped so that they can be retried elsewhere.
 func (o *Owner) updateState(now time.Duration, a *agent, st *peer.State) {
 	ejected := st.Health == peer.Ejected && a.state.Health != peer.Ejected
-	accepted := a.state.Accepting
+	wasAccepting := a.state.Accepting
 	a.applyState(st)
-	a.recordAccepting(now, accepted)
+	a.recordAccepting(now, wasAccepting)
 	if st.Profile != nil {
 		a.lastHall = a.profile.Hall
 		o.setEvacuated(a)
--- a/owner/decision_bench_test.go
+++ b/owner/decision_bench_test.go
@@ -10,9 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// BenchmarkDecision is one task from its submission to the answer, among so many agents:
-// requests for room, a reservation, the order, the end, and a share of the ticks at 1,300
-// jobs a second.
+// BenchmarkDecision measures one task from submission to answer, with its room requests,
+// reservation, order and end, and its share of the ticks at 1,300 jobs a second.
 func BenchmarkDecision(b *testing.B) {
 	const jobsPerTick = 1300 * int(TickInterval) / int(time.Second)
 	for _, agents := range []int{11, 70, 240, 1200} {
@@ -52,14 +51,14 @@
 	}
 }
 
-// halfFull returns the state of a target in a hall that has half of its room left.
+// halfFull returns the state of a target in a hall with half of its room free.
 func halfFull(hall string) *peer.State {
 	return &peer.State{Profile: &peer.Profile{Service: "trackd", Hall: hall, Capacity: task.Needs{CPU: 16000, MemoryMB: 100}},
 		Free: task.Needs{CPU: 8000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: 1}
 }
 
-// newFleet returns an owner that is connected to so many agents by turns in three halls,
-// since an hour after its start.
+// newFleet returns an owner connected to the given number of agents in three halls, at one hour
+// of virtual time.
 func newFleet(agents int) *Owner {
 	o := NewOwner(slog.New(slog.DiscardHandler))
 	o.Send = func(string, *peer.Frame) uint64 { return 1 }
@@ -72,8 +71,8 @@
 	return o
 }
 
-// BenchmarkRoomRequests is one look at whom to ask for room, while every target is full and
-// jobs wait.
+// BenchmarkRoomRequests measures the choice of agents to ask for room while all targets are
+// full.
 func BenchmarkRoomRequests(b *testing.B) {
 	for _, agents := range []int{11, 70, 240, 1200} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
@@ -84,7 +83,7 @@
 			}
 			q := o.queue("trackd")
 			for _, a := range o.byName {
-				a.lastFrameAt = now + time.Hour // whenever it is looked at, it was just heard of
+				a.lastFrameAt = now + time.Hour // keeps the state fresh
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -95,8 +94,8 @@
 	}
 }
 
-// BenchmarkFirstSecond is the first second of an entry: every agent connects and reports
-// itself, 20 jobs come, and 50 ticks pass.
+// BenchmarkFirstSecond measures the first second of an entry: all agents connect and report, 20
+// jobs arrive, and 50 ticks pass.
 func BenchmarkFirstSecond(b *testing.B) {
 	for _, agents := range []int{11, 70, 240, 1200} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
--- a/owner/estimates_test.go
+++ b/owner/estimates_test.go
@@ -10,7 +10,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newTestOwner returns an owner with agents whose targets have these speeds.
+// newTestOwner returns an owner with agents whose targets have the given speeds.
 func newTestOwner(speeds ...float64) *Owner {
 	o := NewOwner(slog.New(slog.DiscardHandler))
 	o.Send = func(string, *peer.Frame) uint64 { return 1 }
@@ -25,8 +25,8 @@
 	return o
 }
 
-// TestTheObjectiveCountsTheLongestTask: eight tasks take longer than one, and callers
-// whose guesses are off all alike are understood by the speeds learned from them.
+// Guards against objectives that ignore the longest of many tasks, or the speeds of the
+// targets.
 func TestObjectiveCountsLongestTask(t *testing.T) {
 	guess := 100 * ms
 	job := func(tasks int) task.Job {
@@ -37,15 +37,15 @@
 	eight := o.withEstimates(job(8), o.usualSpeed("s"))
 	assert.Equal(t, one.Objective().Round(ms), 2*guess)
 	assert.Assert(t, eight.Objective() > 5*one.Objective()/4, eight.Objective())
-	assert.Equal(t, eight.Steps[0].Estimate, one.Steps[0].Estimate, "one task takes as long in either")
+	assert.Equal(t, eight.Steps[0].Estimate, one.Steps[0].Estimate, "the estimate of one task does not depend on their number")
 
-	o = newTestOwner(0.25, 0.5, 0.5) // all take twice the guess; one target is sick
+	o = newTestOwner(0.25, 0.5, 0.5) // tasks take twice the guess; one target is slow
 	one = o.withEstimates(job(1), o.usualSpeed("s"))
 	assert.Equal(t, one.Objective().Round(ms), 4*guess)
 }
 
-// TestTheFirstEndCorrectsTheObjective: a task that takes three times the estimate
-// makes the objective later; the other tasks are likely to take a little longer still.
+// Guards against objectives that stay too early when the first task takes three times its
+// estimate.
 func TestFirstTaskDurationCorrectsObjective(t *testing.T) {
 	o := newTestOwner(1)
 	spec := task.Job{Queue: "q", Service: "s", ObjectiveFactor: 2, Steps: []task.Step{{Count: 4, Estimate: 100 * ms}}}
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -13,14 +13,14 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// stateIn has an agent report an empty target in a hall.
+// reportStateIn has an agent report an empty target in a hall.
 func (b *harness) reportStateIn(agent, hall string, labels ...string) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Hall: hall, Labels: labels, Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
 		Free:    task.Needs{CPU: 4000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
-// newHallBench returns an owner whose agents stand in halls of the same names.
+// newHallHarness returns an owner with one agent in each hall, named after the hall.
 func newHallHarness(t *testing.T, halls ...string) *harness {
 	t.Helper()
 	b := newHarness(t, halls...)
@@ -31,13 +31,12 @@
 	return b
 }
 
-// evacuate has the owner hear from the store which halls are evacuated.
+// evacuate sets the evacuated halls as read from the store.
 func (b *harness) evacuate(revision uint64, halls ...string) {
 	b.Evacuate(b.now, evacuation.NewSet(revision, halls), "store")
 }
 
-// TestNothingIsOrderedInAnEvacuatedHall: neither orders nor requests for room go there, and
-// its room does not count for the rate.
+// Guards against orders and room requests in an evacuated hall, and against counting its room.
 func TestEvacuatedHallGetsNoWork(t *testing.T) {
 	b := newHallHarness(t, "mtm", "sulph")
 	b.submit(jobOf("1", 1))
@@ -53,10 +52,10 @@
 	assert.Equal(t, len(b.starts("sulph"))+before, 4+before)
 
 	b.evacuate(9)
-	assert.Equal(t, len(b.starts("mtm")) > before, true, "the hall was taken back: what waits goes there")
+	assert.Equal(t, len(b.starts("mtm")) > before, true, "waiting tasks start there after the evacuation")
 }
 
-// TestAWatchOfAnEvacuatedTargetEnds: it makes room for the watch of another one.
+// Guards against evacuated targets that take up the limited number of watches.
 func TestEvacuatedTargetIsUnwatched(t *testing.T) {
 	b := newWatchHarness(t, 30)
 	for k, a := range b.byName {
@@ -72,8 +71,8 @@
 	assert.Equal(t, len(b.watched), minWatched)
 }
 
-// TestAnOrderThatWasRejectedForAnEvacuationGoesElsewhereAtOnce: the agent's frame says why,
-// the task loses no attempt, and the refusal of its job would still be true.
+// Guards against a lost attempt, or a job counted as started, after a rejection for an
+// evacuation.
 func TestEvacuationRejectionIsRetriedImmediately(t *testing.T) {
 	b := newHallHarness(t, "mtm", "sulph")
 	b.submit(jobOf("1", 1))
@@ -91,8 +90,8 @@
 	assert.Equal(t, j.orders, 1)
 }
 
-// TestJobsThatOnlyEvacuatedTargetsMayRunAreRefusedAtOnce: with every hall evacuated, or each
-// one that has the label; with a time to come back. A job that has started goes on.
+// Guards against jobs that wait for a hall whose evacuation may not end; started jobs must
+// continue.
 func TestJobsNeedingEvacuatedTargetsAreRefused(t *testing.T) {
 	b := newHallHarness(t, "mtm", "sulph")
 	b.reportStateIn("mtm", "mtm", "gpu")
@@ -108,7 +107,7 @@
 	assert.Equal(t, b.answers["any"].Kind, Kind(0))
 
 	b.submit(jobOf("waits", 9))
-	b.submit(jobOf("last", 1)) // no room is left
+	b.submit(jobOf("last", 1)) // no free room
 	b.evacuate(8, "mtm", "sulph")
 	b.advance(TickInterval)
 	assert.Equal(t, b.answers["last"].Why, code.JobEvacuated)
@@ -117,7 +116,7 @@
 	assert.Equal(t, b.answers["new"].Why, code.JobEvacuated)
 }
 
-// TestAnEntryThatHasJustStartedWaitsForOtherHalls: the agents that it knows may not be all.
+// Guards against refusals while agents in other halls may not have connected yet.
 func TestNoEvacuationRefusalDuringDiscovery(t *testing.T) {
 	b := newHarness(t, "mtm")
 	b.reportStateIn("mtm", "mtm")
@@ -131,9 +130,8 @@
 	assert.Equal(t, len(b.starts("sulph")), 1)
 }
 
-// TestAnEvacuationIsToldAtOnceWhereItMatters: agents whose hall changes are told at once, the
-// others with the next frame to them, each once; the first frame to an agent that connects
-// has it.
+// Agents in the hall are informed at once, the others with their next frame, and each only
+// once.
 func TestEvacuationReachesAffectedAgentsFirst(t *testing.T) {
 	b := newWatchHarness(t, 20)
 	for k, a := range b.byName {
@@ -141,7 +139,7 @@
 	}
 	b.submit(jobOf("1", 1))
 	b.advance(40 * ms)
-	told := func() int {
+	informed := func() int {
 		count := 0
 		for _, a := range b.byName {
 			for _, f := range b.frames[a.name] {
@@ -157,16 +155,15 @@
 	for _, a := range b.byName {
 		assert.Assert(t, a.profile.Hall != "mtm" || a.knownEvacuations == 7, a.name)
 	}
-	assert.Assert(t, told() < 20)
+	assert.Assert(t, informed() < 20)
 	b.advance(peer.IdleHeartbeatInterval)
 	b.Heartbeats(b.now)
-	assert.Equal(t, told(), 20)
+	assert.Equal(t, informed(), 20)
 	b.Connected(b.now, "new")
 	assert.Equal(t, b.frames["new"][0].Evacuations.Revision, uint64(7))
 }
 
-// TestNewsOfAnAgentReachesTheOthers: an entry that can't reach the store hears it from an
-// agent and hands it on, but not back.
+// An entry without access to the store forwards an agent's notice to the others, but not back.
 func TestEvacuationIsForwardedToOtherAgents(t *testing.T) {
 	b := newHallHarness(t, "a", "b", "c")
 	b.frames = make(map[string][]*peer.Frame)
@@ -186,7 +183,7 @@
 	}
 }
 
-// BenchmarkEvacuate tells an entry of an evacuated hall, and of its end.
+// BenchmarkEvacuate measures the start and the end of an evacuation.
 func BenchmarkEvacuate(b *testing.B) {
 	for _, agents := range []int{11, 70, 240, 1200} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
--- a/owner/home.go
+++ b/owner/home.go
@@ -111,11 +111,11 @@
 	o.link.add(now, frameBytes)
 	j.homes = append(j.homes, home{agent: a, rank: claim.RankOf(j.hash, a.hash), askedAt: now + o.link.delay(now, 0)})
 	slices.SortFunc(j.homes, func(x, y home) int { return cmp.Compare(x.rank, y.rank) })
-	lasts := time.Duration(0)
+	lifetime := time.Duration(0)
 	if j.callerDeadline > 0 {
-		lasts = max(time.Millisecond, j.callerDeadline-now)
+		lifetime = max(time.Millisecond, j.callerDeadline-now)
 	}
-	a.out.Claims = append(a.out.Claims, claim.Claim{Job: j.spec.ID, Lasts: lasts, Begun: j.started()})
+	a.out.Claims = append(a.out.Claims, claim.Claim{Job: j.spec.ID, Lasts: lifetime, Begun: j.started()})
 	o.markDirty(a)
 }
 
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -121,8 +121,8 @@
 	var best *agent
 	var least claim.Rank
 	for _, a := range o.byName {
-		lately := a.answers() || a.wasHome && now-a.lastFrameAt <= isolationTime
-		if !a.home || !lately || other != nil && a.lastHall == other.lastHall {
+		recent := a.answers() || a.wasHome && now-a.lastFrameAt <= isolationTime
+		if !a.home || !recent || other != nil && a.lastHall == other.lastHall {
 			continue
 		}
 		if rank := claim.RankOf(j.hash, a.hash); best == nil || rank < least {
--- a/owner/outage_test.go
+++ b/owner/outage_test.go
@@ -11,12 +11,12 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// pass lets time go on while the agents that speak are heard from.
-func (b *harness) advanceWith(d time.Duration, speaks func(k int) bool) {
+// advanceWith lets time pass while the selected agents send frames.
+func (b *harness) advanceWith(d time.Duration, responds func(k int) bool) {
 	for end := b.now + d; b.now < end; {
 		b.now += TickInterval
 		for k, a := range b.byName {
-			if speaks(k) {
+			if responds(k) {
 				b.Receive(b.now, a.name, &peer.Frame{})
 			}
 		}
@@ -24,18 +24,18 @@
 	}
 }
 
-// inFirstHall reports whether an agent of newClaimBench stands in hall mtm.
+// inFirstHall reports whether the k-th agent of newClaimHarness is in hall mtm.
 func inFirstHall(k int) bool {
 	return k%2 == 0
 }
 
 func all(int) bool { return true }
 
-// TestAHallThatFallsSilentIsSuspected: nothing is ordered there, its quiet connections are given
-// up and carry no heartbeats, and one frame ends it.
+// A suspected hall gets no heartbeats, its connections are closed, and one frame ends the
+// suspicion.
 func TestUnresponsiveHallIsSuspected(t *testing.T) {
 	b := newClaimHarness(t, 8)
-	b.lastJobAt = b.now // it watches agents while jobs come
+	b.lastJobAt = b.now // keeps agents watched
 	b.advanceWith(time.Second, all)
 	b.advanceWith(unresponsiveTime, func(k int) bool { return !inFirstHall(k) })
 	assert.Equal(t, b.HallsSuspected(), 0)
@@ -52,29 +52,30 @@
 	assert.Equal(t, b.HallsSuspected(), 0)
 }
 
-// TestOneVoiceIsEnoughAgainstASuspicion, and an entry that hears from nobody suspects itself.
+// Guards against suspicion of a hall with one responsive agent, or by an entry that is cut off
+// itself.
 func TestHallIsNotSuspectedOnPartialSilence(t *testing.T) {
-	for name, speaks := range map[string]func(int) bool{
+	for name, responds := range map[string]func(int) bool{
 		"one of the hall": func(k int) bool { return k == 0 || !inFirstHall(k) },
 		"nobody":          func(int) bool { return false },
 	} {
 		b := newClaimHarness(t, 8)
 		b.lastJobAt = b.now
 		b.advanceWith(time.Second, all)
-		b.advanceWith(time.Second, speaks)
+		b.advanceWith(time.Second, responds)
 		assert.Equal(t, b.HallsSuspected(), 0, name)
-		b.advanceWith(2*TickInterval, func(k int) bool { return !inFirstHall(k) }) // these are heard first
+		b.advanceWith(2*TickInterval, func(k int) bool { return !inFirstHall(k) }) // the other hall responds first
 		assert.Equal(t, b.HallsSuspected(), 0, name)
 	}
 }
 
-// TestJobsThatCantWaitForALostHallAreGivenUp at once; those that can go on.
+// Jobs that can't wait for ClearTime are given up at once; others must continue.
 func TestHopelessJobsInSuspectedHallAreGivenUp(t *testing.T) {
 	b := newClaimHarness(t, 8)
 	b.lastJobAt = b.now
 	b.advanceWith(time.Second, all)
 	for n := range 4 {
-		b.now += ms // no job waits behind another
+		b.now += ms // avoids refusals in the backlog
 		short, long := jobOf(fmt.Sprint("short-", n), 1), jobOf(fmt.Sprint("long-", n), 1)
 		long.ObjectiveFactor = 30
 		for _, j := range []string{short.ID, long.ID} {
@@ -94,16 +95,16 @@
 	}
 	b.advanceWith(unresponsiveTime+TickInterval, func(k int) bool { return !inFirstHall(k) })
 	assert.Equal(t, b.HallsSuspected(), 1)
-	given := 0
+	givenUp := 0
 	for n := range 4 {
 		short, long := fmt.Sprint("short-", n), fmt.Sprint("long-", n)
 		assert.Equal(t, b.answers[long].Why, code.OK)
 		there, started := inHall[short]
 		if !started {
-			continue // it waits for room
+			continue // still waits for room
 		}
 		if there {
-			given++
+			givenUp++
 			assert.Equal(t, b.answers[short].Why, code.JobHallLost)
 			assert.Equal(t, b.answers[short].Kind, GivenUp)
 			assert.Assert(t, b.answers[short].Retry >= minRetryAfter)
@@ -111,14 +112,14 @@
 		}
 		assert.Equal(t, b.answers[short].Why, code.OK)
 	}
-	assert.Assert(t, given > 0)
+	assert.Assert(t, givenUp > 0)
 }
 
-// TestAPartIsNoIsolation: an entry in a hall that is cut from the others reaches its own hall whole,
-// and starts there what comes; one that reaches a few agents of each hall is cut off itself.
+// An entry that reaches its own hall must start jobs; one that reaches a few agents of each
+// must not.
 func TestPartitionIsNotIsolation(t *testing.T) {
 	for name, c := range map[string]struct {
-		speaks   func(k int) bool
+		responds func(k int) bool
 		isolated bool
 	}{
 		"its own hall":           {func(k int) bool { return k%3 == 0 }, false},
@@ -136,11 +137,11 @@
 			}
 			b.advanceWith(time.Second, all)
 			for k, a := range b.byName {
-				if !c.speaks(k) {
+				if !c.responds(k) {
 					b.Disconnected(b.now, b.now, a.name)
 				}
 			}
-			b.advanceWith(TickInterval, c.speaks)
+			b.advanceWith(TickInterval, c.responds)
 			assert.Equal(t, b.Isolated(), c.isolated)
 		})
 	}
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-// bench is an owner whose frames are kept.
+// harness drives an owner in virtual time and records its frames and answers.
 type harness struct {
 	*Owner
 	t       *testing.T
@@ -26,8 +26,7 @@
 	answers map[string]Answer
 }
 
-// newBench returns an owner that is connected to agents, each with a target of
-// four cores.
+// newHarness returns an owner that is connected to agents, each with a target of four cores.
 func newHarness(t *testing.T, agents ...string) *harness {
 	t.Helper()
 	b := &harness{t: t, now: 10 * time.Second, frames: make(map[string][]*peer.Frame), answers: make(map[string]Answer)}
@@ -44,29 +43,31 @@
 	return b
 }
 
-// state has an agent report its target's state, with all orders so far in it.
+// reportState has an agent report its target's state, which includes all orders sent so far.
 func (b *harness) reportState(agent string, cpu int, speed float64, health peer.Health) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
 		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
+// jobOf returns a job of one step with the given number of tasks of one core and 100 ms each.
 func jobOf(id string, tasks int) task.Job {
 	return task.Job{ID: id, Queue: "q", Service: "trackd", Attempts: 2, ObjectiveFactor: 1.6, ObjectiveSlack: 60 * ms,
 		Steps: []task.Step{{Count: tasks, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}}}
 }
 
+// submit submits a job and records its answer.
 func (b *harness) submit(j task.Job) uint64 {
 	return b.Submit(b.now, j, func(a Answer) { b.answers[j.ID] = a })
 }
 
-// cancel cancels a job on a caller's order and returns whether it was known at once.
+// cancel cancels a job on a caller's request and returns whether it was known at once.
 func (b *harness) cancel(id string) (known bool) {
 	b.CancelJob(b.now, id, func(k bool) { known = k })
 	return known
 }
 
-// starts returns the orders that an agent has got.
+// starts returns the start orders sent to an agent.
 func (b *harness) starts(agent string) []task.Order {
 	var list []task.Order
 	for _, f := range b.frames[agent] {
@@ -75,13 +76,13 @@
 	return list
 }
 
-// ended has an agent report how a run ended.
+// reportEnd has an agent report the end of a run.
 func (b *harness) reportEnd(agent string, o task.Order, end task.End, why code.Code) {
 	b.Receive(b.now, agent, &peer.Frame{Ended: []peer.Ended{{
 		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: end, Reason: why, Took: 100 * ms}}})
 }
 
-// wait lets time go on, with all agents in touch.
+// advance lets time pass while all agents send frames.
 func (b *harness) advance(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now += 20 * ms
@@ -117,7 +118,7 @@
 	assert.Equal(t, len(b.starts("b")), 1)
 	b.reportState("b", 3000, 1.25, peer.Ejected)
 	b.submit(jobOf("2", 1))
-	assert.Equal(t, len(b.starts("a")), 1) // slow goes before ejected
+	assert.Equal(t, len(b.starts("a")), 1) // a slow target is preferred to an ejected one
 }
 
 func TestRoomIsRequestedAndReservationUsed(t *testing.T) {
@@ -131,8 +132,8 @@
 	b.Receive(b.now, "a", &peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
 	last = b.frames["a"][len(b.frames["a"])-1]
 	assert.Equal(t, last.UsedReservation, uint64(7))
-	assert.Equal(t, len(last.Starts), 1)      // the second does not fit
-	assert.Assert(t, last.RoomRequest != nil) // and room for it is requested again
+	assert.Equal(t, len(last.Starts), 1)      // the second task does not fit
+	assert.Assert(t, last.RoomRequest != nil) // so room for it is requested again
 }
 
 func TestReservationGoesToMostUrgentJob(t *testing.T) {
@@ -172,7 +173,7 @@
 	b.reportEnd(first, b.starts(first)[0], task.EndFailed, code.RunListed)
 	assert.Equal(t, len(b.starts(second)), 1)
 	assert.Equal(t, b.starts(second)[0].Run, 2)
-	assert.Assert(t, b.starts(second)[0].FailedElsewhere) // it has failed elsewhere
+	assert.Assert(t, b.starts(second)[0].FailedElsewhere) // first failed at the other agent
 	b.reportEnd(second, b.starts(second)[0], task.EndFailed, code.RunListed)
 	assert.Equal(t, b.answers["1"].Kind, Failed)
 	assert.Equal(t, b.answers["1"].Why, code.JobAttempts)
@@ -195,8 +196,7 @@
 	assert.Equal(t, b.starts("b")[0].Run, 3)
 }
 
-// TestALostAgentsTasksWaitUntilTheyAreCertainlyOver is what keeps a task from
-// running at two targets.
+// Guards against a task that runs on two targets at once.
 func TestLostAgentTaskIsNotRestartedBeforeClearTime(t *testing.T) {
 	b := newHarness(t, "a", "b")
 	b.reportState("b", 4000, 0.9, peer.Healthy)
@@ -252,8 +252,7 @@
 	assert.Equal(t, b.Jobs(), 0)
 }
 
-// TestARefusalIsTrue: only a job of which nothing was started is refused; one
-// that was is given up.
+// A refusal promises that nothing ran: a started job must be given up instead.
 func TestStartedJobIsNotRefused(t *testing.T) {
 	b := newHarness(t, "a")
 	b.submit(jobOf("begun", 5)) // four fit
@@ -272,7 +271,7 @@
 	b.submit(j)
 	b.advance(2 * time.Second)
 	o := b.starts("a")[0]
-	assert.Equal(t, len(b.starts("b")), 0) // until its end is sure
+	assert.Equal(t, len(b.starts("b")), 0) // not before the end of the run is reported
 	b.reportEnd("a", o, task.EndStopped, code.RunOwnerStops)
 	assert.Equal(t, len(b.starts("b")), 1)
 	assert.Equal(t, b.Stats().Moved, uint64(1))
@@ -314,12 +313,11 @@
 	assert.Assert(t, !b.cancel("1"))
 }
 
-// TestAJobWhoseCallerLeavesTooSoonIsNotStarted: nobody would take its answer, and a
-// resend often comes with little time left.
+// Guards against work for a caller that will have left, for example after a late resend.
 func TestJobIsRefusedWhenCallerTimeoutIsTooShort(t *testing.T) {
 	b := newHarness(t, "a")
 	j := jobOf("1", 2)
-	j.CallerTimeout = 50 * ms // its tasks take 100
+	j.CallerTimeout = 50 * ms // its tasks take 100 ms
 	b.submit(j)
 	assert.Equal(t, b.answers["1"].Kind, Refused)
 	assert.Equal(t, b.answers["1"].Why, code.JobCallerLeaves)
@@ -330,12 +328,11 @@
 	assert.Equal(t, len(b.starts("a")), 2)
 }
 
-// TestAJobWhoseOrdersWereOnlyRejectedIsRefused: no agent has asked its target to start
-// a task of it, so the refusal is true, and need not wait until it is too late.
+// A rejection by the agent itself means that nothing ran, so the job may still be refused.
 func TestJobWithOnlyRejectedOrdersIsRefused(t *testing.T) {
 	for why, kind := range map[code.Code]Kind{
 		code.RunNoRoom: Refused, code.RunNotTaking: Refused, code.RunStaleOwner: Refused,
-		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunOld: GivenUp, // a target may have been asked
+		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunOld: GivenUp, // the order may have reached a target
 	} {
 		b := newHarness(t, "a")
 		b.submit(jobOf("1", 1))
@@ -354,7 +351,7 @@
 	b.ObserveStage = func(s stage.Stage, d time.Duration) { took[s] = append(took[s], d) }
 	b.CountAnswer = func(why code.Code) { causes = append(causes, why) }
 	b.reportState("a", 1000, 1, peer.Healthy)
-	b.submit(jobOf("1", 2)) // there is room for one of its tasks
+	b.submit(jobOf("1", 2)) // room for one of its tasks
 	first := b.starts("a")[0]
 	b.now += 30 * ms
 	b.reportState("a", 1000, 1, peer.Healthy)
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -101,13 +101,13 @@
 	return nil
 }
 
-// waitingTasks returns the number of waiting tasks, limited to most.
-func (q *queue) waitingTasks(most int) int {
+// waitingTasks returns the number of waiting tasks, up to limit.
+func (q *queue) waitingTasks(limit int) int {
 	count := 0
 	for _, j := range q.waiting {
 		count += j.waitingTasks()
-		if count >= most {
-			return most
+		if count >= limit {
+			return limit
 		}
 	}
 	return count
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -35,17 +35,17 @@
 	if !ok || !o.claimed(j) && o.chooseAgent(now, j, step, index) != nil {
 		return // room is available without a reservation
 	}
-	asked := 0
+	pending := 0
 	for _, a := range o.watched {
 		if !a.roomRequested || !a.serves(q.service) {
 			continue
 		}
-		asked++
+		pending++
 		if j.rank < a.requestRank-minRankGain {
 			o.addRoomRequest(now, q, a, j, step)
 		}
 	}
-	for _, a := range o.requestCandidates(now, j, step, index, o.requestLimit(now, q)-asked) {
+	for _, a := range o.requestCandidates(now, j, step, index, o.requestLimit(now, q)-pending) {
 		o.beginWatch(now, a)
 		o.addRoomRequest(now, q, a, j, step)
 	}
@@ -66,24 +66,24 @@
 // excluded, as they get single probes only.
 func (o *Owner) requestCandidates(now time.Duration, j *job, step, index, count int) []*agent {
 	var legacy []*agent
-	may := func(a *agent) bool {
+	eligible := func(a *agent) bool {
 		return !a.roomRequested && a.state.Health != peer.Ejected && o.allowed(now, j, step, &j.steps[step].tasks[index], a)
 	}
 	for _, a := range o.watched {
-		if a.level < peer.LevelWatch && a.usable(now, j.spec.Service) && may(a) {
+		if a.level < peer.LevelWatch && a.usable(now, j.spec.Service) && eligible(a) {
 			legacy = append(legacy, a)
 		}
 	}
 	s := j.spec.Steps[step]
-	near := func(a *agent) bool { return may(a) && !a.far(s) }
+	near := func(a *agent) bool { return eligible(a) && !a.far(s) }
 	list := o.withRoom(now, j.spec.Service, s, near, count)
 	list = append(list, o.unwatchedAgents(j.spec.Service, near, count-len(list))...)
 	if s.Rack != "" {
-		far := func(a *agent) bool { return may(a) && a.far(s) }
+		far := func(a *agent) bool { return eligible(a) && a.far(s) }
 		list = append(list, o.withRoom(now, j.spec.Service, s, far, count-len(list))...)
 		list = append(list, o.unwatchedAgents(j.spec.Service, far, count-len(list))...)
 	}
-	list = append(list, o.withoutRoom(now, j.spec.Service, s, may, count-len(list))...)
+	list = append(list, o.withoutRoom(now, j.spec.Service, s, eligible, count-len(list))...)
 	return append(list, legacy...)
 }
 
@@ -150,7 +150,7 @@
 // passed.
 func (o *Owner) useReservation(now time.Duration, a *agent, r *peer.Reservation) {
 	a.reserved = nil
-	if o.nextJobFor(now, o.queue(a.profile.Service), a) == nil && o.claimsUnderWay(o.queue(a.profile.Service)) {
+	if o.nextJobFor(now, o.queue(a.profile.Service), a) == nil && o.hasPendingClaims(o.queue(a.profile.Service)) {
 		a.reserved, a.reservedAt = r, now
 		return
 	}
@@ -182,8 +182,8 @@
 	}
 }
 
-// claimsUnderWay reports whether a job of the queue has pending claims.
-func (o *Owner) claimsUnderWay(q *queue) bool {
+// hasPendingClaims reports whether a job of the queue has pending claims.
+func (o *Owner) hasPendingClaims(q *queue) bool {
 	return slices.ContainsFunc(q.waiting, func(j *job) bool { return !o.claimed(j) })
 }
 
--- a/owner/retry_test.go
+++ b/owner/retry_test.go
@@ -9,10 +9,9 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestARejectionByTheTargetKeepsTheTaskAway: an agent that rejects an order itself says
-// why in the state that comes with it, and the task may go there again at once.
+// A rejection by the agent needs no backoff, as the agent reports its state in the same frame.
 func TestTargetRejectionBacksOffTask(t *testing.T) {
-	for why, away := range map[code.Code]bool{
+	for why, backsOff := range map[code.Code]bool{
 		code.RunNoRoom: false, code.RunNotTaking: false, code.RunStaleOwner: false,
 		code.RunTargetUnhealthy: true, code.RunTargetRoom: true, code.RunPresent: true,
 	} {
@@ -21,7 +20,7 @@
 		j.orders = 1
 		state := &j.steps[0].tasks[0]
 		o.recordRejection(0, o.agents["a"], j, state, why)
-		assert.Equal(t, !o.allowed(rejectionBackoff/2, j, 0, state, o.agents["a"]), away, why.String())
-		assert.Equal(t, j.started(), away, "only what reached the target may have run: "+why.String())
+		assert.Equal(t, !o.allowed(rejectionBackoff/2, j, 0, state, o.agents["a"]), backsOff, why.String())
+		assert.Equal(t, j.started(), backsOff, "the job counts as started only if the order reached the target: "+why.String())
 	}
 }
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -18,8 +18,8 @@
 	assert.Equal(t, admit(0, maxLinkDelay+1), code.JobLinkFull)
 }
 
-// TestRefusingWhereBeingServedCounts: a job that can still be late waits, and after a quarter of
-// its objective none is refused for those before it.
+// Under MostServed, a job that can still be late must not be refused, nor one that has waited
+// for a quarter of its objective.
 func TestMostServedRefusesOnlyHopelessJobsEarly(t *testing.T) {
 	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms, untilLatestLate: 900 * ms}
 	with := func(change func(*queuePosition)) queuePosition {
@@ -32,21 +32,20 @@
 		p             queuePosition
 		worth, served bool
 	}{
-		{"it can be in time", with(func(p *queuePosition) { p.wait = 50 * ms }), false, false},
-		{"it can be late", with(func(p *queuePosition) { p.wait = 500 * ms }), true, false},
-		{"it can't even be late", with(func(p *queuePosition) { p.wait = time.Second }), true, true},
-		{"it has missed its objective, others have not", with(func(p *queuePosition) { p.missesObjective, p.earlierJobMeets = true, true }), true, false},
-		{"it has just come", with(func(p *queuePosition) { p.wait, p.waited = time.Second, 40*ms }), false, false},
-		{"it has waited for long", with(func(p *queuePosition) { p.wait, p.waited = time.Second, 130*ms }), true, false},
+		{"can meet its objective", with(func(p *queuePosition) { p.wait = 50 * ms }), false, false},
+		{"can meet its late objective", with(func(p *queuePosition) { p.wait = 500 * ms }), true, false},
+		{"misses its late objective", with(func(p *queuePosition) { p.wait = time.Second }), true, true},
+		{"missed its objective, a job ahead has not", with(func(p *queuePosition) { p.missesObjective, p.earlierJobMeets = true, true }), true, false},
+		{"has just arrived", with(func(p *queuePosition) { p.wait, p.waited = time.Second, 40*ms }), false, false},
+		{"has waited longer than the refusal window", with(func(p *queuePosition) { p.wait, p.waited = time.Second, 130*ms }), true, false},
 	} {
 		assert.Equal(t, c.p.shouldRefuse(), c.worth, c.name)
 		assert.Equal(t, c.p.shouldRefuseMostServed(), c.served, c.name)
 	}
 }
 
-// TestOrder shows which of two jobs is served first. Unless a case says otherwise a
-// job has 200 ms of work left, which may take 1.2 times as long, and its objective in
-// 500 ms: its latest start is in 260 ms.
+// TestRankOrder checks which of two jobs is served first. The default job has 200 ms of work
+// left, a margin factor of 1.2, and its objective in 500 ms, so its latest start is in 260 ms.
 func TestRankOrder(t *testing.T) {
 	usual := urgency{now: time.Second, objectiveAt: 1500 * ms, lateObjectiveAt: 2500 * ms, remaining: 200 * ms,
 		spread: math.Log(1.2) / marginDeviations}
@@ -62,20 +61,20 @@
 	}{
 		{"less time left", with(func(u *urgency) { u.objectiveAt -= 10 * ms }), usual},
 		{"more work left", with(func(u *urgency) { u.remaining += 10 * ms }), usual},
-		{"estimates that err more", with(func(u *urgency) { u.spread *= 2 }), usual},
-		{"starts that are further apart", with(func(u *urgency) { u.startSpan = 10 * ms }), usual},
-		{"the most urgent priority", usual, with(func(u *urgency) { u.priority, u.objectiveAt = 1, u.objectiveAt-20*ms })},
-		{"the next priority", with(func(u *urgency) { u.priority = 1 }), with(func(u *urgency) { u.priority = 2 })},
-		{"a started job", with(func(u *urgency) { u.started, u.objectiveAt = true, u.objectiveAt+30*ms }), usual},
-		{"one that can meet its objective", with(func(u *urgency) { u.objectiveAt += time.Minute }), with(func(u *urgency) { u.objectiveAt = u.now })},
-		{"of late jobs, the one that counts for less long", with(func(u *urgency) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+600*ms }),
+		{"larger estimation error", with(func(u *urgency) { u.spread *= 2 }), usual},
+		{"longer start span", with(func(u *urgency) { u.startSpan = 10 * ms }), usual},
+		{"most urgent priority", usual, with(func(u *urgency) { u.priority, u.objectiveAt = 1, u.objectiveAt-20*ms })},
+		{"next priority", with(func(u *urgency) { u.priority = 1 }), with(func(u *urgency) { u.priority = 2 })},
+		{"started job", with(func(u *urgency) { u.started, u.objectiveAt = true, u.objectiveAt+30*ms }), usual},
+		{"can meet its objective", with(func(u *urgency) { u.objectiveAt += time.Minute }), with(func(u *urgency) { u.objectiveAt = u.now })},
+		{"late jobs: earlier late objective", with(func(u *urgency) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+600*ms }),
 			with(func(u *urgency) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+700*ms })},
 	} {
 		assert.Assert(t, c.first.rank() < c.second.rank(), c.name)
 	}
 }
 
-// TestPlacement shows which of two targets a task of 100 ms goes to.
+// TestCandidateCost checks which of two targets a task of 100 ms is placed on.
 func TestCandidateCost(t *testing.T) {
 	s := task.Step{Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}
 	usual := candidate{speed: 1, capacity: task.Needs{CPU: 16000}, free: task.Needs{CPU: 16000}}
@@ -88,19 +87,19 @@
 		name          string
 		first, second candidate
 	}{
-		{"the faster", with(func(c *candidate) { c.speed = 1.2 }), usual},
-		{"the emptier", usual, with(func(c *candidate) { c.free.CPU = 8000 })},
-		{"more than the last room", with(func(c *candidate) { c.free.CPU = 2000 }), with(func(c *candidate) { c.free.CPU = 1000 })},
-		{"near its data", usual, with(func(c *candidate) { c.far = true })},
-		{"slow rather than ejected", with(func(c *candidate) { c.speed = minSpeed }), with(func(c *candidate) { c.ejected = true })},
+		{"faster target", with(func(c *candidate) { c.speed = 1.2 }), usual},
+		{"emptier target", usual, with(func(c *candidate) { c.free.CPU = 8000 })},
+		{"more room than the task needs", with(func(c *candidate) { c.free.CPU = 2000 }), with(func(c *candidate) { c.free.CPU = 1000 })},
+		{"near the data", usual, with(func(c *candidate) { c.far = true })},
+		{"slow but not ejected", with(func(c *candidate) { c.speed = minSpeed }), with(func(c *candidate) { c.ejected = true })},
 	} {
 		assert.Assert(t, c.first.cost(s, 1.5) < c.second.cost(s, 1.5), c.name)
 	}
-	assert.Equal(t, usual.cost(task.Step{Estimate: 100 * ms}, 1.5), 0.1, "a task without needs takes no last room")
+	assert.Equal(t, usual.cost(task.Step{Estimate: 100 * ms}, 1.5), 0.1, "a task without needs has no last-room cost")
 }
 
-// TestRefusalAndGivingUp shows what becomes of a job that arrived at 1 s with a late
-// objective of 1 s, 300 ms of work left and no deadline of its caller.
+// The default job arrived at 1 s, has a late objective of 1 s, 300 ms of work left and no
+// caller deadline.
 func TestDeadlineRefusalCause(t *testing.T) {
 	usual := deadlineState{arrived: time.Second, lateObjectiveAt: 2 * time.Second, remaining: 300 * ms}
 	for _, c := range []struct {
@@ -109,17 +108,17 @@
 		change func(*deadlineState)
 		want   code.Code
 	}{
-		{"time enough", 1700 * ms, nil, code.OK},
-		{"the optimistic rest ends just in time", 1790 * ms, nil, code.OK},
-		{"it ends too late", 1791 * ms, nil, code.JobOutOfTime},
-		{"the caller leaves before it ends", 1100 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.JobCallerLeaves},
-		{"it ends before the caller leaves", 1090 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.OK},
-		{"started, the caller stays a little", 1279 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.OK},
-		{"started, the caller leaves now", 1280 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerLeaves},
-		{"started, tasks wait, a fifth too late", 2200 * ms, func(p *deadlineState) { p.started, p.waiting = true, true }, code.OK},
-		{"started, tasks wait, more than that", 2201 * ms, func(p *deadlineState) { p.started, p.waiting = true, true }, code.JobTooLate},
-		{"started, all tasks run", 2600 * ms, func(p *deadlineState) { p.started = true }, code.OK},
-		{"started, all tasks run for too long", 2601 * ms, func(p *deadlineState) { p.started = true }, code.JobTooLate},
+		{"enough time", 1700 * ms, nil, code.OK},
+		{"optimistic remaining time just fits", 1790 * ms, nil, code.OK},
+		{"misses its late objective", 1791 * ms, nil, code.JobOutOfTime},
+		{"caller deadline before the end", 1100 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.JobCallerLeaves},
+		{"caller deadline after the end", 1090 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.OK},
+		{"started, before the answer margin", 1279 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.OK},
+		{"started, at the answer margin", 1280 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerLeaves},
+		{"started, tasks wait, at the limit", 2200 * ms, func(p *deadlineState) { p.started, p.waiting = true, true }, code.OK},
+		{"started, tasks wait, past the limit", 2201 * ms, func(p *deadlineState) { p.started, p.waiting = true, true }, code.JobTooLate},
+		{"started, all tasks run, at the limit", 2600 * ms, func(p *deadlineState) { p.started = true }, code.OK},
+		{"started, all tasks run, past the limit", 2601 * ms, func(p *deadlineState) { p.started = true }, code.JobTooLate},
 	} {
 		p := usual
 		p.now = c.at
@@ -130,19 +129,18 @@
 	}
 }
 
-// TestRefusalBehindOthers shows when a waiting job is refused because of those
-// before it.
+// TestRefusalInBacklog checks when a waiting job is refused because of the jobs ahead.
 func TestRefusalInBacklog(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		place queuePosition
 		want  bool
 	}{
-		{"its turn comes in time", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 200 * ms}, false},
-		{"its turn comes too late", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 201 * ms}, true},
-		{"it has only just come", queuePosition{waited: 49 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: time.Second}, false},
-		{"too late, as are all before it", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, wait: time.Second}, false},
-		{"too late, others are not", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, earlierJobMeets: true}, true},
+		{"turn comes in time", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 200 * ms}, false},
+		{"turn comes too late", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 201 * ms}, true},
+		{"has just arrived, long wait", queuePosition{waited: 49 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: time.Second}, false},
+		{"missed its objective, so did all ahead", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, wait: time.Second}, false},
+		{"missed its objective, a job ahead has not, no wait", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, earlierJobMeets: true}, true},
 	} {
 		assert.Equal(t, c.place.shouldRefuse(), c.want, c.name)
 	}
@@ -151,21 +149,20 @@
 func TestOverdueAndAttemptLimits(t *testing.T) {
 	assert.Assert(t, !runOverdue(350*ms, 100*ms, 1, 0.15, 0))
 	assert.Assert(t, runOverdue(351*ms, 100*ms, 1, 0.15, 0))
-	assert.Assert(t, !runOverdue(600*ms, 100*ms, 0.5, 0.15, 0), "a slow target is given more time")
-	assert.Assert(t, !runOverdue(838*ms, 100*ms, 1, 0.4, 0), "estimates that err more give more time")
+	assert.Assert(t, !runOverdue(600*ms, 100*ms, 0.5, 0.15, 0), "a slow target gets more time")
+	assert.Assert(t, !runOverdue(838*ms, 100*ms, 1, 0.4, 0), "a larger estimation error gives more time")
 	assert.Assert(t, runOverdue(840*ms, 100*ms, 1, 0.4, 0))
 
-	assert.Assert(t, !runOverdue(600*ms, 100*ms, 1, 0.15, 1), "a task that was overdue elsewhere takes long itself")
+	assert.Assert(t, !runOverdue(600*ms, 100*ms, 1, 0.15, 1), "an earlier overdue run doubles the limit")
 	assert.Assert(t, runOverdue(601*ms, 100*ms, 1, 0.15, 1))
 
 	assert.Assert(t, !attemptsUsedUp(1, 1, 2))
 	assert.Assert(t, attemptsUsedUp(2, 2, 2))
-	assert.Assert(t, !attemptsUsedUp(6, 0, 2), "failures of targets count for little")
+	assert.Assert(t, !attemptsUsedUp(6, 0, 2), "target failures have a higher limit")
 	assert.Assert(t, attemptsUsedUp(7, 0, 2))
 }
 
-// TestOnlyStartsThatCanBeMadeCountForTheirSpan: tasks of a step that waits for another
-// are not started now, so that they don't make the first starts more urgent.
+// Guards against tasks of a blocked step that make the job more urgent by its start span.
 func TestDependentTasksDoNotCountAsWaiting(t *testing.T) {
 	j := newJob(0, task.Job{Steps: []task.Step{{Count: 2}, {Count: 5, DependsOn: []int{0}}}})
 	assert.Equal(t, j.waitingTasks(), 2)
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -69,23 +69,23 @@
 // receiveInterest handles a notice that another entry waits for a job, or that a caller there
 // cancels it. A frame is sent back in any case, which proves to the home that this entry is
 // alive.
-func (o *Owner) receiveInterest(now time.Duration, a *agent, i claim.Interest) {
+func (o *Owner) receiveInterest(now time.Duration, a *agent, interest claim.Interest) {
 	o.markDirty(a)
-	j := o.jobs[i.Job]
+	j := o.jobs[interest.Job]
 	switch {
-	case i.Cancel:
+	case interest.Cancel:
 		if j != nil {
 			o.answer(now, j, Answer{Kind: Cancelled, Why: code.JobCancelled})
 		}
-	case j != nil && i.Begun && !j.started():
+	case j != nil && interest.Begun && !j.started():
 		o.transferClaim(now, j, a)
 	case j != nil:
-		j.setRemoteWaiter(a, i.Waits)
+		j.setRemoteWaiter(a, interest.Waits)
 		o.cancelIfAbandoned(now, j)
-	case o.dropped[i.Job] != nil:
-		o.dropped[i.Job].remoteWaiter = i.Waits
-	case i.Waits && !slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == i.Job }):
-		o.sendSettlement(a, claim.Settlement{Job: i.Job, Clear: true}, true)
+	case o.dropped[interest.Job] != nil:
+		o.dropped[interest.Job].remoteWaiter = interest.Waits
+	case interest.Waits && !slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == interest.Job }):
+		o.sendSettlement(a, claim.Settlement{Job: interest.Job, Clear: true}, true)
 	}
 }
 
--- a/owner/stopped_test.go
+++ b/owner/stopped_test.go
@@ -9,8 +9,8 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// TestAStoppedEntryBeginsAnew: while it stood still its homes may have granted its jobs to other
-// entries. It gives up its connections, and starts nothing before it has claimed again.
+// Homes may have granted the jobs to other entries during a suspension, so nothing may start
+// before the jobs are claimed again.
 func TestStoppedEntryReclaimsJobs(t *testing.T) {
 	b := newClaimHarness(t, 4)
 	j := jobOf("0123456789abcdef", 1)
@@ -34,7 +34,7 @@
 		b.reportState(a.name, 4000, 1, peer.Healthy)
 	}
 	b.grantAll(j.ID)
-	assert.Equal(t, len(b.allStarts()), starts, "it has not found all agents again")
+	assert.Equal(t, len(b.allStarts()), starts, "no start before isolation ends")
 	b.advance(postStopIsolationTime)
 	assert.Assert(t, !b.Isolated())
 	b.grantAll(j.ID)
@@ -44,8 +44,7 @@
 	assert.Equal(t, len(b.allStarts()), starts+1)
 }
 
-// TestALateTickIsNoStop: a host whose processor time is a quota stands still for a tenth of a
-// second now and then.
+// Guards against a reset on a host whose CPU quota pauses it for about 100 ms.
 func TestLateTickIsNotAStop(t *testing.T) {
 	b := newClaimHarness(t, 4)
 	b.submit(jobOf("0123456789abcdef", 1))
--- a/owner/suspect.go
+++ b/owner/suspect.go
@@ -50,8 +50,8 @@
 
 // recordAccepting records when a's target stopped accepting work, for the detection of
 // correlated crashes.
-func (a *agent) recordAccepting(now time.Duration, accepted bool) {
-	if accepted && !a.state.Accepting {
+func (a *agent) recordAccepting(now time.Duration, wasAccepting bool) {
+	if wasAccepting && !a.state.Accepting {
 		a.stoppedAt = now
 	}
 }
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -128,7 +128,7 @@
 
 // pickUnwatched returns an unwatched agent that meets the condition, or nil, and prefers own
 // agents. The search starts at a random agent so that entries spread over the agents.
-func (o *Owner) pickUnwatched(meets func(*agent) bool) *agent {
+func (o *Owner) pickUnwatched(condition func(*agent) bool) *agent {
 	if len(o.watched) == len(o.byName) {
 		return nil
 	}
@@ -136,7 +136,7 @@
 	from := o.Random(len(o.byName))
 	for k := range o.byName {
 		a := o.byName[(from+k)%len(o.byName)]
-		if a.watching || !meets(a) {
+		if a.watching || !condition(a) {
 			continue
 		}
 		if a.own {
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -12,12 +12,12 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newWatchBench returns an owner that is connected to agents of this version, of which it
-// knows nothing but what they say to who does not watch.
+// newWatchHarness returns an owner connected to agents that it does not watch, with claims
+// disabled.
 func newWatchHarness(t *testing.T, agents int) *harness {
 	t.Helper()
 	b := newHarness(t)
-	b.Homes = 0 // claims have tests of their own
+	b.Homes = 0 // claims are tested separately
 	b.Addr = func(agent string) string { return "addr of " + agent }
 	b.Random = func(n int) int { return n / 2 }
 	for k := range agents {
@@ -29,7 +29,7 @@
 	return b
 }
 
-// requested returns the agents that were asked for room.
+// requested returns the agents with a pending room request.
 func (b *harness) requested() []string {
 	var list []string
 	for _, a := range b.byName {
@@ -40,13 +40,12 @@
 	return list
 }
 
-// reserve has an agent reserve room.
+// reserve has an agent send a reservation.
 func (b *harness) reserve(agent string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: cpu, MemoryMB: 100}}})
 }
 
-// TestAFewAgentsAreAskedForRoom: two for the task that waits, and more while nobody
-// answers; each of them is watched.
+// Guards against requests to all agents: two at first, and one more per requestInterval.
 func TestRoomRequestsAreLimited(t *testing.T) {
 	b := newWatchHarness(t, 100)
 	b.submit(jobOf("j", 1))
@@ -61,7 +60,7 @@
 	assert.Equal(t, len(b.starts(asked)), 1)
 }
 
-// TestAnOrderWithoutAReservationGoesOnlyToAnEmptyTarget: any other room may be gone.
+// Guards against rejected orders: other entries may take the room of a target in use.
 func TestUnreservedOrderNeedsEmptyTarget(t *testing.T) {
 	b := newWatchHarness(t, 1)
 	b.beginWatch(b.now, b.agents["side-000"])
@@ -74,8 +73,7 @@
 	assert.Equal(t, len(b.starts("side-000")), 1)
 }
 
-// TestRoomIsRequestedWhereTheTaskEndsFirst: of the watched agents that are believed to
-// have room, the fastest are asked.
+// Guards against requests to slow targets while faster ones have room.
 func TestRoomIsRequestedFromFastestTargets(t *testing.T) {
 	b := newWatchHarness(t, 5)
 	for k, a := range b.byName {
@@ -87,8 +85,7 @@
 	assert.DeepEqual(t, b.requested(), []string{"side-003", "side-004"})
 }
 
-// TestWatchesAreBounded: however long a job waits, no more agents are asked than may be
-// watched; without jobs none is.
+// Guards against watching all agents during a long wait, and any agent while idle.
 func TestWatchesAreBounded(t *testing.T) {
 	b := newWatchHarness(t, 100)
 	b.submit(jobOf("j", 30))
@@ -104,7 +101,7 @@
 	assert.Equal(t, len(b.watched), 0)
 }
 
-// TestAnAgentThatIsSilentIsGivenUp: soon while it is used, later otherwise.
+// Guards against connections in use that are closed as late as idle ones.
 func TestSilentConnectionTimesOut(t *testing.T) {
 	b := newWatchHarness(t, 1)
 	const name = "side-000"
@@ -117,8 +114,8 @@
 	assert.Assert(t, b.SilentTooLong(b.now+peer.Silence+1, name))
 }
 
-// TestASpecGoesToOneAgentOverANarrowLink: the others are told where it is; over a wide link
-// each gets it.
+// Guards against a narrow link filled with copies of a spec that agents can fetch from each
+// other.
 func TestSpecIsSentOnceOverNarrowLink(t *testing.T) {
 	for megabits, sent := range map[float64]int{0: 3, 1000: 3, 2: 1} {
 		b := newWatchHarness(t, 3)
@@ -146,14 +143,13 @@
 	}
 }
 
-// TestAnIdleEntryCostsLittle counts the bytes that an entry without jobs sends to 240
-// agents. They send it as much.
+// Guards against high traffic of an idle entry with 240 agents.
 func TestIdleTrafficIsBounded(t *testing.T) {
 	const (
-		agents  = 240
-		lasts   = 20 * time.Second
-		headers = 60   // bytes of a packet
-		most    = 14e3 // bytes a second, one way
+		agents   = 240
+		duration = 20 * time.Second
+		headers  = 60   // bytes of a packet
+		limit    = 14e3 // bytes a second, one way
 	)
 	b := newWatchHarness(t, agents)
 	b.now += idleTime
@@ -167,24 +163,23 @@
 		bytes += len(buf) + headers
 		return 1
 	}
-	for end := b.now + lasts; b.now < end; b.now += TickInterval {
+	for end := b.now + duration; b.now < end; b.now += TickInterval {
 		b.Tick(b.now)
 		b.Heartbeats(b.now)
 	}
-	perSecond := float64(bytes) / lasts.Seconds()
+	perSecond := float64(bytes) / duration.Seconds()
 	t.Logf("%.0f bytes a second", perSecond)
-	assert.Assert(t, perSecond > 0 && perSecond < most)
+	assert.Assert(t, perSecond > 0 && perSecond < limit)
 }
 
-// labelled has an agent tell that its target has a label.
+// reportLabel has an agent report that its target has a label.
 func (b *harness) reportLabel(agent, label string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Labels: []string{label}, Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
 		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
-// TestRoomIsRequestedNearTheData: of a hundred agents the two whose targets hold the data
-// are asked, not the ones that are watched.
+// Guards against requests to watched agents far from the data while others hold it.
 func TestRoomIsRequestedNearTheData(t *testing.T) {
 	b := newWatchHarness(t, 100)
 	for _, a := range b.byName[:5] {
@@ -200,10 +195,10 @@
 	assert.DeepEqual(t, b.requested(), []string{"side-040", "side-080"})
 	b.now += requestInterval
 	b.Tick(b.now)
-	assert.Equal(t, len(b.requested()), 3, "later others, too")
+	assert.Equal(t, len(b.requested()), 3, "other agents later")
 }
 
-// TestOnlyAgentsThatMayRunATaskAreAsked: those with its label.
+// Guards against requests to agents that may not run the task.
 func TestRoomIsRequestedOnlyWithRequiredLabel(t *testing.T) {
 	b := newWatchHarness(t, 100)
 	b.reportLabel("side-010", "gpu", 4000)
@@ -215,8 +210,8 @@
 	assert.DeepEqual(t, b.requested(), []string{"side-010"})
 }
 
-// TestAReservationGoesToTheJobWhoseDataIsNear, though another one is more urgent; without
-// such a job the most urgent takes it; a job that may not run there leaves it.
+// A job near its data takes the reservation before a more urgent one; jobs not allowed there
+// must not.
 func TestReservationPrefersJobWithLocalData(t *testing.T) {
 	b := newWatchHarness(t, 3)
 	b.reportLabel("side-000", "rack-1", 0)
