--- a/owner/comeback.go
+++ b/owner/comeback.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Callers whose jobs were not done are told to submit them again at spread times, so that
+// Callers whose jobs were not done are asked to submit them again at spread times, so that
 // retries use a small share of the targets' room. Callers that all returned at once would be
 // refused again. Retries of the most urgent priority come first.
 const (
--- a/owner/order.go
+++ b/owner/order.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Waiting jobs are served by latest start time, adjusted by priority and by whether the job has
-// started. Jobs that can no longer meet their objective come after all jobs that can.
+// Waiting jobs are served in the order of their latest start times, adjusted by priority and by
+// whether the job has started. Jobs that can no longer meet their objective come after all jobs
+// that can.
 const (
 	// marginDeviations is the safety margin of the remaining work, in standard deviations of
 	// the estimation error.
--- a/owner/outage.go
+++ b/owner/outage.go
@@ -11,8 +11,9 @@
 )
 
 // A data hall is suspected to be lost when several of its agents become unresponsive together
-// and none of the others responds. The hall then gets no orders, and its runs are taken for
-// lost earlier than by the timeouts of single agents.
+// and none of the others responds. Room requested there is requested elsewhere, and
+// unresponsive agents get no heartbeats, so that this entry's leases expire and tasks restart
+// elsewhere earlier than after the timeouts of single agents.
 
 const (
 	// unresponsiveTime is the silence after which an agent in use counts as unresponsive: two
@@ -52,8 +53,8 @@
 }
 
 // checkHalls updates the suspected halls. An entry suspects none while it is isolated, after a
-// late tick, or shortly after it heard from no agent: the first frames after its own outage may
-// all come from one hall.
+// late tick, or shortly after a time without any frames: the first frames after its own outage
+// may all come from one hall.
 func (o *Owner) checkHalls(now time.Duration) {
 	contacts := make(map[string]hallContact)
 	lastContactAt := time.Duration(0)
