--- a/owner/callers.go
+++ b/owner/callers.go
@@ -7,9 +7,9 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// The callers' interface: jobs come, and callers leave.
+// Interface for callers: submission and cancellation of jobs.
 
-// WaitingJobs returns how many jobs of a queue have no task started.
+// WaitingJobs returns the number of jobs of a queue with no started task.
 func (o *Owner) WaitingJobs(queue string) int {
 	count := 0
 	for _, j := range o.jobs {
@@ -20,10 +20,9 @@
 	return count
 }
 
-// Submit takes a job. A job with the id of one that is owned joins it: both
-// callers get the same answer. answer is called once, possibly before Submit
-// returns, and never after Cancel with the returned number, which names this
-// caller's interest in the job.
+// Submit accepts or refuses a job. A job with the id of an owned job joins it, and both callers
+// get the same answer. answer is called once, possibly before Submit returns, and never after
+// Cancel is called with the returned caller number.
 func (o *Owner) Submit(now time.Duration, spec task.Job, answer func(Answer)) uint64 {
 	defer o.flush(now)
 	o.callers++
@@ -38,26 +37,26 @@
 	}
 	j.callers[o.callers] = answer
 	o.checkDeadlines(now, j)
-	if o.jobs[spec.ID] == j && !j.started() && o.onlyEvacuated(now, j) {
+	if o.jobs[spec.ID] == j && !j.started() && o.needsEvacuatedHall(now, j) {
 		o.giveUp(now, j, code.JobEvacuated)
 	}
 	o.schedule(now, o.queue(spec.Service))
 	return o.callers
 }
 
-// rejectJob answers a job for which nothing was allocated.
+// rejectJob refuses a job before anything is allocated for it.
 func (o *Owner) rejectJob(now time.Duration, spec task.Job, why code.Code, answer func(Answer)) {
 	o.stats.Refused++
 	o.logRejectedJob(spec, why)
 	o.countAnswer(why)
 	retry := RetryAfter
 	if why == code.JobLinkFull {
-		retry = o.link.comeBackAfter(now, spec)
+		retry = o.link.retryAfter(now, spec)
 	}
 	answer(Answer{Kind: Refused, Why: why, Retry: retry})
 }
 
-// accept makes spec a job of this entry and queues it.
+// accept adds a job and queues it.
 func (o *Owner) accept(now time.Duration, spec task.Job) *job {
 	q := o.queue(spec.Service)
 	j := newJob(now, o.withEstimates(spec, q.usualSpeed))
@@ -66,16 +65,15 @@
 	o.jobs[spec.ID] = j
 	o.stats.Submitted++
 	o.logAccepted(j, spec.Chain())
-	o.noteLabels(j)
-	j.earlierRun = o.ending[spec.ID] != nil
-	j.homesWanted = o.homesOfNewJob(now)
+	o.recordMissingLabels(j)
+	j.earlierRun = o.dropped[spec.ID] != nil
+	j.homeCount = o.newJobHomeCount(now)
 	o.completeHomes(now, j)
 	j.queue.add(now, j)
 	return j
 }
 
-// Cancel ends one caller's interest in a job. A job that nobody waits for any more
-// is stopped without an answer.
+// Cancel removes one caller from a job. A job without callers is stopped without an answer.
 func (o *Owner) Cancel(now time.Duration, id string, caller uint64) {
 	defer o.flush(now)
 	j := o.jobs[id]
@@ -83,13 +81,13 @@
 		return
 	}
 	delete(j.callers, caller)
-	o.abandonUnwanted(now, j)
+	o.cancelIfAbandoned(now, j)
 }
 
-// abandonUnwanted stops a job that nobody waits for, here or at another entry. It reports
+// cancelIfAbandoned stops j if no caller waits for it, here or at another entry. It reports
 // whether it did.
-func (o *Owner) abandonUnwanted(now time.Duration, j *job) bool {
-	if len(j.callers) > 0 || j.wanted() {
+func (o *Owner) cancelIfAbandoned(now time.Duration, j *job) bool {
+	if len(j.callers) > 0 || j.hasRemoteWaiter() {
 		return false
 	}
 	o.stats.Cancelled++
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -13,32 +13,32 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newClaimBench returns an owner that is connected to agents at which jobs are claimed, by turns
-// in two data halls.
-func newClaimBench(t *testing.T, agents int) *bench {
+// newClaimHarness returns an owner connected to agents that support claims, alternating between
+// two data halls.
+func newClaimHarness(t *testing.T, agents int) *harness {
 	t.Helper()
-	b := newBench(t)
+	b := newHarness(t)
 	for k := range agents {
 		name := fmt.Sprintf("side-%d", k)
 		b.Connected(b.now, name)
 		b.Receive(b.now, name, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
-		b.stateIn(name, []string{"mtm", "sulph"}[k%2])
+		b.reportStateIn(name, []string{"mtm", "sulph"}[k%2])
 	}
-	b.wait(settleTime)
+	b.advance(startupIsolationTime)
 	for _, a := range b.byName {
 		b.beginWatch(b.now, a)
-		b.stateIn(a.name, a.profile.Hall)
+		b.reportStateIn(a.name, a.profile.Hall)
 	}
 	return b
 }
 
-// reply has a home say something of a job.
-func (b *bench) reply(a *agent, r claim.Reply) {
+// reply has a home reply to a claim.
+func (b *harness) reply(a *agent, r claim.Reply) {
 	b.Receive(b.now, a.name, &peer.Frame{Claimed: []claim.Reply{r}})
 }
 
-// homesOf returns the agents at which a job is claimed, the least rank first.
-func (b *bench) homesOf(id string) []*agent {
+// homesOf returns the agents at which a job is claimed, lowest rank first.
+func (b *harness) homesOf(id string) []*agent {
 	var list []*agent
 	for _, h := range b.jobs[id].homes {
 		list = append(list, h.agent)
@@ -46,8 +46,8 @@
 	return list
 }
 
-// grantAll has the homes of a job grant it.
-func (b *bench) grantAll(id string) []*agent {
+// grantAll has the homes of a job grant the claim.
+func (b *harness) grantAll(id string) []*agent {
 	homes := b.homesOf(id)
 	for _, a := range homes {
 		b.reply(a, claim.Reply{Job: id, State: claim.Granted})
@@ -55,8 +55,8 @@
 	return homes
 }
 
-// allStarts returns the orders that all agents have got.
-func (b *bench) allStarts() []task.Order {
+// allStarts returns the start orders sent to all agents.
+func (b *harness) allStarts() []task.Order {
 	var list []task.Order
 	for _, a := range b.byName {
 		list = append(list, b.starts(a.name)...)
@@ -64,8 +64,8 @@
 	return list
 }
 
-// settled returns what an agent was told of jobs, in all frames and in the one that collects.
-func (b *bench) settled(a *agent) []claim.Settlement {
+// settled returns the settlements sent to an agent, including those in its next frame.
+func (b *harness) settled(a *agent) []claim.Settlement {
 	var list []claim.Settlement
 	for _, f := range b.frames[a.name] {
 		list = append(list, f.Settled...)
@@ -73,17 +73,17 @@
 	return append(list, a.out.Settled...)
 }
 
-// endAll has the runs of all orders so far end.
-func (b *bench) endAll(end task.End) {
+// endAll reports the end of the runs of all orders so far.
+func (b *harness) endAll(end task.End) {
 	for _, a := range b.byName {
 		for _, o := range b.starts(a.name) {
-			b.ended(a.name, o, end, code.RunListed)
+			b.reportEnd(a.name, o, end, code.RunListed)
 		}
 	}
 }
 
-func TestAJobStartsWhenBothHomesHaveGrantedIt(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestJobStartsOnlyAfterAllHomesGrant(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	assert.Equal(t, len(homes), DefaultHomes)
@@ -99,14 +99,14 @@
 	}
 }
 
-// TestAllEntriesChooseTheSameHomes whatever the order in which they met the agents.
-func TestAllEntriesChooseTheSameHomes(t *testing.T) {
-	first, second := newClaimBench(t, 9), newBench(t)
+// Entries that choose different homes could both start the same job.
+func TestHomesDoNotDependOnConnectionOrder(t *testing.T) {
+	first, second := newClaimHarness(t, 9), newHarness(t)
 	for k := 8; k >= 0; k-- {
 		name := fmt.Sprintf("side-%d", k)
 		second.Connected(second.now, name)
 		second.Receive(second.now, name, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
-		second.stateIn(name, []string{"mtm", "sulph"}[k%2])
+		second.reportStateIn(name, []string{"mtm", "sulph"}[k%2])
 	}
 	for n := range 50 {
 		id := fmt.Sprintf("%016x", n)
@@ -118,29 +118,28 @@
 	}
 }
 
-// TestAJobThatAnotherEntryHasIsJoined: nothing starts here, it is not refused as not run, and
-// the other entry's answer is this one's.
-func TestAJobThatAnotherEntryHasIsJoined(t *testing.T) {
-	b := newClaimBench(t, 6)
+// A job that another entry holds must not start here, nor be refused as not run.
+func TestHeldJobIsJoinedAndNotStarted(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Held})
-	b.wait(60 * ms)
+	b.advance(60 * ms)
 	assert.Equal(t, len(b.allStarts()), 0)
 	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Answered, Outcome: claim.Completed, Why: code.JobAllDone})
 	assert.DeepEqual(t, b.answers["1"], Answer{Kind: Completed, Why: code.JobAllDone})
 
 	b.submit(jobOf("2", 1))
 	b.reply(b.homesOf("2")[0], claim.Reply{Job: "2", State: claim.Held})
-	b.wait(3 * time.Second)
+	b.advance(3 * time.Second)
 	assert.Equal(t, b.answers["2"].Kind, GivenUp)
 	assert.Equal(t, b.Stats().Joined, uint64(2))
 }
 
-// TestAJoinedJobIsTakenOver once its homes grant it.
-func TestAJoinedJobIsTakenOver(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against a joined job that never starts after its homes have granted the claim.
+func TestJoinedJobStartsAfterTakeover(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Held})
@@ -150,31 +149,31 @@
 	assert.Equal(t, len(b.allStarts()), 1)
 }
 
-// TestOfTwoEntriesOneGivesBack: the one that has only the home of the higher rank.
-func TestOfTwoEntriesOneGivesBack(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against a deadlock of two entries that each hold one home of a job.
+func TestLaterHomeIsReleasedOnConflict(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Granted})
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	assert.DeepEqual(t, b.settled(homes[1]), []claim.Settlement{{Job: "1", Clear: true, Ran: true}})
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Granted})
-	assert.Equal(t, len(b.allStarts()), 0) // the other one is claimed anew
+	assert.Equal(t, len(b.allStarts()), 0) // the other home is claimed again
 	b.grantAll("1")
 	assert.Equal(t, len(b.allStarts()), 1)
 }
 
-// TestARunningJobYields where the home of the least rank says that another entry has it.
-func TestARunningJobYields(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against a job that keeps running at two entries after conflicting claims.
+func TestRunningJobYieldsAfterContestTimeout(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	assert.Equal(t, len(b.allStarts()), 1)
-	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Held}) // the later rank: that one yields
+	b.reply(homes[1], claim.Reply{Job: "1", State: claim.Held}) // higher rank: the other entry yields
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
-	assert.Equal(t, b.Stats().Yielded, uint64(0)) // the other one may have started nothing
-	b.wait(contestTime + TickInterval)
+	assert.Equal(t, b.Stats().Yielded, uint64(0)) // the other entry may have started nothing
+	b.advance(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(1))
 	stops := 0
 	for _, a := range b.byName {
@@ -189,29 +188,29 @@
 	assert.Equal(t, len(b.allStarts()), 1)
 }
 
-// TestARunningJobGoesOnWhereTheOtherEntryGivesItBack: it had started nothing.
-func TestARunningJobGoesOnWhereTheOtherEntryGivesItBack(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against a stop of running tasks if the other entry has started nothing.
+func TestRunningJobContinuesAfterTransfer(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Held})
 	b.reply(homes[0], claim.Reply{Job: "1", State: claim.Granted})
-	b.wait(contestTime + TickInterval)
+	b.advance(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 
-	b.submit(jobOf("2", 1)) // the other side of it
+	b.submit(jobOf("2", 1)) // the entry that has started nothing
 	homes = b.homesOf("2")
 	b.reply(homes[0], claim.Reply{Job: "2", State: claim.Granted})
 	b.reply(homes[1], claim.Reply{Job: "2", State: claim.Held})
 	b.Receive(b.now, homes[0].name, &peer.Frame{Interests: []claim.Interest{{Job: "2", Waits: true, Begun: true}}})
 	assert.DeepEqual(t, b.settled(homes[0])[0], claim.Settlement{Job: "2", Clear: true, Ran: true})
 	last := b.frames[homes[0].name][len(b.frames[homes[0].name])-1]
-	assert.Equal(t, len(last.Claims), 1) // it waits there for the answer
+	assert.Equal(t, len(last.Claims), 1) // joins the job at the home
 }
 
-// TestASilentHomeIsReplaced, and is one again when it is heard from.
-func TestASilentHomeIsReplaced(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against a job that waits forever for a silent home.
+func TestSilentHomeIsReplacedAndRestored(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.homesOf("1")
 	silent := homes[0]
@@ -233,10 +232,9 @@
 	assert.Equal(t, b.Stats().SilentHomes, uint64(1))
 }
 
-// TestAnEntryThatIsCutOffStartsNothingNew: most agents are silent, so that others may find other
-// homes for its jobs.
-func TestAnEntryThatIsCutOffStartsNothingNew(t *testing.T) {
-	b := newClaimBench(t, 5)
+// While most agents are silent, other entries may choose other homes for the same jobs.
+func TestIsolatedEntryStartsNoNewJobs(t *testing.T) {
+	b := newClaimHarness(t, 5)
 	for n := range 20 {
 		b.submit(jobOf(fmt.Sprint(n), 1))
 	}
@@ -260,10 +258,9 @@
 	assert.Assert(t, !b.Isolated())
 }
 
-// TestADroppedJobIsFreeWhenItsRunsHaveEnded: its homes hear of it only then, and the job does
-// not start anew here before.
-func TestADroppedJobIsFreeWhenItsRunsHaveEnded(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against a second start of a job, here or elsewhere, while dropped runs are active.
+func TestDroppedJobIsClearedOnlyAfterRunsEnd(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	caller := b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.Cancel(b.now, "1", caller)
@@ -273,14 +270,15 @@
 	assert.Equal(t, len(b.allStarts()), 1)
 	b.endAll(task.EndStopped)
 	assert.DeepEqual(t, b.settled(homes[0]), []claim.Settlement{{Job: "1", Clear: true, Ran: true}})
-	assert.Equal(t, len(b.allStarts()), 1) // claimed anew first
+	assert.Equal(t, len(b.allStarts()), 1) // not before it is claimed again
 	b.grantAll("1")
 	assert.Equal(t, len(b.allStarts()), 2)
 }
 
-// TestAJobGoesOnForAnotherEntry whose caller waits for it, when its own has gone.
-func TestAJobGoesOnForAnotherEntry(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against the stop of a job whose local caller has left while another entry waits for
+// it.
+func TestJobContinuesForRemoteWaiter(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	caller := b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.Receive(b.now, homes[0].name, &peer.Frame{Interests: []claim.Interest{{Job: "1", Waits: true}}})
@@ -298,8 +296,8 @@
 	assert.Equal(t, b.Jobs(), 0)
 }
 
-func TestACancellationIsPassedOn(t *testing.T) {
-	b := newClaimBench(t, 6)
+func TestCancellationIsForwarded(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	var answers []bool
 	cancel := func(id string) { b.CancelJob(b.now, id, func(known bool) { answers = append(answers, known) }) }
 	reply := func(id string, state claim.State) {
@@ -318,7 +316,7 @@
 	cancel("nowhere")
 	reply("nowhere", claim.Unknown)
 	cancel("silent")
-	b.wait(cancelTimeout)
+	b.advance(cancelTimeout)
 	assert.DeepEqual(t, answers, []bool{true, false, false})
 
 	b.submit(jobOf("here", 1))
@@ -327,10 +325,9 @@
 	assert.Equal(t, b.answers["here"].Kind, Cancelled)
 }
 
-// TestRoomIsHeldForAClaimUnderWay: the reservation and the claim are asked for at once, and one
-// may come before the other.
-func TestRoomIsHeldForAClaimUnderWay(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against the loss of a reservation that arrives before the claim is granted.
+func TestReservationIsHeldDuringClaim(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	for _, a := range b.byName {
 		b.beginWatch(b.now, a)
 		b.Receive(b.now, a.name, &peer.Frame{State: &peer.State{
@@ -351,29 +348,28 @@
 
 	b.submit(jobOf("2", 1))
 	b.Receive(b.now, from.name, &peer.Frame{Reservation: &peer.Reservation{ID: 8, Room: room.Room}})
-	b.wait(holdTime + TickInterval)
+	b.advance(reservationHoldTime + TickInterval)
 	last := uint64(0)
 	for _, f := range b.frames[from.name] {
 		last = max(last, f.UsedReservation)
 	}
-	assert.Equal(t, last, uint64(8)) // given back
+	assert.Equal(t, last, uint64(8)) // returned
 }
 
-// TestAnEntryThatEndsLeavesItsAnswers at the homes.
-func TestAnEntryThatEndsLeavesItsAnswers(t *testing.T) {
-	b := newClaimBench(t, 6)
+// Guards against answers that are lost when the process exits.
+func TestLeaveFlushesSettlements(t *testing.T) {
+	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.endAll(task.EndDone)
-	assert.Equal(t, len(homes[0].out.Settled), 1) // waits for a frame
+	assert.Equal(t, len(homes[0].out.Settled), 1) // waits for the next frame
 	b.Leave(b.now)
 	assert.Equal(t, len(homes[0].out.Settled), 0)
 }
 
-// TestWithoutAgentsOfThisVersionJobsAreNotClaimed: an upgrade replaces one process after the
-// other.
-func TestWithoutAgentsOfThisVersionJobsAreNotClaimed(t *testing.T) {
-	b := newBench(t, "a", "b")
+// Guards against jobs that never start during an upgrade, before any agent supports claims.
+func TestJobsStartUnclaimedWithLegacyAgents(t *testing.T) {
+	b := newHarness(t, "a", "b")
 	b.submit(jobOf("1", 1))
 	assert.Equal(t, len(b.allStarts()), 1)
 }
--- a/owner/ending.go
+++ b/owner/ending.go
@@ -9,52 +9,52 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Endings: the runs of a job that was dropped go on until their stops are carried out, which
-// may take as long as a lease. Until the agents have told all their ends, or are surely clear,
-// the job starts anew neither here nor, since its homes hear of it only then, elsewhere.
+// Runs of a dropped job continue until their stops take effect, which may take as long as a
+// lease. The job must not start again, here or at another entry, until all these runs are known
+// to have ended. Its homes are therefore informed only then.
 
-// ending is a dropped job with runs whose end is not known.
-type ending struct {
-	runs  int
-	homes []*agent // that are told when the last one has ended
-	// wanted says that another entry waits for it.
-	wanted bool
-	losses int // of a task, as the homes are to remember: see suspect.go
+// droppedJob is a dropped job with runs that are not known to have ended.
+type droppedJob struct {
+	pendingRuns int
+	homes       []*agent // to be informed when the last run has ended
+	// remoteWaiter reports whether another entry waits for the job.
+	remoteWaiter bool
+	losses       int // runs of a task that were lost with their targets, for the homes to store
 }
 
-// addEnding records a run at a of a job that is dropped.
-func (o *Owner) addEnding(a *agent, id task.ID, run int) {
+// addDroppedRun records a run at a of a job that is being dropped.
+func (o *Owner) addDroppedRun(a *agent, id task.ID, run int) {
 	if !o.AwaitEndings {
 		return
 	}
-	a.ending[id] = run
-	e := o.ending[id.Job]
+	a.droppedRuns[id] = run
+	e := o.dropped[id.Job]
 	if e == nil {
-		e = new(ending)
-		o.ending[id.Job] = e
+		e = new(droppedJob)
+		o.dropped[id.Job] = e
 	}
-	e.runs++
+	e.pendingRuns++
 }
 
-// endingOver records that such a run has ended. With the last one the job's homes are told,
-// and the job itself may start if it was submitted again meanwhile.
-func (o *Owner) endingOver(now time.Duration, a *agent, id task.ID) {
-	delete(a.ending, id)
-	e := o.ending[id.Job]
-	e.runs--
-	if e.runs > 0 {
+// droppedRunEnded records the end of a run of a dropped job. After the last one, the homes are
+// informed, and the job is claimed again if it was resubmitted in the meantime.
+func (o *Owner) droppedRunEnded(now time.Duration, a *agent, id task.ID) {
+	delete(a.droppedRuns, id)
+	e := o.dropped[id.Job]
+	e.pendingRuns--
+	if e.pendingRuns > 0 {
 		return
 	}
-	delete(o.ending, id.Job)
+	delete(o.dropped, id.Job)
 	for _, home := range e.homes {
-		o.tellSettled(home, claim.Settlement{Job: id.Job, Clear: true, Ran: true, Losses: e.losses}, e.wanted)
+		o.sendSettlement(home, claim.Settlement{Job: id.Job, Clear: true, Ran: true, Losses: e.losses}, e.remoteWaiter)
 	}
 	if j := o.jobs[id.Job]; j != nil {
 		o.reclaim(now, j)
 	}
 }
 
-// reclaim claims j again at its homes, which were just told that nothing of it is left.
+// reclaim claims j again at its homes, which were just informed that none of its runs is left.
 func (o *Owner) reclaim(now time.Duration, j *job) {
 	homes := j.homes
 	j.homes = nil
@@ -68,9 +68,9 @@
 	o.claimsChanged(now, j)
 }
 
-// clearEndings records that no run of this entry is left at a.
-func (o *Owner) clearEndings(now time.Duration, a *agent) {
-	for _, id := range slices.SortedFunc(maps.Keys(a.ending), task.ID.Compare) {
-		o.endingOver(now, a, id)
+// clearDroppedRuns records that all runs of dropped jobs at a have ended.
+func (o *Owner) clearDroppedRuns(now time.Duration, a *agent) {
+	for _, id := range slices.SortedFunc(maps.Keys(a.droppedRuns), task.ID.Compare) {
+		o.droppedRunEnded(now, a, id)
 	}
 }
--- a/owner/outage.go
+++ b/owner/outage.go
@@ -10,88 +10,89 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// Lost data halls: where several agents of a hall fall silent together and none there is heard
-// from, the hall is suspected to be lost. Nothing is ordered there, and what runs there is
-// taken for lost sooner than agent by agent. docs/design/lost-halls.md says why.
+// A data hall is suspected to be lost when several of its agents become unresponsive together
+// and none of the others responds. Room requested there is requested elsewhere, and
+// unresponsive agents get no heartbeats, so that this entry's leases expire and tasks restart
+// elsewhere earlier than after the timeouts of single agents.
 
 const (
-	// quietTime is how long an agent that is in use may be silent before it counts as quiet:
-	// two heartbeats.
-	quietTime = 220 * time.Millisecond
-	// freshTime is how long ago another hall was heard from at the most: in a cut of this
-	// entry's own, the agents of one hall count as quiet up to a heartbeat before those of
-	// the others.
-	freshTime = 60 * time.Millisecond
-	// minQuiet is how many agents of a hall must be quiet: one or two fail by themselves.
-	// Not measured.
-	minQuiet = 3
-	// quietLostTime is for how long an agent whose connection was lost counts as quiet.
-	// Not measured.
-	quietLostTime = 3 * time.Second
+	// unresponsiveTime is the silence after which an agent in use counts as unresponsive: two
+	// heartbeats.
+	unresponsiveTime = 220 * time.Millisecond
+	// maxContactAge is the maximum time since the last frame from any agent. If this entry
+	// itself is cut off, the agents of one hall become unresponsive up to a heartbeat before
+	// those of the others.
+	maxContactAge = 60 * time.Millisecond
+	// minUnresponsive is the minimum number of unresponsive agents for a suspicion, since one
+	// or two agents fail independently.
+	minUnresponsive = 3
+	// lostAgentTime is how long a disconnected agent counts as unresponsive.
+	lostAgentTime = 3 * time.Second
 )
 
-// hallHeard is what an entry has heard of the agents of one hall.
-type hallHeard struct {
-	quiet, heard int
+// hallContact counts the unresponsive and the responsive agents of one hall.
+type hallContact struct {
+	unresponsive, responsive int
 }
 
-// lost reports whether the hall should be suspected, given when any hall was heard from last.
-func (h hallHeard) lost(now, anyAt time.Duration) bool {
-	return h.heard == 0 && h.quiet >= minQuiet && now-anyAt <= freshTime
+// shouldSuspect reports whether the hall should be suspected. lastContactAt is when the last
+// frame arrived from any agent.
+func (h hallContact) shouldSuspect(now, lastContactAt time.Duration) bool {
+	return h.responsive == 0 && h.unresponsive >= minUnresponsive && now-lastContactAt <= maxContactAge
 }
 
-// quiet reports whether a should have been heard from and was not.
-func (a *agent) quiet(now time.Duration) bool {
+// unresponsive reports whether a frame from a is overdue.
+func (a *agent) unresponsive(now time.Duration) bool {
 	switch {
 	case !a.connected:
-		return now-a.heardAt < quietLostTime
+		return now-a.lastFrameAt < lostAgentTime
 	case a.silentSince > 0:
 		return true
 	}
-	return a.used() && now-max(a.heardAt, a.watchedSince) > quietTime
+	return a.used() && now-max(a.lastFrameAt, a.watchedSince) > unresponsiveTime
 }
 
-// checkHalls begins and ends the suspicion of halls. An entry that is late itself or isolated,
-// or heard from nobody a moment ago, suspects none: the first frames after a cut of its own come
-// from one hall.
+// checkHalls updates the suspected halls. An entry suspects none while it is isolated, after a
+// late tick, or shortly after a time without any frames: the first frames after its own outage
+// may all come from one hall.
 func (o *Owner) checkHalls(now time.Duration) {
-	heard := make(map[string]hallHeard)
-	anyAt := time.Duration(0)
+	contacts := make(map[string]hallContact)
+	lastContactAt := time.Duration(0)
 	for _, a := range o.byName {
-		h := heard[a.profile.Hall]
+		h := contacts[a.profile.Hall]
 		switch {
-		case a.connected && now-a.heardAt <= quietTime:
-			h.heard++
-		case a.quiet(now):
-			h.quiet++
+		case a.connected && now-a.lastFrameAt <= unresponsiveTime:
+			h.responsive++
+		case a.unresponsive(now):
+			h.unresponsive++
 		}
-		anyAt = max(anyAt, a.heardAt)
-		heard[a.profile.Hall] = h
+		lastContactAt = max(lastContactAt, a.lastFrameAt)
+		contacts[a.profile.Hall] = h
 	}
-	if now-anyAt > freshTime {
-		o.deafAt = now
+	if now-lastContactAt > maxContactAge {
+		o.lastNoContactAt = now
 	}
-	sound := !o.isolated && now-o.lateTickAt >= o.ClaimTimeout && now-o.deafAt >= quietTime
-	for _, hall := range slices.Sorted(maps.Keys(heard)) {
-		h := heard[hall]
+	mayJudge := !o.isolated && now-o.lastLateTickAt >= o.ClaimTimeout && now-o.lastNoContactAt >= unresponsiveTime
+	for _, hall := range slices.Sorted(maps.Keys(contacts)) {
+		h := contacts[hall]
 		suspected := o.suspected[hall]
 		switch {
 		case hall == "":
-		case suspected && h.heard > 0:
+		case suspected && h.responsive > 0:
 			delete(o.suspected, hall)
 			o.logHallFound(hall)
-		case !suspected && sound && h.lost(now, anyAt):
+		case !suspected && mayJudge && h.shouldSuspect(now, lastContactAt):
 			o.suspected[hall] = true
 			o.stats.HallsSuspected++
 			o.logHallSuspected(hall, h)
-			o.loseHall(now, hall)
+			o.handleSuspectedHall(now, hall)
 		}
 	}
 }
 
-// loseHall acts on a new suspicion: room that was requested there is requested elsewhere, and
-// jobs that can't wait for the end of their runs there are given up.
-func (o *Owner) loseHall(now time.Duration, hall string) {
+// handleSuspectedHall handles a new suspicion. Room requested in the hall is requested
+// elsewhere, and jobs that can't wait until their runs there have certainly ended are given up.
+func (o *Owner) handleSuspectedHall(now time.Duration, hall string) {
 	for _, a := range o.byName {
 		if a.profile.Hall != hall {
 			continue
@@ -109,29 +110,30 @@
 	}
 }
 
-// tooLateAfter reports whether j can't be done in time where one of its tasks starts no sooner
-// than at a time, even by an optimistic estimate.
+// tooLateAfter reports whether j can't be done in time, by an optimistic estimate, if one of
+// its tasks starts no earlier than start.
 func (j *job) tooLateAfter(start time.Duration) bool {
-	done := start + time.Duration(optimism*float64(j.remaining()))
+	done := start + time.Duration(minRemainingFactor*float64(j.remaining()))
 	return done > j.lateObjectiveAt || j.callerDeadline > 0 && done > j.callerDeadline
 }
 
-// hallSuspected reports whether a stands in a hall that is suspected to be lost.
+// hallSuspected reports whether a is in a suspected hall.
 func (o *Owner) hallSuspected(a *agent) bool {
 	return len(o.suspected) > 0 && o.suspected[a.profile.Hall]
 }
 
-// HallsSuspected returns how many halls are suspected to be lost.
+// HallsSuspected returns the number of halls that are suspected to be lost.
 func (o *Owner) HallsSuspected() int {
 	return len(o.suspected)
 }
 
-// logHallSuspected says that a hall is suspected to be lost, and by how many agents.
-func (o *Owner) logHallSuspected(hall string, h hallHeard) {
-	o.log(event.HallSuspected, slog.String("hall", hall), slog.Int("quiet", h.quiet))
+// logHallSuspected logs that a hall is suspected to be lost, with the number of unresponsive
+// agents.
+func (o *Owner) logHallSuspected(hall string, h hallContact) {
+	o.log(event.HallSuspected, slog.String("hall", hall), slog.Int("quiet", h.unresponsive))
 }
 
-// logHallFound says that an agent of a suspected hall was heard from.
+// logHallFound logs that an agent of a suspected hall responded.
 func (o *Owner) logHallFound(hall string) {
 	o.log(event.HallFound, slog.String("hall", hall))
 }
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -9,10 +9,10 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// Settlements: what the homes of a job are told when it is answered or dropped, and what they
-// tell of others who care for it.
+// Settlements inform the homes of a job that it was answered or dropped. Interests inform this
+// entry that another entry waits for one of its jobs.
 
-// answerOf returns the answer that a home has.
+// answerOf converts the answer in a home's reply.
 func answerOf(r claim.Reply) Answer {
 	kinds := map[claim.Outcome]Kind{
 		claim.Completed: Completed, claim.Failed: Failed, claim.GivenUp: GivenUp, claim.Cancelled: Cancelled,
@@ -21,7 +21,7 @@
 	return Answer{Kind: kinds[r.Outcome], Why: r.Why, Retry: r.Retry}
 }
 
-// outcomeOf returns what homes are told of an answer; the zero answer is none.
+// outcomeOf converts the kind of an answer; the zero Kind has no outcome.
 func outcomeOf(k Kind) claim.Outcome {
 	outcomes := map[Kind]claim.Outcome{
 		Completed: claim.Completed, Failed: claim.Failed, GivenUp: claim.GivenUp, Cancelled: claim.Cancelled,
@@ -30,67 +30,69 @@
 	return outcomes[k]
 }
 
-// settle tells the homes of a job that is dropped how it was answered. A job without an answer
-// to remember is free once its runs have ended: ending.go tells it then. A refusal goes at once,
-// since its caller may come back soon, but not over a busy link.
+// settle informs the homes of a dropped job of its answer. If the job has no answer, it may
+// start elsewhere once its runs have ended, and droppedRunEnded informs the homes then.
+// Refusals are sent at once unless the link is busy, since the caller may soon submit the job
+// again.
 func (o *Owner) settle(now time.Duration, j *job, a Answer) {
 	s := claim.Settlement{Job: j.spec.ID, Outcome: outcomeOf(a.Kind), Why: a.Why, Retry: a.Retry}
 	s.Ran = s.Outcome == claim.None && j.mayHaveRun()
 	s.Losses = j.losses()
-	e := o.ending[j.spec.ID]
+	e := o.dropped[j.spec.ID]
 	s.Clear = e == nil
 	for _, h := range j.homes {
 		if e != nil && !slices.Contains(e.homes, h.agent) {
 			e.homes = append(e.homes, h.agent)
 		}
 		if s.Clear || s.Outcome != claim.None {
-			o.tellSettled(h.agent, s, j.wanted() || j.earlierRun || a.Kind == Refused && !o.linkBusy(now))
+			o.sendSettlement(h.agent, s, j.hasRemoteWaiter() || j.earlierRun || a.Kind == Refused && !o.linkBusy(now))
 		}
 	}
 	if e != nil {
-		e.wanted = e.wanted || j.wanted()
+		e.remoteWaiter = e.remoteWaiter || j.hasRemoteWaiter()
 		e.losses = s.Losses
 	}
 }
 
-// tellSettled adds a settlement to the next frame to a home, at once where somebody waits for
-// it. Without anybody it may take as long as a heartbeat.
-func (o *Owner) tellSettled(a *agent, s claim.Settlement, atOnce bool) {
+// sendSettlement adds a settlement to the next frame to a home. If atOnce is false, the
+// settlement may wait for the next heartbeat.
+func (o *Owner) sendSettlement(a *agent, s claim.Settlement, atOnce bool) {
 	if !a.connected || a.level < peer.LevelClaim {
-		return // it forgets the claim, or grants it to nobody before its time is over
+		return // the home drops the claim or lets it expire
 	}
 	a.out.Settled = append(a.out.Settled, s)
-	if atOnce || o.leaving {
+	if atOnce || o.shuttingDown {
 		o.markDirty(a)
 	}
 }
 
-// receiveInterest handles that another entry waits for a job, or a caller there cancels it.
-// Whatever becomes of it, a frame goes back: so the home knows that this entry lives.
-func (o *Owner) receiveInterest(now time.Duration, a *agent, i claim.Interest) {
+// receiveInterest handles a notice that another entry waits for a job, or that a caller there
+// cancels it. A frame is sent back in any case, which proves to the home that this entry is
+// alive.
+func (o *Owner) receiveInterest(now time.Duration, a *agent, interest claim.Interest) {
 	o.markDirty(a)
-	j := o.jobs[i.Job]
+	j := o.jobs[interest.Job]
 	switch {
-	case i.Cancel:
+	case interest.Cancel:
 		if j != nil {
 			o.answer(now, j, Answer{Kind: Cancelled, Why: code.JobCancelled})
 		}
-	case j != nil && i.Begun && !j.started():
-		o.concede(now, j, a)
+	case j != nil && interest.Begun && !j.started():
+		o.transferClaim(now, j, a)
 	case j != nil:
-		j.setWanted(a, i.Waits)
-		o.abandonUnwanted(now, j)
-	case o.ending[i.Job] != nil:
-		o.ending[i.Job].wanted = i.Waits
-	case i.Waits && !slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == i.Job }):
-		o.tellSettled(a, claim.Settlement{Job: i.Job, Clear: true}, true)
+		j.setRemoteWaiter(a, interest.Waits)
+		o.cancelIfAbandoned(now, j)
+	case o.dropped[interest.Job] != nil:
+		o.dropped[interest.Job].remoteWaiter = interest.Waits
+	case interest.Waits && !slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == interest.Job }):
+		o.sendSettlement(a, claim.Settlement{Job: interest.Job, Clear: true}, true)
 	}
 }
 
-// Leave has every settlement told at once from now on, since the process is about to end, and
-// those that wait for a frame.
+// Leave sends all pending settlements and makes later ones be sent at once. It is called before
+// the process exits.
 func (o *Owner) Leave(now time.Duration) {
-	o.leaving = true
+	o.shuttingDown = true
 	for _, a := range o.byName {
 		if len(a.out.Settled) > 0 {
 			o.markDirty(a)
@@ -99,16 +101,16 @@
 	o.flush(now)
 }
 
-// setWanted records whether another entry waits for j at a home.
-func (j *job) setWanted(a *agent, wanted bool) {
+// setRemoteWaiter records whether another entry waits for j at a home.
+func (j *job) setRemoteWaiter(a *agent, wanted bool) {
 	for k := range j.homes {
 		if j.homes[k].agent == a {
-			j.homes[k].wanted = wanted
+			j.homes[k].remoteWaiter = wanted
 		}
 	}
 }
 
-// wanted reports whether another entry waits for j's answer.
-func (j *job) wanted() bool {
-	return slices.ContainsFunc(j.homes, func(h home) bool { return h.wanted })
+// hasRemoteWaiter reports whether another entry waits for j's answer.
+func (j *job) hasRemoteWaiter() bool {
+	return slices.ContainsFunc(j.homes, func(h home) bool { return h.remoteWaiter })
 }
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -12,25 +12,25 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newWatchBench returns an owner that is connected to agents of this version, of which it
-// knows nothing but what they say to who does not watch.
-func newWatchBench(t *testing.T, agents int) *bench {
+// newWatchHarness returns an owner connected to agents that it does not watch, with claims
+// disabled.
+func newWatchHarness(t *testing.T, agents int) *harness {
 	t.Helper()
-	b := newBench(t)
-	b.Homes = 0 // claims have tests of their own
+	b := newHarness(t)
+	b.Homes = 0 // claims are tested separately
 	b.Addr = func(agent string) string { return "addr of " + agent }
 	b.Random = func(n int) int { return n / 2 }
 	for k := range agents {
 		name := fmt.Sprintf("side-%03d", k)
 		b.Connected(b.now, name)
 		b.Receive(b.now, name, &peer.Frame{Hello: &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest}})
-		b.state(name, 4000, 1, peer.Healthy)
+		b.reportState(name, 4000, 1, peer.Healthy)
 	}
 	return b
 }
 
-// requested returns the agents that were asked for room.
-func (b *bench) requested() []string {
+// requested returns the agents with a pending room request.
+func (b *harness) requested() []string {
 	var list []string
 	for _, a := range b.byName {
 		if a.roomRequested {
@@ -40,19 +40,18 @@
 	return list
 }
 
-// reserve has an agent reserve room.
-func (b *bench) reserve(agent string, cpu int) {
+// reserve has an agent send a reservation.
+func (b *harness) reserve(agent string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: cpu, MemoryMB: 100}}})
 }
 
-// TestAFewAgentsAreAskedForRoom: two for the task that waits, and more while nobody
-// answers; each of them is watched.
-func TestAFewAgentsAreAskedForRoom(t *testing.T) {
-	b := newWatchBench(t, 100)
+// Guards against requests to all agents: two at first, and one more per requestInterval.
+func TestRoomRequestsAreLimited(t *testing.T) {
+	b := newWatchHarness(t, 100)
 	b.submit(jobOf("j", 1))
 	assert.Equal(t, len(b.requested()), requestsPerTask)
 	assert.Equal(t, len(b.watched), requestsPerTask)
-	b.now += 5 * requestPause
+	b.now += 5 * requestInterval
 	b.Tick(b.now)
 	assert.Equal(t, len(b.requested()), requestsPerTask+5)
 	asked := b.requested()[0]
@@ -61,52 +60,50 @@
 	assert.Equal(t, len(b.starts(asked)), 1)
 }
 
-// TestAnOrderWithoutAReservationGoesOnlyToAnEmptyTarget: any other room may be gone.
-func TestAnOrderWithoutAReservationGoesOnlyToAnEmptyTarget(t *testing.T) {
-	b := newWatchBench(t, 1)
+// Guards against rejected orders: other entries may take the room of a target in use.
+func TestUnreservedOrderNeedsEmptyTarget(t *testing.T) {
+	b := newWatchHarness(t, 1)
 	b.beginWatch(b.now, b.agents["side-000"])
 	b.flush(b.now)
-	b.state("side-000", 3000, 1, peer.Healthy)
+	b.reportState("side-000", 3000, 1, peer.Healthy)
 	b.submit(jobOf("j", 1))
 	assert.Equal(t, len(b.starts("side-000")), 0)
 	assert.Equal(t, len(b.requested()), 1)
-	b.state("side-000", 4000, 1, peer.Healthy)
+	b.reportState("side-000", 4000, 1, peer.Healthy)
 	assert.Equal(t, len(b.starts("side-000")), 1)
 }
 
-// TestRoomIsRequestedWhereTheTaskEndsFirst: of the watched agents that are believed to
-// have room, the fastest are asked.
-func TestRoomIsRequestedWhereTheTaskEndsFirst(t *testing.T) {
-	b := newWatchBench(t, 5)
+// Guards against requests to slow targets while faster ones have room.
+func TestRoomIsRequestedFromFastestTargets(t *testing.T) {
+	b := newWatchHarness(t, 5)
 	for k, a := range b.byName {
 		b.beginWatch(b.now, a)
 		b.flush(b.now)
-		b.state(a.name, 2000, 0.5+float64(k)/4, peer.Healthy)
+		b.reportState(a.name, 2000, 0.5+float64(k)/4, peer.Healthy)
 	}
 	b.submit(jobOf("j", 1))
 	assert.DeepEqual(t, b.requested(), []string{"side-003", "side-004"})
 }
 
-// TestWatchesAreBounded: however long a job waits, no more agents are asked than may be
-// watched; without jobs none is.
+// Guards against watching all agents during a long wait, and any agent while idle.
 func TestWatchesAreBounded(t *testing.T) {
-	b := newWatchBench(t, 100)
+	b := newWatchHarness(t, 100)
 	b.submit(jobOf("j", 30))
-	b.now += 200 * requestPause
+	b.now += 200 * requestInterval
 	b.schedule(b.now, b.queue("trackd"))
 	assert.Equal(t, len(b.watched), minWatched)
 	b.cancel("j")
-	b.now += watchTime
+	b.now += watchRetention
 	b.Tick(b.now)
 	assert.Equal(t, len(b.watched), minWatched)
-	b.now += idleAfter
+	b.now += idleTime
 	b.Tick(b.now)
 	assert.Equal(t, len(b.watched), 0)
 }
 
-// TestAnAgentThatIsSilentIsGivenUp: soon while it is used, later otherwise.
-func TestAnAgentThatIsSilentIsGivenUp(t *testing.T) {
-	b := newWatchBench(t, 1)
+// Guards against connections in use that are closed as late as idle ones.
+func TestSilentConnectionTimesOut(t *testing.T) {
+	b := newWatchHarness(t, 1)
 	const name = "side-000"
 	heard := b.now
 	assert.Assert(t, !b.SilentTooLong(heard+peer.IdleSilence, name))
@@ -117,11 +114,11 @@
 	assert.Assert(t, b.SilentTooLong(b.now+peer.Silence+1, name))
 }
 
-// TestASpecGoesToOneAgentOverANarrowLink: the others are told where it is; over a wide link
-// each gets it.
-func TestASpecGoesToOneAgentOverANarrowLink(t *testing.T) {
+// Guards against a narrow link filled with copies of a spec that agents can fetch from each
+// other.
+func TestSpecIsSentOnceOverNarrowLink(t *testing.T) {
 	for megabits, sent := range map[float64]int{0: 3, 1000: 3, 2: 1} {
-		b := newWatchBench(t, 3)
+		b := newWatchHarness(t, 3)
 		b.SetLink(megabits)
 		j := jobOf("j", 6)
 		j.Spec = strings.Repeat("x", 1200)
@@ -146,17 +143,16 @@
 	}
 }
 
-// TestAnIdleEntryCostsLittle counts the bytes that an entry without jobs sends to 240
-// agents. They send it as much.
-func TestAnIdleEntryCostsLittle(t *testing.T) {
+// Guards against high traffic of an idle entry with 240 agents.
+func TestIdleTrafficIsBounded(t *testing.T) {
 	const (
-		agents  = 240
-		lasts   = 20 * time.Second
-		headers = 60   // bytes of a packet
-		most    = 14e3 // bytes a second, one way
+		agents   = 240
+		duration = 20 * time.Second
+		headers  = 60   // bytes of a packet
+		limit    = 14e3 // bytes a second, one way
 	)
-	b := newWatchBench(t, agents)
-	b.now += idleAfter
+	b := newWatchHarness(t, agents)
+	b.now += idleTime
 	b.Tick(b.now)
 	bytes := 0
 	b.Send = func(_ string, f *peer.Frame) uint64 {
@@ -167,60 +163,59 @@
 		bytes += len(buf) + headers
 		return 1
 	}
-	for end := b.now + lasts; b.now < end; b.now += TickInterval {
+	for end := b.now + duration; b.now < end; b.now += TickInterval {
 		b.Tick(b.now)
 		b.Heartbeats(b.now)
 	}
-	perSecond := float64(bytes) / lasts.Seconds()
+	perSecond := float64(bytes) / duration.Seconds()
 	t.Logf("%.0f bytes a second", perSecond)
-	assert.Assert(t, perSecond > 0 && perSecond < most)
+	assert.Assert(t, perSecond > 0 && perSecond < limit)
 }
 
-// labelled has an agent tell that its target has a label.
-func (b *bench) labelled(agent, label string, cpu int) {
+// reportLabel has an agent report that its target has a label.
+func (b *harness) reportLabel(agent, label string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Labels: []string{label}, Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
 		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
-// TestRoomIsRequestedNearTheData: of a hundred agents the two whose targets hold the data
-// are asked, not the ones that are watched.
+// Guards against requests to watched agents far from the data while others hold it.
 func TestRoomIsRequestedNearTheData(t *testing.T) {
-	b := newWatchBench(t, 100)
+	b := newWatchHarness(t, 100)
 	for _, a := range b.byName[:5] {
 		b.beginWatch(b.now, a)
 		b.flush(b.now)
-		b.labelled(a.name, "rack-1", 4000)
+		b.reportLabel(a.name, "rack-1", 4000)
 	}
-	b.labelled("side-040", "rack-2", 4000)
-	b.labelled("side-080", "rack-2", 4000)
+	b.reportLabel("side-040", "rack-2", 4000)
+	b.reportLabel("side-080", "rack-2", 4000)
 	j := jobOf("j", 1)
 	j.Steps[0].Rack = "rack-2"
 	b.submit(j)
 	assert.DeepEqual(t, b.requested(), []string{"side-040", "side-080"})
-	b.now += requestPause
+	b.now += requestInterval
 	b.Tick(b.now)
-	assert.Equal(t, len(b.requested()), 3, "later others, too")
+	assert.Equal(t, len(b.requested()), 3, "other agents later")
 }
 
-// TestOnlyAgentsThatMayRunATaskAreAsked: those with its label.
-func TestOnlyAgentsThatMayRunATaskAreAsked(t *testing.T) {
-	b := newWatchBench(t, 100)
-	b.labelled("side-010", "gpu", 4000)
+// Guards against requests to agents that may not run the task.
+func TestRoomIsRequestedOnlyWithRequiredLabel(t *testing.T) {
+	b := newWatchHarness(t, 100)
+	b.reportLabel("side-010", "gpu", 4000)
 	j := jobOf("j", 1)
 	j.Steps[0].Label = "gpu"
 	b.submit(j)
-	b.now += 20 * requestPause
+	b.now += 20 * requestInterval
 	b.Tick(b.now)
 	assert.DeepEqual(t, b.requested(), []string{"side-010"})
 }
 
-// TestAReservationGoesToTheJobWhoseDataIsNear, though another one is more urgent; without
-// such a job the most urgent takes it; a job that may not run there leaves it.
-func TestAReservationGoesToTheJobWhoseDataIsNear(t *testing.T) {
-	b := newWatchBench(t, 3)
-	b.labelled("side-000", "rack-1", 0)
-	b.labelled("side-001", "rack-2", 0)
+// A job near its data takes the reservation before a more urgent one; jobs not allowed there
+// must not.
+func TestReservationPrefersJobWithLocalData(t *testing.T) {
+	b := newWatchHarness(t, 3)
+	b.reportLabel("side-000", "rack-1", 0)
+	b.reportLabel("side-001", "rack-2", 0)
 	urgent, near, never := jobOf("1", 1), jobOf("2", 1), jobOf("3", 1)
 	urgent.Steps[0].Rack, near.Steps[0].Rack, never.Steps[0].Label = "rack-1", "rack-2", "none"
 	b.submit(urgent)
