--- a/node/agent.go
+++ b/node/agent.go
@@ -17,66 +17,66 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// Agent is the process beside a target.
+// Agent is the process that runs beside a target and starts, monitors and stops runs on it.
 type Agent struct {
 	settings  settings.Node
 	directory Directory
 	target    TargetCalls
 	log       *slog.Logger
-	clock     steadyClock
+	clock     bootClock
 
-	// Serve takes the target's heartbeats until the context ends.
+	// Serve receives the target's heartbeats until ctx is done.
 	Serve func(ctx context.Context) error
 
 	metrics      *metrics.Set
 	startSeconds *metrics.Histogram
 	renewSeconds *metrics.Histogram
-	// renewSecondsBefore is renewSeconds under its earlier name.
-	renewSecondsBefore *metrics.Histogram
-	stages             map[stage.Stage]*metrics.Histogram
+	// renewSecondsDeprecated is renewSeconds under its deprecated metric name.
+	renewSecondsDeprecated *metrics.Histogram
+	stages                 map[stage.Stage]*metrics.Histogram
 
-	// Signals, each due or not.
-	heartbeatSeen       chan struct{} // the target has sent a heartbeat: for the first renewal
-	heartbeatSeenBeside chan struct{} // the same, for the second one
-	repliesLost         chan struct{} // the target's replies get lost
-	entryMissing        chan struct{} // a known entry may not be connected
+	// Signal channels of capacity 1, see notify.
+	heartbeatSeen         chan struct{} // the target sent a heartbeat; read by renewLoop
+	heartbeatSeenParallel chan struct{} // the same, read by parallelRenewLoop
+	repliesLost           chan struct{} // replies of the target are being lost
+	entryMissing          chan struct{} // a known entry may be disconnected
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	supervisor      *supervisor.Supervisor
 	conns           map[supervisor.ConnID]*agentConn
-	lastConn        supervisor.ConnID
+	lastConnID      supervisor.ConnID
 	entries         map[string]*knownEntry // by name
-	document        document               // the newest configuration that any entry sent
-	configVersion   uint64                 // of the document
+	document        document               // newest configuration received from an entry
+	configVersion   uint64                 // version of document
 	documentRequest documentRequest
 	flushScheduled  bool
-	pause           pause
+	pause           pauseDetector
 	specs           specWaiters
 }
 
-// agentConn is a connection of an entry.
+// agentConn is a connection from an entry.
 type agentConn struct {
 	name  string     // of the entry
-	level peer.Level // that it understands
+	level peer.Level // protocol level of the entry
 	conn  *peer.Conn
-	echo  time.Duration // the entry's latest stamp
+	echo  time.Duration // latest stamp received from the entry
 }
 
-// NewAgent returns an agent that is not running yet.
+// NewAgent returns an agent. Run starts it.
 func NewAgent(s settings.Node, d Directory, target TargetCalls, log *slog.Logger) *Agent {
 	a := &Agent{
-		settings:            s,
-		directory:           d,
-		target:              target,
-		log:                 log,
-		clock:               newSteadyClock(),
-		heartbeatSeen:       make(chan struct{}, 1),
-		heartbeatSeenBeside: make(chan struct{}, 1),
-		repliesLost:         make(chan struct{}, 1),
-		entryMissing:        make(chan struct{}, 1),
-		supervisor:          supervisor.NewSupervisor(log),
-		conns:               make(map[supervisor.ConnID]*agentConn),
-		entries:             make(map[string]*knownEntry),
+		settings:              s,
+		directory:             d,
+		target:                target,
+		log:                   log,
+		clock:                 newBootClock(),
+		heartbeatSeen:         make(chan struct{}, 1),
+		heartbeatSeenParallel: make(chan struct{}, 1),
+		repliesLost:           make(chan struct{}, 1),
+		entryMissing:          make(chan struct{}, 1),
+		supervisor:            supervisor.NewSupervisor(log),
+		conns:                 make(map[supervisor.ConnID]*agentConn),
+		entries:               make(map[string]*knownEntry),
 	}
 	a.metrics = newAgentMetrics(a)
 	a.supervisor.Start = func(c supervisor.StartCall) { go a.start(c) }
@@ -87,18 +87,18 @@
 	return a
 }
 
-// Heartbeat handles the target's report of itself.
+// Heartbeat processes a heartbeat of the target.
 func (a *Agent) Heartbeat(r supervisor.Report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.now()
 	a.supervisor.Heartbeat(now, r)
 	notify(a.heartbeatSeen)
-	notify(a.heartbeatSeenBeside)
+	notify(a.heartbeatSeenParallel)
 	a.scheduleFlush(now)
 }
 
-// Deregister handles the target's notice that it is shutting down.
+// Deregister processes the target's notice that it is shutting down.
 func (a *Agent) Deregister(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,25 +107,26 @@
 	a.scheduleFlush(now)
 }
 
-// Run runs the agent until the context ends, and then on until no run is left or the
-// grace is over. Its error is that of a part that failed.
+// Run runs the agent until ctx is done, and then until all runs have ended or the grace period
+// expires. It returns the error of the component that failed, if any.
 func (a *Agent) Run(ctx context.Context) error {
 	a.log.Info(event.Start, "role", "agent", "name", a.settings.Name, "hall", a.settings.Hall)
-	hard, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	hardCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	var g run.Group
-	g.Add(func() error { return a.stop(ctx, hard) }, func(error) { end() })
-	for _, part := range []func(context.Context) error{
-		a.Serve, a.serveMetrics, a.listen, a.tick, a.renewLoop, a.renewBesideLoop, a.find, a.introduce,
+	g.Add(func() error { return a.stop(ctx, hardCtx) }, func(error) { cancel() })
+	for _, component := range []func(context.Context) error{
+		a.Serve, a.serveMetrics, a.listen, a.tick, a.renewLoop, a.parallelRenewLoop, a.discoverEntries, a.introduce,
 	} {
-		g.Add(func() error { return part(hard) }, func(error) { end() })
+		g.Add(func() error { return component(hardCtx) }, func(error) { cancel() })
 	}
 	err := g.Run()
 	a.log.Info(event.Stop, "role", "agent", "name", a.settings.Name)
 	return err
 }
 
-// stop waits until the process is told to stop, and lets what runs end.
+// stop waits until ctx is done, then stops accepting work and waits for the remaining runs to
+// end within the grace period.
 func (a *Agent) stop(ctx, hard context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -149,29 +150,27 @@
 	return nil
 }
 
-// serveMetrics serves the agent's metrics until the context ends.
 func (a *Agent) serveMetrics(ctx context.Context) error {
 	return serveMetrics(ctx, a.settings.Metrics, a.metrics)
 }
 
-// stats returns what the supervisor counts.
 func (a *Agent) stats() supervisor.Stats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.supervisor.Stats(a.clock.now())
 }
 
-// claims returns what the agent counts as a home of jobs.
+// claims returns the counts of the agent as a home of jobs.
 func (a *Agent) claims() claim.Stats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.supervisor.Claims()
 }
 
-// tick calls the supervisor's Tick, sends heartbeats and gives up silent connections until
-// the context ends.
+// tick calls the supervisor's Tick, sends heartbeats and closes silent connections until ctx is
+// done.
 func (a *Agent) tick(ctx context.Context) error {
-	ticks(ctx, supervisor.TickInterval, a.clock, &a.pause, &a.mu, func(now time.Duration, judge bool) {
+	runTicks(ctx, supervisor.TickInterval, a.clock, &a.pause, &a.mu, func(now time.Duration, judge bool) {
 		a.supervisor.Tick(now)
 		a.supervisor.Heartbeats(now)
 		if judge {
--- a/node/clock.go
+++ b/node/clock.go
@@ -7,49 +7,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// steadyClock is a process's own clock, on which leases, silences and deadlines are reckoned.
-// It counts the time for which the host was suspended: the clock of package time does not, and
-// a process that woke would take what it was promised before for fresh. It begins at one
-// second, so that zero never counts as a time.
+// bootClock is the clock of a process for leases, timeouts and deadlines. It is monotonic and
+// includes time during which the host was suspended, unlike the clock of package time: a
+// process that resumes must not treat leases granted before the suspension as fresh. Readings
+// start at one second, so that zero can mean "unset".
 //
-// A reading is a system call, 131 ns where one of package time takes 28
-// (BenchmarkSteadyClock, one host). Timers run on the other clock: what is due during a
-// suspension comes after it.
-type steadyClock struct {
-	boot  func() time.Duration // since the host started
-	began time.Duration
+// Timers still use the runtime's clock: a timer that is due during a suspension fires after it.
+type bootClock struct {
+	uptime func() time.Duration // since the host booted
+	origin time.Duration        // uptime at which the clock would read zero
 }
 
-// newSteadyClock returns a clock that begins now.
-func newSteadyClock() steadyClock {
-	return newClockOf(sinceBoot)
+func newBootClock() bootClock {
+	return newBootClockFrom(sinceBoot)
 }
 
-// newClockOf returns a clock that begins now, by a function that tells the time since the host
-// started.
-func newClockOf(boot func() time.Duration) steadyClock {
-	return steadyClock{boot: boot, began: boot() - time.Second}
+// newBootClockFrom returns a clock that starts now, based on the given function.
+func newBootClockFrom(uptime func() time.Duration) bootClock {
+	return bootClock{uptime: uptime, origin: uptime() - time.Second}
 }
 
-// now returns the present time.
-func (c steadyClock) now() time.Duration {
-	return c.boot() - c.began
+func (c bootClock) now() time.Duration {
+	return c.uptime() - c.origin
 }
 
-// processBegan is the beginning of the process, for hosts without a clock that counts
-// suspensions.
-var processBegan = time.Now()
+// processStart is the fallback epoch of sinceBoot on hosts without CLOCK_BOOTTIME.
+var processStart = time.Now()
 
-// sinceBoot returns how long ago the host started, suspensions counted.
+// sinceBoot returns the time since the host booted, including suspensions.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return time.Since(processBegan) // no Linux of the last ten years
+		return time.Since(processStart) // CLOCK_BOOTTIME is not supported
 	}
 	return time.Duration(t.Nano())
 }
 
-// sleep waits, and reports whether the context still runs.
+// sleep waits for d and reports whether it elapsed before ctx was done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -61,7 +55,7 @@
 	}
 }
 
-// notify makes a signal due, if it is not due already. The channel holds one.
+// notify signals a channel of capacity 1. A signal that is already pending is not repeated.
 func notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
--- a/node/configure.go
+++ b/node/configure.go
@@ -10,92 +10,87 @@
 	"github.com/beaconpoint/beaconpoint/routing"
 )
 
-// Times of the configuration.
+// Timing of configuration reads and watches.
 const (
-	// minWatchWait is how long the store may hold back the answer to a watch at the least: a
-	// cut that nobody notices hides changes no longer than that. Not measured.
+	// minWatchWait is the shortest time that a watch of the store stays open. It bounds the
+	// delay of a change when the loss of a connection goes undetected.
 	minWatchWait = time.Second
-	// watchesPerSecond is how many watches a second all entries begin together, so that the
-	// store's calls do not grow with the fleet, and maxWatchWait the longest wait that comes of
-	// it: all watches may miss a change at once, where the store forgets its history, and an
-	// entry must have it 5 s later. The waits are drawn, from half of the longest on: so the
-	// first watch that ends tells of what the others have missed, and agents hand it on within
-	// an idle heartbeat. Without that all ended together, and 184 entries with waits of 10 s
-	// had a change in force 5.9 s after it. At 1 s each they made 12,300 of the 18,157 calls of a quiet day
-	// of 67 s.
+	// watchesPerSecond limits how many watches all entries together start per second, so that
+	// the load on the store does not grow with the fleet. maxWatchWait caps the resulting wait:
+	// a store that has dropped its history can make every watch miss a change, which an entry
+	// must apply within 5 s. Waits are randomized over the upper half of the range. The first
+	// watch to end then picks up a change that the others missed, and agents pass it on with
+	// their next idle heartbeat.
 	watchesPerSecond = 32
 	maxWatchWait     = 4 * time.Second
-	// absentRetry is how long after the store had no configuration it is asked
-	// again. Not measured.
-	absentRetry = 200 * time.Millisecond
-	// firstConfigTime is for how long after its start an entry has requests wait
-	// for the first configuration, which is on its way then. Not measured.
-	firstConfigTime = 400 * time.Millisecond
+	// absentConfigRetry is the interval at which the store is read while it has no
+	// configuration.
+	absentConfigRetry = 200 * time.Millisecond
+	// firstConfigTimeout is how long after startup requests wait for the first configuration.
+	firstConfigTimeout = 400 * time.Millisecond
 )
 
-// fromStore says in log lines that the store told of something, and not an agent.
+// fromStore is the source in log lines about changes that were read from the store.
 const fromStore = "store"
 
-// watchConfig applies the configuration from its source as it is and as it changes,
-// until the context ends.
+// watchConfig applies the configuration from its source, and changes to it, until ctx is done.
 func (e *Entry) watchConfig(ctx context.Context) {
 	read := &storeCall{name: "config", log: e.log}
 	watch := &storeCall{name: "watch", log: e.log}
 	observer := ConfigObserver{Document: e.applyDocument, Evacuations: e.applyEvacuations, Evacuation: e.applyEvacuation, Process: e.applyProcess}
-	var at uint64 // the store's revision; zero: read anew
+	var revision uint64 // of the store; zero if the configuration must be read anew
 	for ctx.Err() == nil {
-		if at == 0 {
-			if at = e.readConfig(ctx, read, observer); at > 0 {
-				notify(e.relist) // what the directory has changed before is not told
+		if revision == 0 {
+			if revision = e.readConfig(ctx, read, observer); revision > 0 {
+				notify(e.relist) // the watch does not report earlier changes to the directory
 			}
 			continue
 		}
 		wait := e.watchWait(watch.failures)
-		watch.try(ctx, wait, func(ctx context.Context) error {
-			next, err := e.source.Watch(ctx, at, wait, observer)
+		watch.attempt(ctx, wait, func(ctx context.Context) error {
+			next, err := e.source.Watch(ctx, revision, wait, observer)
 			if err == nil {
-				at = next
+				revision = next
 			}
 			return err
 		})
 	}
 }
 
-// watchWait returns how long the store may hold back the answer to the next watch: the longer
-// the more entries watch, but not after a failure, when a change may be due.
+// watchWait returns how long the next watch of the store may stay open. The wait grows with the
+// number of entries. After a failure it is minWatchWait, since a change may be pending.
 func (e *Entry) watchWait(failures int) time.Duration {
 	if failures > 0 {
 		return minWatchWait
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	share := time.Duration(len(e.reach.entries)) * time.Second / watchesPerSecond
-	longest := min(max(share, minWatchWait), maxWatchWait)
+	wait := time.Duration(len(e.reach.entries)) * time.Second / watchesPerSecond
+	longest := min(max(wait, minWatchWait), maxWatchWait)
 	return longest - rand.N(min(longest/2, longest-minWatchWait)+1)
 }
 
-// readConfig reads the configuration and returns the revision to watch from, zero
-// where none was read.
+// readConfig reads the configuration and returns the revision to watch from, zero if none was
+// read.
 func (e *Entry) readConfig(ctx context.Context, call *storeCall, observer ConfigObserver) uint64 {
-	var at uint64
-	done := call.try(ctx, 0, func(ctx context.Context) error {
+	var revision uint64
+	done := call.attempt(ctx, 0, func(ctx context.Context) error {
 		var err error
-		at, err = e.source.Read(ctx, observer)
+		revision, err = e.source.Read(ctx, observer)
 		return err
 	})
-	if done && at == 0 {
-		sleep(ctx, absentRetry) // the operator has written none yet
+	if done && revision == 0 {
+		sleep(ctx, absentConfigRetry) // no configuration has been written yet
 	}
-	return at
+	return revision
 }
 
-// applyDocument puts a configuration document from the store or from an agent in
-// force, if it is newer than the one that is.
+// applyDocument puts a configuration document in force if it is newer than the current one.
 func (e *Entry) applyDocument(text []byte) {
 	e.apply(document{plain: text})
 }
 
-// apply is applyDocument for a document in any of its forms.
+// apply is like applyDocument but also accepts a compressed document.
 func (e *Entry) apply(doc document) {
 	text, err := doc.text()
 	if err != nil {
@@ -122,35 +117,36 @@
 	e.log.Info(event.ConfigTaken, "version", table.Version, "queues", len(table.Queues))
 }
 
-// applyEvacuations applies the evacuated halls as the store has them.
+// applyEvacuations replaces the set of evacuated halls with the one read from the store.
 func (e *Entry) applyEvacuations(set evacuation.Set) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.owner.Evacuate(e.clock.now(), set, fromStore)
 }
 
-// applyEvacuation applies one change of the evacuated halls, from the watch of the store.
+// applyEvacuation applies a single change of the evacuated halls, reported by the store's
+// watch.
 func (e *Entry) applyEvacuation(revision uint64, hall string, evacuated bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.owner.Evacuate(e.clock.now(), e.owner.Evacuations().With(revision, hall, evacuated), fromStore)
 }
 
-// evacuations returns how many halls, and known targets in them, are evacuated.
+// evacuations returns the number of evacuated halls and of known targets in them.
 func (e *Entry) evacuations() (halls, targets int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.owner.Evacuations().Halls), e.owner.EvacuatedTargets()
 }
 
-// AwaitTable returns the configuration in force. Where there is none it waits for one,
-// but only while the entry has just started; after that it returns nil at once.
+// AwaitTable returns the configuration in force. If there is none, it waits for one during the
+// first firstConfigTimeout after startup and returns nil immediately after that.
 func (e *Entry) AwaitTable(ctx context.Context) *routing.Table {
-	left := firstConfigTime - (e.clock.now() - e.startedAt)
+	left := firstConfigTimeout - (e.clock.now() - e.startedAt)
 	if table := e.table.Load(); table != nil || left <= 0 {
 		return table
 	}
-	e.waited.Do(func() { e.log.Info(event.ConfigAwaited, "left_ms", left.Milliseconds()) })
+	e.logAwaitOnce.Do(func() { e.log.Info(event.ConfigAwaited, "left_ms", left.Milliseconds()) })
 	timer := time.NewTimer(left)
 	defer timer.Stop()
 	select {
@@ -161,8 +157,7 @@
 	return e.table.Load()
 }
 
-// version returns the version of the configuration in force, zero where there is
-// none.
+// version returns the version of the configuration in force, zero if there is none.
 func (e *Entry) version() uint64 {
 	if t := e.table.Load(); t != nil {
 		return t.Version
--- a/node/document.go
+++ b/node/document.go
@@ -8,75 +8,73 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// How the configuration's document goes from one process to another. It may be large
-// and the links narrow, so that only a peer that asks gets it: each frame names the
-// version that its sender knows. Pushed to everybody, a document of some 100 KB broke
-// all connections of a large site (docs/incidents/fresh-58f3.md).
+// Limits for the exchange of configuration documents between processes. A document may be large
+// and links slow, so it is sent on request only: each frame carries the version that its sender
+// has, and a peer with an older one requests the document.
 const (
-	// documentTimeout is how long after a request that brought nothing the next
-	// peer is asked. Not measured.
-	documentTimeout = 500 * time.Millisecond
-	// watchHeadStart is how long an entry that has a configuration waits for its
-	// own watch of the store before it asks an agent for a newer one. Not
-	// measured.
-	watchHeadStart = 300 * time.Millisecond
-	// documentRate is how many bytes of documents an entry sends a second, and
-	// documentLinkShare the share of its link that they take at the most; a peer that
-	// asks beyond that asks another entry, or again. Not measured.
-	documentRate      = 1 << 20
-	documentLinkShare = 0.25
+	// documentRequestTimeout is how long a request may stay unanswered before another peer is
+	// asked.
+	documentRequestTimeout = 500 * time.Millisecond
+	// documentRequestDelay is how long an entry that has a configuration waits for its own
+	// watch of the store before it requests a newer one from an agent.
+	documentRequestDelay = 300 * time.Millisecond
+	// An entry sends documents at up to documentBytesPerSecond, and at no more than the share
+	// documentLinkShare of its link's bandwidth. Peers that are turned away ask another entry,
+	// or retry.
+	documentBytesPerSecond = 1 << 20
+	documentLinkShare      = 0.25
 )
 
-// documentRequest decides when a newer document is asked for.
+// documentRequest tracks when to request a newer document.
 type documentRequest struct {
-	// aheadSince is since when a newer version is known of, zero while none is.
+	// aheadSince is when a newer version was first seen, zero if there is none.
 	aheadSince time.Duration
-	// askedAt is when the last request was sent, zero while none is under way.
+	// askedAt is when the last request was sent, zero if none is in flight.
 	askedAt time.Duration
 }
 
-// due reports whether the peer that knows a newer version should be asked now, and
-// records it. headStart is how long the newer version must be known of.
-func (r *documentRequest) due(now, headStart time.Duration) bool {
+// due reports whether to request the document from a peer that has a newer version, and if so
+// records the request. The newer version must have been known for at least delay.
+func (r *documentRequest) due(now, delay time.Duration) bool {
 	if r.aheadSince == 0 {
 		r.aheadSince = now
 	}
-	if now-r.aheadSince < headStart || r.askedAt > 0 && now-r.askedAt < documentTimeout {
+	if now-r.aheadSince < delay || r.askedAt > 0 && now-r.askedAt < documentRequestTimeout {
 		return false
 	}
 	r.askedAt = now
 	return true
 }
 
-// documentPacer bounds how many bytes are sent a second. Unlike a token bucket it
-// lets a document of any size pass, and then none until its time is paid for.
+// documentPacer limits the rate at which documents are sent. Unlike a token bucket it admits a
+// document of any size and then rejects others until the time for its size has elapsed.
 type documentPacer struct {
 	freeAt time.Duration
 }
 
-// take reports whether that many bytes may be sent now over a link of a rate in megabits a
-// second, zero where it is not known, and counts them.
-func (p *documentPacer) take(now time.Duration, bytes int, link float64) bool {
+// take reports whether a document of the given size may be sent now, and if so counts it.
+// linkMbps is the bandwidth of the link in megabits per second, zero if unknown.
+func (p *documentPacer) take(now time.Duration, bytes int, linkMbps float64) bool {
 	if now < p.freeAt {
 		return false
 	}
 	const bytesPerMegabit = 1e6 / 8
-	rate := float64(documentRate)
-	if link > 0 {
-		rate = min(rate, documentLinkShare*link*bytesPerMegabit)
+	rate := float64(documentBytesPerSecond)
+	if linkMbps > 0 {
+		rate = min(rate, documentLinkShare*linkMbps*bytesPerMegabit)
 	}
 	p.freeAt = now + time.Duration(float64(bytes)/rate*float64(time.Second))
 	return true
 }
 
-// passDocument asks the agent for its document where it knows a newer one, and sends
-// it this entry's where it asks. It is called with the lock held.
-func (e *Entry) passDocument(now time.Duration, agent string, f *peer.Frame) {
-	headStart := watchHeadStart
+// exchangeDocument requests the agent's document if the agent has a newer version, and answers
+// the agent's request for this entry's document. The caller must hold e.mu.
+func (e *Entry) exchangeDocument(now time.Duration, agent string, f *peer.Frame) {
+	delay := documentRequestDelay
 	if e.document.empty() {
-		headStart = 0
+		delay = 0
 	}
-	if f.Config > e.version() && e.documentRequest.due(now, headStart) {
+	if f.Config > e.version() && e.documentRequest.due(now, delay) {
 		e.log.Info(event.DocumentAsked, "agent", agent, "version", f.Config, "own", e.version())
 		e.send(agent, &peer.Frame{AskDocument: true})
 	}
@@ -96,9 +94,9 @@
 	e.send(agent, out)
 }
 
-// passDocument asks the entry for its document where it knows a newer one, and sends
-// it this agent's where it asks. It is called with the lock held.
-func (a *Agent) passDocument(now time.Duration, id supervisor.ConnID, f *peer.Frame) {
+// exchangeDocument requests the entry's document if the entry has a newer version, and answers
+// the entry's request for this agent's document. The caller must hold a.mu.
+func (a *Agent) exchangeDocument(now time.Duration, id supervisor.ConnID, f *peer.Frame) {
 	if f.Config > a.configVersion && a.documentRequest.due(now, 0) {
 		a.log.Info(event.DocumentAsked, "entry", a.conns[id].name, "version", f.Config, "own", a.configVersion)
 		a.send(id, &peer.Frame{AskDocument: true})
--- a/node/entry.go
+++ b/node/entry.go
@@ -23,32 +23,31 @@
 )
 
 const (
-	// serveAfterStop is how long an entry that was told to stop still takes
-	// requests. The platform's balancer asks for readiness each second and takes an
-	// entry out after two misses; what it has passed on before arrives up to 0.3 s
-	// later. Found by incident inc-3661.
-	serveAfterStop = 2600 * time.Millisecond
-	// graceMargin is how long before the end of the grace everything is closed, so
-	// that the process ends by itself. Not measured.
+	// shutdownDelay is how long a stopping entry keeps accepting requests. The platform's load
+	// balancer polls readiness every second and removes an entry after two failures; requests
+	// that it forwarded before that arrive up to 0.3 s later.
+	shutdownDelay = 2600 * time.Millisecond
+	// graceMargin is how long before the end of the grace period all connections are closed, so
+	// that the process exits by itself.
 	graceMargin = 300 * time.Millisecond
-	// listInterval is how often an entry reads the directory for processes that it has
-	// missed: its watch tells of each. Not measured.
+	// listInterval is how often an entry lists the directory to find processes that its watch
+	// missed.
 	listInterval = time.Minute
 )
 
-// Entry is the process that takes jobs and owns them.
+// Entry is the process that accepts jobs from callers and runs them through agents.
 type Entry struct {
 	settings  settings.Node
 	directory Directory
 	source    ConfigSource
 	log       *slog.Logger
-	clock     steadyClock
+	clock     bootClock
 
-	// Serve runs the callers' interface until the first context ends, and closes it
-	// then without cutting a request off, as long as the second one allows.
+	// Serve serves the callers' interface until ctx is done. It then shuts down gracefully, and
+	// cuts off remaining requests when hard is done.
 	Serve func(ctx, hard context.Context) error
-	// ForgetAfter is how long an agent can't be reached before the entry has the
-	// directory forget it: forgetTime, except in tests.
+	// ForgetAfter is how long an agent may be unreachable before the entry removes it from the
+	// directory. The default is forgetAfter; tests set it lower.
 	ForgetAfter time.Duration
 
 	metrics   *metrics.Set
@@ -56,36 +55,36 @@
 	stages    map[stage.Stage]*metrics.Histogram
 	answers   map[code.Code]*metrics.Counter
 
-	boot       uint64 // differs between the lives of an entry
-	startedAt  time.Duration
-	configured chan struct{} // closed when the first configuration is in force
-	relist     chan struct{} // the directory should be read anew
-	waited     sync.Once     // logs the first request that waits for it
-	table      atomic.Pointer[routing.Table]
-	leaving    atomic.Bool
-	linked     atomic.Int64 // connected agents
+	bootID          uint64 // distinguishes restarts of the same entry
+	startedAt       time.Duration
+	configured      chan struct{} // closed when the first configuration is in force
+	relist          chan struct{} // signals that the directory must be listed again
+	logAwaitOnce    sync.Once     // logs the first request that waits for a configuration
+	table           atomic.Pointer[routing.Table]
+	leaving         atomic.Bool
+	connectedAgents atomic.Int64
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	owner           *owner.Owner
 	links           map[string]*link // by agent
 	reach           *reachView
-	pause           pause
+	pause           pauseDetector
 	document        document // of the configuration in force
 	documentRequest documentRequest
 	documentPacer   documentPacer
 }
 
-// NewEntry returns an entry that is not running yet.
+// NewEntry returns an entry. Run starts it.
 func NewEntry(s settings.Node, d Directory, c ConfigSource, log *slog.Logger) *Entry {
 	e := &Entry{
 		settings:    s,
 		directory:   d,
 		source:      c,
 		log:         log,
-		clock:       newSteadyClock(),
-		ForgetAfter: forgetTime,
+		clock:       newBootClock(),
+		ForgetAfter: forgetAfter,
 		configured:  make(chan struct{}),
-		boot:        rand.Uint64(),
+		bootID:      rand.Uint64(),
 		owner:       owner.NewOwner(log),
 		links:       make(map[string]*link),
 		reach:       newReachView(s.Name),
@@ -104,34 +103,34 @@
 	return e
 }
 
-// SetClaimTimeout sets after how long agents that do not answer claims count as silent. It is
-// for tests on machines that may stand still, and called before Run.
+// SetClaimTimeout sets how long an agent may leave a claim unanswered before it counts as
+// silent. It must be called before Run. It is meant for tests on machines that may stall.
 func (e *Entry) SetClaimTimeout(d time.Duration) {
 	e.owner.ClaimTimeout = d
 }
 
-// SetTerm sets what counts most for the callers. It is called before Run.
+// SetTerm sets the optimization objective of the owner. It must be called before Run.
 func (e *Entry) SetTerm(t owner.Term) {
 	e.owner.Term = t
 }
 
-// Ready reports whether the entry should be given requests: it has a configuration
-// and an agent, is not cut off from most agents, and does not stop.
+// Ready reports whether the load balancer should route requests to the entry: it has a
+// configuration and a connected agent, is not isolated and is not stopping.
 func (e *Entry) Ready() bool {
-	return !e.leaving.Load() && e.table.Load() != nil && e.linked.Load() > 0 && e.isolated() == 0
+	return !e.leaving.Load() && e.table.Load() != nil && e.connectedAgents.Load() > 0 && e.isolated() == 0
 }
 
-// Leaving reports whether the entry has been told to stop.
+// Leaving reports whether the entry is stopping.
 func (e *Entry) Leaving() bool {
 	return e.leaving.Load()
 }
 
-// Submit submits a job and returns its answer. When the context ends first, the
-// caller is gone: the job is stopped, and the error is the context's.
+// Submit submits a job and waits for its answer. If ctx is done first, the caller has
+// disconnected: the job is cancelled and the error of ctx is returned.
 //
-// A connection may break while its request waits to be read. The server notices once it
-// gets to run, which it is given the chance to here: a job whose caller has gone already,
-// and may have submitted it elsewhere, is not started for the time that a stop takes.
+// Submit yields to the scheduler first, which lets the HTTP server detect a connection that
+// broke while its request was queued. The job of a caller that has disconnected, and may have
+// submitted it to another entry, is not started.
 func (e *Entry) Submit(ctx context.Context, j task.Job) (owner.Answer, error) {
 	runtime.Gosched()
 	if err := ctx.Err(); err != nil {
@@ -153,8 +152,8 @@
 	}
 }
 
-// Cancel ends a job on its caller's order, here or at the entry that has it; false means that
-// nobody knows of it, or that the context has ended.
+// Cancel cancels a job at its caller's request, on this entry or on the one that owns it. It
+// returns false if the job is unknown or ctx is done first.
 func (e *Entry) Cancel(ctx context.Context, id string) bool {
 	answers := make(chan bool, 1)
 	e.mu.Lock()
@@ -168,21 +167,21 @@
 	}
 }
 
-// WaitingJobs returns how many jobs of a queue have no task started.
+// WaitingJobs returns the number of jobs in a queue of which no task has been started.
 func (e *Entry) WaitingJobs(queue string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.owner.WaitingJobs(queue)
 }
 
-// Stats returns the entry's counts.
+// Stats returns the entry's counters.
 func (e *Entry) Stats() owner.Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.owner.Stats()
 }
 
-// isolated returns 1 where the entry takes itself to be cut off, else 0.
+// isolated returns 1 if the entry considers itself cut off from most agents, otherwise 0.
 func (e *Entry) isolated() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,61 +191,61 @@
 	return 0
 }
 
-// hallsSuspected returns how many data halls the entry takes for lost.
+// hallsSuspected returns the number of data halls that the entry considers lost.
 func (e *Entry) hallsSuspected() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return uint64(e.owner.HallsSuspected())
 }
 
-// watched returns how many agents are watched.
+// watched returns the number of agents that the entry watches.
 func (e *Entry) watched() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.owner.Watched()
 }
 
-// linkQueue returns how long the host's link takes for what it has queued.
+// linkQueue returns the estimated time to transmit what is queued on the host's link.
 func (e *Entry) linkQueue() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.owner.LinkQueue(e.clock.now())
 }
 
-// jobs returns how many jobs are owned.
+// jobs returns the number of jobs that the entry owns.
 func (e *Entry) jobs() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.owner.Jobs()
 }
 
-// Run runs the entry until the context ends, and then on until its jobs are answered
-// or the grace is over. Its error is that of a part that failed.
+// Run runs the entry until ctx is done, and then until its jobs are answered or the grace
+// period expires. It returns the error of the component that failed, if any.
 func (e *Entry) Run(ctx context.Context) error {
 	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "hall", e.settings.Hall, "term", e.owner.Term.String())
-	hard, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	soft, closeCallers := context.WithCancel(hard)
+	hardCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	callersCtx, closeCallers := context.WithCancel(hardCtx)
 	defer closeCallers()
 	var g run.Group
-	addPart(&g, func() error { return e.stop(ctx, closeCallers, end) })
-	addPart(&g, func() error { return e.Serve(soft, hard) })
-	addPart(&g, func() error { return serveMetrics(hard, e.settings.Metrics, e.metrics) })
-	addPart(&g, func() error { e.tick(hard); return nil })
-	addPart(&g, func() error { e.watchConfig(hard); return nil })
-	addPart(&g, func() error { e.find(hard); return nil })
-	addPart(&g, func() error { return listen(hard, e.settings.Peers, e.accept) })
-	g.Add(func() error { <-hard.Done(); return nil }, func(error) { end() })
+	addActor(&g, func() error { return e.stop(ctx, closeCallers, cancel) })
+	addActor(&g, func() error { return e.Serve(callersCtx, hardCtx) })
+	addActor(&g, func() error { return serveMetrics(hardCtx, e.settings.Metrics, e.metrics) })
+	addActor(&g, func() error { e.tick(hardCtx); return nil })
+	addActor(&g, func() error { e.watchConfig(hardCtx); return nil })
+	addActor(&g, func() error { e.discoverAgents(hardCtx); return nil })
+	addActor(&g, func() error { return listen(hardCtx, e.settings.Peers, e.accept) })
+	g.Add(func() error { <-hardCtx.Done(); return nil }, func(error) { cancel() })
 	err := g.Run()
 	e.log.Info(event.Stop, "role", "entry", "name", e.settings.Name)
 	return err
 }
 
-// addPart adds a part whose end does not end the group unless it failed.
-func addPart(g *run.Group, part func() error) {
+// addActor adds an actor to g that ends the group only if it fails.
+func addActor(g *run.Group, execute func() error) {
 	stop := make(chan struct{})
 	g.Add(func() error {
-		if err := part(); err != nil {
+		if err := execute(); err != nil {
 			return err
 		}
 		<-stop
@@ -254,14 +253,15 @@
 	}, func(error) { close(stop) })
 }
 
-// stop waits until the process is told to stop, and ends it in steps: it is not ready
-// any more but serves on, takes no new connection, answers its jobs, ends.
-func (e *Entry) stop(ctx context.Context, closeCallers, end func()) error {
+// stop waits until ctx is done and shuts the entry down in steps: it reports not ready but
+// keeps serving, closes the callers' interface, waits for the remaining jobs, and ends the
+// process.
+func (e *Entry) stop(ctx context.Context, closeCallers, cancel func()) error {
 	<-ctx.Done()
 	began := e.clock.now()
 	e.leaving.Store(true)
 	e.log.Info(event.Stopping, "jobs", e.jobs())
-	time.Sleep(min(serveAfterStop, e.settings.Grace/2))
+	time.Sleep(min(shutdownDelay, e.settings.Grace/2))
 	closeCallers()
 	for e.jobs() > 0 && e.clock.now()-began < e.settings.Grace-graceMargin {
 		time.Sleep(owner.TickInterval)
@@ -270,14 +270,14 @@
 	e.owner.Leave(e.clock.now())
 	e.mu.Unlock()
 	time.Sleep(owner.TickInterval)
-	end()
+	cancel()
 	return nil
 }
 
-// tick calls the owner's Tick, sends heartbeats and gives up silent connections until the
-// context ends.
+// tick calls the owner's Tick, updates the set of connections, sends heartbeats and closes
+// silent connections until ctx is done.
 func (e *Entry) tick(ctx context.Context) {
-	ticks(ctx, owner.TickInterval, e.clock, &e.pause, &e.mu, func(now time.Duration, judge bool) {
+	runTicks(ctx, owner.TickInterval, e.clock, &e.pause, &e.mu, func(now time.Duration, judge bool) {
 		e.owner.Tick(now)
 		e.adjustReach(ctx, now)
 		e.owner.Heartbeats(now)
@@ -287,26 +287,26 @@
 	})
 }
 
-// find learns of the agents that the directory names, and registers the entry. The list comes
-// first: an entry that connects to an agent is known to it. Afterwards the watch of the store
-// tells of changes.
-func (e *Entry) find(ctx context.Context) {
+// discoverAgents lists the agents and entries in the directory and registers this entry. It
+// lists first, since agents learn of an entry when it connects to them. Later changes arrive
+// through the watch of the store; the list is repeated at intervals and on relist.
+func (e *Entry) discoverAgents(ctx context.Context) {
 	own := Registration{Name: e.settings.Name, Addr: e.settings.Peers}
 	for registered := false; ; {
-		untilDone(ctx, e.log, "list", func(try context.Context) error {
+		retryUntilDone(ctx, e.log, "list", func(try context.Context) error {
 			agents, err := e.directory.List(try, peer.RoleAgent)
 			for _, r := range agents {
 				e.addAgent(r)
 			}
 			return err
 		})
-		untilDone(ctx, e.log, "list", func(try context.Context) error {
+		retryUntilDone(ctx, e.log, "list", func(try context.Context) error {
 			entries, err := e.directory.List(try, peer.RoleEntry)
 			e.addEntries(entries)
 			return err
 		})
 		if !registered {
-			untilDone(ctx, e.log, "register", func(try context.Context) error {
+			retryUntilDone(ctx, e.log, "register", func(try context.Context) error {
 				return e.directory.Register(try, peer.RoleEntry, own)
 			})
 			registered = true
--- a/node/introduce.go
+++ b/node/introduce.go
@@ -12,55 +12,56 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// An agent without any entry for aloneTime registers anew; alonePoll is how often it
-// looks. Not measured.
+// An agent that has had no connection for reregisterAfter registers again. It checks its
+// connections every connectionPollInterval.
 const (
-	aloneTime = 3 * time.Second
-	alonePoll = 500 * time.Millisecond
+	reregisterAfter        = 3 * time.Second
+	connectionPollInterval = 500 * time.Millisecond
 )
 
-// maxIntroductions is how many of the entries that the directory names an agent makes itself known
-// to: with more entries the others learn of it from the directory. Smaller fleets have no more.
+// maxIntroductions is the number of listed entries to which an agent introduces itself. Further
+// entries find the agent in the directory.
 const maxIntroductions = 16
 
-// introducedTime is how long after an introduction an entry that has not called back gets the next
-// one: it may have restarted since, or not want this agent. Not measured.
-const introducedTime = 10 * time.Second
+// reintroduceInterval is the time until an agent repeats an introduction to an entry that has
+// not connected. The entry may have restarted since, or may not need this agent.
+const reintroduceInterval = 10 * time.Second
 
-// knownEntry is an entry that this agent should be known to.
+// knownEntry is an entry to which the agent introduces itself while it is not connected.
 type knownEntry struct {
 	addr string
-	// lostAt is since when it has not been connected: after forgetTime it is forgotten.
-	lostAt time.Duration
-	tries  int           // introductions in a row that failed
-	due    time.Duration // when the next one is
+	// disconnectedSince is when the entry was last connected or listed. The entry is forgotten
+	// forgetAfter later.
+	disconnectedSince time.Duration
+	attempts          int // introductions since the last successful one
+	nextIntroduction  time.Duration
 }
 
-// find learns of the entries and registers the agent, at its start and again when it
-// has been without any entry for a while. The list comes first: an agent that knows
-// the entries makes itself known to them.
-func (a *Agent) find(ctx context.Context) error {
+// discoverEntries lists the entries in the directory and registers the agent, at startup and
+// whenever it has been without a connection for reregisterAfter. It lists first, so that the
+// agent can introduce itself to the entries.
+func (a *Agent) discoverEntries(ctx context.Context) error {
 	own := Registration{Name: a.settings.Name, Addr: a.settings.Peers}
 	for ctx.Err() == nil {
-		untilDone(ctx, a.log, "list", func(try context.Context) error {
+		retryUntilDone(ctx, a.log, "list", func(try context.Context) error {
 			entries, err := a.directory.List(try, peer.RoleEntry)
 			a.addEntries(entries)
 			return err
 		})
-		untilDone(ctx, a.log, "register", func(try context.Context) error {
+		retryUntilDone(ctx, a.log, "register", func(try context.Context) error {
 			return a.directory.Register(try, peer.RoleAgent, own)
 		})
-		for alone := time.Duration(0); alone < aloneTime && sleep(ctx, alonePoll); alone += alonePoll {
+		for disconnected := time.Duration(0); disconnected < reregisterAfter && sleep(ctx, connectionPollInterval); disconnected += connectionPollInterval {
 			if a.connected() > 0 {
-				alone = 0
+				disconnected = 0
 			}
 		}
 	}
 	return nil
 }
 
-// addEntries adds entries that the directory names, maxIntroductions of them at random where there
-// are more.
+// addEntries adds entries listed in the directory, at most maxIntroductions of them, chosen at
+// random.
 func (a *Agent) addEntries(entries []Registration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,32 +75,32 @@
 	notify(a.entryMissing)
 }
 
-// addEntry makes an entry known, which may be connected. It is called with the lock held.
+// addEntry adds an entry or updates its address. The caller must hold a.mu.
 func (a *Agent) addEntry(now time.Duration, r Registration) {
 	if known := a.entries[r.Name]; known != nil && known.addr == r.Addr {
-		known.lostAt = now
+		known.disconnectedSince = now
 		return
 	}
-	a.entries[r.Name] = &knownEntry{addr: r.Addr, lostAt: now}
+	a.entries[r.Name] = &knownEntry{addr: r.Addr, disconnectedSince: now}
 }
 
-// connected returns how many entries are connected.
+// connected returns the number of connections from entries.
 func (a *Agent) connected() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.conns)
 }
 
-// introduce makes the agent known to entries that have no connection here, until
-// they call back or are forgotten: so an entry that has restarted finds its agents while the
-// store is down.
+// introduce introduces the agent to each known entry that is not connected, until the entry
+// connects or is forgotten. An entry that restarts while the store is down finds its agents
+// this way.
 func (a *Agent) introduce(ctx context.Context) error {
-	for sleep(ctx, dialRetry) {
-		missing, due := a.missing()
+	for sleep(ctx, dialRetryMin) {
+		count, due := a.disconnectedEntries()
 		for name, addr := range due {
 			go a.introduceTo(ctx, name, addr)
 		}
-		if missing > 0 {
+		if count > 0 {
 			continue
 		}
 		select {
@@ -110,55 +111,55 @@
 	return nil
 }
 
-// missing returns how many entries are known and not connected, and the addresses of those that an
-// introduction is due to. Entries that were missing for too long are forgotten.
-func (a *Agent) missing() (count int, due map[string]string) {
+// disconnectedEntries returns the number of known entries that are not connected, and the
+// addresses of those to which an introduction is due. It forgets entries that have been
+// disconnected for too long.
+func (a *Agent) disconnectedEntries() (count int, due map[string]string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.clock.now()
 	for _, c := range a.conns {
 		if known := a.entries[c.name]; known != nil {
-			known.lostAt, known.tries, known.due = now, 0, now
+			known.disconnectedSince, known.attempts, known.nextIntroduction = now, 0, now
 		}
 	}
 	due = make(map[string]string)
 	for name, known := range a.entries {
 		switch {
-		case known.lostAt == now:
+		case known.disconnectedSince == now:
 			continue
-		case now-known.lostAt >= forgetTime:
+		case now-known.disconnectedSince >= forgetAfter:
 			delete(a.entries, name)
 			continue
-		case now >= known.due:
+		case now >= known.nextIntroduction:
 			due[name] = known.addr
-			known.due = now + backoff.Interval(dialRetry, dialRetryMax, known.tries)
-			known.tries++
+			known.nextIntroduction = now + backoff.Interval(dialRetryMin, dialRetryMax, known.attempts)
+			known.attempts++
 		}
 		count++
 	}
 	return count, due
 }
 
-// introduced records that an entry has got an introduction.
-func (a *Agent) introduced(name string) {
+// recordIntroduction records that an introduction was delivered to an entry.
+func (a *Agent) recordIntroduction(name string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if known := a.entries[name]; known != nil {
-		known.tries = 0
-		known.due = a.clock.now() + introducedTime
+		known.attempts = 0
+		known.nextIntroduction = a.clock.now() + reintroduceInterval
 	}
 }
 
-// introduceTo tells one entry where this agent is. The entry calls back and closes.
+// introduceTo introduces the agent to an entry, which then connects to the agent's address.
 func (a *Agent) introduceTo(ctx context.Context, name, addr string) {
 	if err := a.sendIntroduction(ctx, addr); err != nil && ctx.Err() == nil {
 		a.log.Info(event.IntroductionFailed, "entry", name, "addr", addr, "error", err.Error())
 		return
 	}
-	a.introduced(name)
+	a.recordIntroduction(name)
 }
 
-// sendIntroduction sends the introduction to an address.
 func (a *Agent) sendIntroduction(ctx context.Context, addr string) error {
 	raw, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -174,8 +175,8 @@
 		return err
 	}
 	if _, err := raw.Write(buf); err != nil {
-		return fmt.Errorf("send: %w", err)
+		return fmt.Errorf("write introduction: %w", err)
 	}
-	_, _ = raw.Read(make([]byte, 1)) // ends when the entry closes, which is an error by design
+	_, _ = raw.Read(make([]byte, 1)) // returns an error when the entry closes the connection
 	return nil
 }
--- a/node/link.go
+++ b/node/link.go
@@ -11,46 +11,45 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// Times of the connections between entries and agents.
+// Timing of connections between entries and agents.
 const (
-	// dialTimeout bounds the making of a connection. Not measured.
 	dialTimeout = 500 * time.Millisecond
-	// dialRetry is the time from one failed try to reach a peer to the next. It
-	// doubles up to dialRetryMax. Not measured.
-	dialRetry    = 40 * time.Millisecond
+	// dialRetryMin is the time between a failed attempt to reach a peer and the next one. It
+	// doubles with each failure up to dialRetryMax.
+	dialRetryMin = 40 * time.Millisecond
 	dialRetryMax = 2 * time.Second
-	// forgetTime is how long an agent can't be reached before it is taken to be
-	// gone for good; one that is alive registers anew. Not measured.
-	forgetTime = 2 * time.Minute
+	// forgetAfter is how long an agent may be unreachable before it is removed from the
+	// directory. An agent that is still running registers again.
+	forgetAfter = 2 * time.Minute
 )
 
-// errSilent means that a peer sent nothing for as long as its connection allows.
-var errSilent = errors.New("node: the peer was silent for too long")
+// errSilenceTimeout is the cause of closing a connection whose peer sent nothing for too long.
+var errSilenceTimeout = errors.New("node: silence timeout: no frame received from peer")
 
-// link is an entry's connection to one agent, which it keeps connecting.
+// link is an entry's connection to one agent. It is re-established after each failure.
 type link struct {
 	registration Registration
-	conn         *peer.Conn    // nil while there is none
-	echo         peer.Echo     // the agent's latest stamp
+	conn         *peer.Conn    // nil while disconnected
+	echo         peer.Echo     // tracks the agent's stamps
 	sentAt       time.Duration // when the last frame was sent
-	retryNow     chan struct{} // asks for a try at once
-	stop         func()        // ends it for good
+	retryNow     chan struct{} // signals that the next attempt is due immediately
+	stop         func()        // closes the link permanently
 }
 
-// logMoved says that an agent is at another address.
-func (e *Entry) logMoved(l *link, r Registration) {
+// logAddressChange logs that an agent has a new address.
+func (e *Entry) logAddressChange(l *link, r Registration) {
 	if l.registration != r {
 		e.log.Info(event.AgentMoved, "agent", r.Name, "addr", r.Addr)
 	}
 }
 
-// keepConnected connects to an agent again and again, until the context ends or the
-// agent is forgotten.
+// keepConnected connects to an agent, and reconnects after each failure, until ctx is done or
+// the agent is forgotten.
 func (e *Entry) keepConnected(ctx context.Context, l *link) {
 	defer l.stop()
 	failures := 0
-	reached := e.clock.now()
-	for ctx.Err() == nil && (e.clock.now()-reached < e.ForgetAfter || e.isolated() > 0 || !e.forget(ctx, l)) {
+	lastConnected := e.clock.now()
+	for ctx.Err() == nil && (e.clock.now()-lastConnected < e.ForgetAfter || e.isolated() > 0 || !e.forget(ctx, l)) {
 		e.mu.Lock()
 		addr := l.registration.Addr
 		e.mu.Unlock()
@@ -58,7 +57,7 @@
 		if err == nil {
 			failures = 0
 			e.serveConnection(ctx, l, peer.NewConn(raw))
-			reached = e.clock.now()
+			lastConnected = e.clock.now()
 		} else {
 			failures++
 			e.recordUnreachable(ctx, l, failures, err)
@@ -67,13 +66,13 @@
 		case <-ctx.Done():
 		case <-l.retryNow:
 			failures = 0
-		case <-time.After(backoff.Interval(dialRetry, dialRetryMax, failures)):
+		case <-time.After(backoff.Interval(dialRetryMin, dialRetryMax, failures)):
 		}
 	}
 }
 
-// recordUnreachable has others take the place of an agent that can't be reached, and says why, the
-// first time in a row.
+// recordUnreachable marks an agent as lost, so that others replace it, and logs the first
+// failure in a row.
 func (e *Entry) recordUnreachable(ctx context.Context, l *link, failures int, err error) {
 	e.mu.Lock()
 	e.reach.set.SetLost(l.registration.Name, true)
@@ -83,9 +82,8 @@
 	}
 }
 
-// forget removes an agent that can't be reached from the directory and from this
-// entry. It reports whether it did: not while the store is down, nor where the agent
-// has made itself known at another address.
+// forget removes an unreachable agent from the directory and from this entry. It reports false
+// if the store is down or the agent has registered another address in the meantime.
 func (e *Entry) forget(ctx context.Context, l *link) bool {
 	e.mu.Lock()
 	r := l.registration
@@ -106,7 +104,7 @@
 	return true
 }
 
-// serveConnection runs one connection to an agent until it ends.
+// serveConnection handles a connection to an agent until it ends.
 func (e *Entry) serveConnection(ctx context.Context, l *link, c *peer.Conn) {
 	stop := context.AfterFunc(ctx, c.Close)
 	defer stop()
@@ -127,8 +125,8 @@
 	e.disconnect(l)
 }
 
-// connect opens a connection: the first frame introduces this entry. It reports false where the
-// link has ended meanwhile.
+// connect starts a connection by sending the hello frame. It reports false if the link has been
+// closed in the meantime.
 func (e *Entry) connect(l *link, c *peer.Conn) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,8 +136,8 @@
 	e.reach.set.SetLost(l.registration.Name, false)
 	l.conn = c
 	l.echo = peer.Echo{}
-	e.linked.Add(1)
-	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers, Level: peer.LevelNewest, Boot: e.boot, Fleet: e.reach.set.Known()}
+	e.connectedAgents.Add(1)
+	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers, Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.reach.set.Known()}
 	l.sentAt = e.clock.now()
 	c.Send(&peer.Frame{Hello: hello, Stamp: l.sentAt})
 	e.owner.Connected(l.sentAt, l.registration.Name)
@@ -151,15 +149,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if l.conn == nil {
-		return // it was released
+		return // already released by closeSurplus
 	}
 	l.conn = nil
-	e.linked.Add(-1)
+	e.connectedAgents.Add(-1)
 	e.reach.set.SetLost(l.registration.Name, true)
 	e.owner.Disconnected(e.clock.now(), l.sentAt, l.registration.Name)
 }
 
-// receive handles a frame of an agent.
+// receive handles a frame from an agent.
 func (e *Entry) receive(l *link, c *peer.Conn, f *peer.Frame) {
 	if doc := documentOf(f); !doc.empty() {
 		e.apply(doc)
@@ -174,14 +172,15 @@
 	}
 	now := e.clock.now()
 	l.echo.Observe(now, f.Stamp)
-	e.passDocument(now, l.registration.Name, f)
+	e.exchangeDocument(now, l.registration.Name, f)
 	e.owner.Receive(now, l.registration.Name, f)
 }
 
-// send stamps a frame and sends it to an agent. It returns the frame's number, zero
-// where there is no connection. It is called with the lock held. The echo goes no further
-// than the last tick: an entry that was stopped in between grants itself no lease by what
-// it decided before.
+// send stamps a frame and queues it for an agent. It returns the frame's sequence number, zero
+// if there is no connection. The caller must hold e.mu.
+//
+// The echo is computed for the time of the last tick: a process that was suspended after it
+// must not extend its own lease for decisions made before the suspension.
 func (e *Entry) send(name string, f *peer.Frame) uint64 {
 	l := e.links[name]
 	if l == nil || l.conn == nil {
@@ -194,17 +193,18 @@
 	return l.conn.Send(f)
 }
 
-// closeSilent gives up the connections whose agents have been silent for too long. It is
-// called with the lock held.
+// closeSilent closes the connections to agents that have been silent for too long. The caller
+// must hold e.mu.
 func (e *Entry) closeSilent(now time.Duration) {
 	for name, l := range e.links {
 		if l.conn != nil && e.owner.SilentTooLong(now, name) {
-			l.conn.CloseFor(errSilent)
+			l.conn.CloseFor(errSilenceTimeout)
 		}
 	}
 }
 
-// addr returns the address of an agent. It is called with the lock held.
+// addr returns the address of an agent, empty if there is no link to it. The caller must hold
+// e.mu.
 func (e *Entry) addr(agent string) string {
 	if l := e.links[agent]; l != nil {
 		return l.registration.Addr
@@ -212,21 +212,21 @@
 	return ""
 }
 
-// accept takes the connection of an agent that introduces itself, and closes it.
+// accept reads the introduction of an agent and closes the connection.
 func (e *Entry) accept(_ context.Context, raw net.Conn) {
 	defer raw.Close()
 	if err := raw.SetDeadline(time.Now().Add(dialTimeout)); err != nil {
-		return // it is closed already
+		return // the connection is already closed
 	}
 	f, err := peer.NewConn(raw).Receive()
 	if err != nil || f.Hello == nil || f.Hello.Role != peer.RoleAgent {
-		return // not an agent, or one that has gone: it tries again
+		return // not an agent, or the connection broke: an agent retries
 	}
 	e.addAgent(Registration{Name: f.Hello.Name, Addr: f.Hello.Addr})
 }
 
-// listen takes connections of peers until the context ends. Its error is that of
-// listening; a connection that can't be taken is tried again.
+// listen accepts connections from peers until ctx is done. It returns an error if it can't
+// listen on addr; errors from Accept are retried.
 func listen(ctx context.Context, addr string, accept func(context.Context, net.Conn)) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -239,7 +239,7 @@
 			return nil
 		}
 		if err != nil {
-			if !sleep(ctx, dialRetry) {
+			if !sleep(ctx, dialRetryMin) {
 				return nil
 			}
 			continue
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -16,11 +16,11 @@
 	"github.com/beaconpoint/beaconpoint/stage"
 )
 
-// MetricsPath is where a node's counters are served.
+// MetricsPath is the HTTP path of a node's metrics.
 const MetricsPath = "/metrics"
 
-// serveMetrics serves the set at addr until the context ends; an empty address
-// serves nothing.
+// serveMetrics serves the set at addr until ctx is done. If addr is empty, it only waits for
+// ctx.
 func serveMetrics(ctx context.Context, addr string, set *metrics.Set) error {
 	if addr == "" {
 		<-ctx.Done()
@@ -44,68 +44,67 @@
 	return nil
 }
 
-// newEntryMetrics returns the metrics of an entry. Counts and gauges are read when they
-// are asked for. docs/metrics-node.md says what each means, and which
-// are earlier names that are served for one more version.
+// newEntryMetrics returns the metrics of an entry. Gauges are evaluated when the set is
+// scraped. docs/metrics-node.md describes each metric and lists the deprecated names, which are
+// served for one more version.
 func newEntryMetrics(e *Entry) *metrics.Set {
 	set := metrics.NewSet()
-	count := func(name string, read func() uint64) {
+	gauge := func(name string, read func() uint64) {
 		set.NewGauge(name, func() float64 { return float64(read()) })
 	}
-	count(`beaconpoint_jobs_total{outcome="accepted"}`, func() uint64 { return e.Stats().Submitted })
-	count(`beaconpoint_jobs_total{outcome="completed"}`, func() uint64 { return e.Stats().Completed })
-	count(`beaconpoint_jobs_total{outcome="failed"}`, func() uint64 { return e.Stats().Failed })
-	count(`beaconpoint_jobs_total{outcome="given-up"}`, func() uint64 { return e.Stats().GivenUp })
-	count(`beaconpoint_jobs_total{outcome="refused"}`, func() uint64 { return e.Stats().Refused })
-	count(`beaconpoint_jobs_total{outcome="cancelled"}`, func() uint64 { return e.Stats().Cancelled })
-	count("beaconpoint_starts_total", func() uint64 { return e.Stats().Starts })
+	gauge(`beaconpoint_jobs_total{outcome="accepted"}`, func() uint64 { return e.Stats().Submitted })
+	gauge(`beaconpoint_jobs_total{outcome="completed"}`, func() uint64 { return e.Stats().Completed })
+	gauge(`beaconpoint_jobs_total{outcome="failed"}`, func() uint64 { return e.Stats().Failed })
+	gauge(`beaconpoint_jobs_total{outcome="given-up"}`, func() uint64 { return e.Stats().GivenUp })
+	gauge(`beaconpoint_jobs_total{outcome="refused"}`, func() uint64 { return e.Stats().Refused })
+	gauge(`beaconpoint_jobs_total{outcome="cancelled"}`, func() uint64 { return e.Stats().Cancelled })
+	gauge("beaconpoint_starts_total", func() uint64 { return e.Stats().Starts })
 	for _, name := range []string{"beaconpoint_starts_rejected_total", "beaconpoint_bounced_total"} {
-		count(name, func() uint64 { return e.Stats().Rejected })
+		gauge(name, func() uint64 { return e.Stats().Rejected })
 	}
-	count("beaconpoint_moved_total", func() uint64 { return e.Stats().Moved })
-	count("beaconpoint_jobs", func() uint64 { return uint64(e.jobs()) })
-	count("beaconpoint_agents", func() uint64 { return uint64(e.linked.Load()) })
-	count("beaconpoint_agents_known", func() uint64 { return uint64(e.reachCounts().known) })
-	count("beaconpoint_agents_wanted", func() uint64 { return uint64(e.reachCounts().wanted) })
-	count("beaconpoint_agents_watched", func() uint64 { return uint64(e.watched()) })
-	count("beaconpoint_specs_relayed_total", func() uint64 { return e.Stats().Relayed })
+	gauge("beaconpoint_moved_total", func() uint64 { return e.Stats().Moved })
+	gauge("beaconpoint_jobs", func() uint64 { return uint64(e.jobs()) })
+	gauge("beaconpoint_agents", func() uint64 { return uint64(e.connectedAgents.Load()) })
+	gauge("beaconpoint_agents_known", func() uint64 { return uint64(e.reachCounts().known) })
+	gauge("beaconpoint_agents_wanted", func() uint64 { return uint64(e.reachCounts().wanted) })
+	gauge("beaconpoint_agents_watched", func() uint64 { return uint64(e.watched()) })
+	gauge("beaconpoint_specs_relayed_total", func() uint64 { return e.Stats().Relayed })
 	set.NewGauge("beaconpoint_link_queue_seconds", func() float64 { return e.linkQueue().Seconds() })
-	count("beaconpoint_jobs_joined_total", func() uint64 { return e.Stats().Joined })
-	count("beaconpoint_jobs_yielded_total", func() uint64 { return e.Stats().Yielded })
-	count("beaconpoint_homes_silent_total", func() uint64 { return e.Stats().SilentHomes })
-	count("beaconpoint_isolated", e.isolated)
-	count("beaconpoint_halls_suspected", e.hallsSuspected)
-	count("beaconpoint_halls_suspected_total", func() uint64 { return e.Stats().HallsSuspected })
-	count("beaconpoint_config_version", e.version)
-	count("beaconpoint_halls_evacuated", func() uint64 { halls, _ := e.evacuations(); return uint64(halls) })
-	count("beaconpoint_targets_evacuated", func() uint64 { _, targets := e.evacuations(); return uint64(targets) })
+	gauge("beaconpoint_jobs_joined_total", func() uint64 { return e.Stats().Joined })
+	gauge("beaconpoint_jobs_yielded_total", func() uint64 { return e.Stats().Yielded })
+	gauge("beaconpoint_homes_silent_total", func() uint64 { return e.Stats().SilentHomes })
+	gauge("beaconpoint_isolated", e.isolated)
+	gauge("beaconpoint_halls_suspected", e.hallsSuspected)
+	gauge("beaconpoint_halls_suspected_total", func() uint64 { return e.Stats().HallsSuspected })
+	gauge("beaconpoint_config_version", e.version)
+	gauge("beaconpoint_halls_evacuated", func() uint64 { halls, _ := e.evacuations(); return uint64(halls) })
+	gauge("beaconpoint_targets_evacuated", func() uint64 { _, targets := e.evacuations(); return uint64(targets) })
 	e.submitted = set.NewHistogram("beaconpoint_answer_seconds")
 	e.stages = newStageHistograms(set, stage.EntryStages)
 	e.answers = make(map[code.Code]*metrics.Counter)
 	for _, c := range answerCauses {
-		row, _ := code.Lookup(c) // answerCauses are known
+		row, _ := code.Lookup(c) // each of answerCauses is in the table
 		e.answers[c] = set.NewCounter(fmt.Sprintf("beaconpoint_answers_total{why=%q}", row.Name))
 	}
-	count(`beaconpoint_answers_total{why="job-hopeless"}`, e.answers[code.JobOutOfTime].Get)
+	gauge(`beaconpoint_answers_total{why="job-hopeless"}`, e.answers[code.JobOutOfTime].Get)
 	return set
 }
 
-// answerCauses are the codes that an entry answers jobs with.
+// answerCauses are the result codes with which an entry answers jobs.
 var answerCauses = []code.Code{
 	code.JobAllDone, code.JobAttempts, code.JobOutOfTime, code.JobTooLate, code.JobCallerLeaves, code.JobCancelled,
 	code.JobUnsupported, code.JobNoConfig, code.JobBehind, code.JobLinkFull, code.JobEvacuated, code.JobHallLost, code.JobCrashes,
 	code.QueueFull,
 }
 
-// CountAnswer counts an answer by its cause, also that to a request which is refused
-// before it becomes a job.
+// CountAnswer counts an answer by its result code, including answers to requests that were
+// refused before they became jobs.
 func (e *Entry) CountAnswer(why code.Code) {
 	if c := e.answers[why]; c != nil {
 		c.Inc()
 	}
 }
 
-// newAgentMetrics returns the metrics of an agent.
 func newAgentMetrics(a *Agent) *metrics.Set {
 	set := metrics.NewSet()
 	set.NewGauge("beaconpoint_entries", func() float64 { return float64(a.connected()) })
@@ -129,16 +128,16 @@
 	set.NewGauge("beaconpoint_claim_records", func() float64 { return float64(a.claims().Records) })
 	a.startSeconds = set.NewHistogram("beaconpoint_start_call_seconds")
 	a.renewSeconds = set.NewHistogram("beaconpoint_renewal_call_seconds")
-	a.renewSecondsBefore = set.NewHistogram("beaconpoint_hold_call_seconds")
+	a.renewSecondsDeprecated = set.NewHistogram("beaconpoint_hold_call_seconds")
 	a.stages = newStageHistograms(set, stage.AgentStages)
 	return set
 }
 
-// newStageHistograms returns a histogram for each of the stages.
+// newStageHistograms registers one histogram per stage.
 func newStageHistograms(set *metrics.Set, stages []stage.Stage) map[stage.Stage]*metrics.Histogram {
-	all := make(map[stage.Stage]*metrics.Histogram)
+	histograms := make(map[stage.Stage]*metrics.Histogram)
 	for _, s := range stages {
-		all[s] = set.NewHistogram(fmt.Sprintf("beaconpoint_stage_seconds{stage=%q}", s))
+		histograms[s] = set.NewHistogram(fmt.Sprintf("beaconpoint_stage_seconds{stage=%q}", s))
 	}
-	return all
+	return histograms
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -15,8 +15,8 @@
 	"github.com/beaconpoint/beaconpoint/testutil/page"
 )
 
-// names returns the names of a set's metrics, a histogram by its own.
-func names(set *metrics.Set) []string {
+// metricNames returns the metricNames of a set's metrics, a histogram by its own.
+func metricNames(set *metrics.Set) []string {
 	var out bytes.Buffer
 	set.WritePrometheus(&out)
 	found := make(map[string]bool)
@@ -45,19 +45,19 @@
 // vmrange is the label of a histogram's bucket.
 var vmrange = regexp.MustCompile(`,?vmrange="[^"]*"`)
 
-func TestMetricsPageFitsTheCode(t *testing.T) {
+func TestMetricsPageMatchesCode(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, log)
 	e.submitted.UpdateDuration(time.Now())
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, log)
 	a.startSeconds.UpdateDuration(time.Now())
 	a.renewSeconds.UpdateDuration(time.Now())
-	a.renewSecondsBefore.UpdateDuration(time.Now())
+	a.renewSecondsDeprecated.UpdateDuration(time.Now())
 	for _, h := range []map[stage.Stage]*metrics.Histogram{e.stages, a.stages} {
 		for _, one := range h {
 			one.Update(1)
 		}
 	}
-	inCode := append(names(e.metrics), names(a.metrics)...)
+	inCode := append(metricNames(e.metrics), metricNames(a.metrics)...)
 	page.CheckMetrics(t, "../docs/metrics-node.md", inCode)
 }
--- a/node/pause.go
+++ b/node/pause.go
@@ -8,36 +8,35 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// A process that was stopped for a while, by its host or for want of processor time, has
-// not read what its peers sent meanwhile.
+// A process that was suspended by its host or starved of CPU time has not read what its peers
+// sent in the meantime.
 const (
-	// pauseTime is how late a tick must be for the process to count as stopped. Not
-	// measured; it is half of what a peer may be silent.
-	pauseTime = peer.Silence / 2
-	// catchUpTime is how long afterwards no peer is taken to be silent: what has come is
-	// read within milliseconds. Not measured.
+	// pauseThreshold is how late a tick must be to count as a pause of the process.
+	pauseThreshold = peer.Silence / 2
+	// catchUpTime is how long after a pause the silence of peers is ignored, while the frames
+	// that arrived during the pause are read.
 	catchUpTime = 100 * time.Millisecond
 )
 
-// pause tells from the ticks of a process whether it was stopped.
-type pause struct {
-	lastAt    time.Duration // when the last tick was
-	resumedAt time.Duration // when the last one that was late came
+// pauseDetector detects pauses of the process from late ticks.
+type pauseDetector struct {
+	lastAt    time.Duration // time of the last tick
+	resumedAt time.Duration // time of the last late tick
 }
 
-// tick records a tick. It reports whether the silence of peers may be judged by now.
-func (p *pause) tick(now time.Duration) bool {
-	if now-p.lastAt > pauseTime {
+// tick records a tick and reports whether silent peers may be disconnected now.
+func (p *pauseDetector) tick(now time.Duration) bool {
+	if now-p.lastAt > pauseThreshold {
 		p.resumedAt = now
 	}
 	p.lastAt = now
 	return now-p.resumedAt >= catchUpTime
 }
 
-// ticks calls do at each interval with the lock held, until the context ends. judge says
-// that the silence of peers may be judged.
-func ticks(
-	ctx context.Context, interval time.Duration, clock steadyClock, p *pause, lock sync.Locker, do func(now time.Duration, judge bool),
+// runTicks calls do at each interval with the lock held, until ctx is done. checkSilence
+// reports whether silent peers may be disconnected.
+func runTicks(
+	ctx context.Context, interval time.Duration, clock bootClock, p *pauseDetector, lock sync.Locker, do func(now time.Duration, checkSilence bool),
 ) {
 	for sleep(ctx, interval) {
 		lock.Lock()
--- a/node/pause_test.go
+++ b/node/pause_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAProcessThatWasStoppedJudgesNobodyAtOnce: its peers' frames wait to be read.
-func TestAProcessThatWasStoppedJudgesNobodyAtOnce(t *testing.T) {
+// TestSilenceCheckIsSkippedAfterPause: its peers' frames wait to be read.
+func TestSilenceCheckIsSkippedAfterPause(t *testing.T) {
 	const tick = 20 * time.Millisecond
-	var p pause
+	var p pauseDetector
 	now := time.Hour
 	assert.Assert(t, !p.tick(now), "the first tick follows no other")
 	for range 10 {
--- a/node/reach.go
+++ b/node/reach.go
@@ -8,17 +8,17 @@
 	"github.com/beaconpoint/beaconpoint/reach"
 )
 
-// reachView is what an entry knows of the directory, and which agents it should be connected to.
-// It is used under its entry's lock.
+// reachView is an entry's view of the directory and of the agents that it should be connected
+// to. It is guarded by the entry's lock.
 type reachView struct {
 	set     *reach.Set
 	addrs   map[string]string   // of all known agents, by name
 	entries map[string]struct{} // names of all known entries
-	// surplus are the connected agents that are not wanted any more and still of use.
+	// surplus holds connected agents that are no longer wanted but still in use.
 	surplus map[string]struct{}
 }
 
-// newReachView returns the view of an entry that knows nobody.
+// newReachView returns an empty view.
 func newReachView(entry string) *reachView {
 	return &reachView{
 		set:     reach.NewSet(entry),
@@ -28,8 +28,8 @@
 	}
 }
 
-// addAgent makes an agent known, of the directory or one that introduces itself. It is connected
-// to with the next tick, where it is wanted.
+// addAgent adds an agent or updates its address. If the agent is wanted, the next tick connects
+// to it.
 func (e *Entry) addAgent(r Registration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,12 +39,12 @@
 	if l == nil {
 		return
 	}
-	e.logMoved(l, r)
+	e.logAddressChange(l, r)
 	l.registration = r
 	notify(l.retryNow)
 }
 
-// addEntries makes entries known, to which this one is not connected: how many there are decides
+// addEntries adds entries. Entries do not connect to each other, but their number determines
 // how many agents each one covers.
 func (e *Entry) addEntries(list []Registration) {
 	e.mu.Lock()
@@ -55,7 +55,7 @@
 	e.reach.set.SetEntries(len(e.reach.entries))
 }
 
-// applyProcess applies one change of the directory.
+// applyProcess applies a single change of the directory.
 func (e *Entry) applyProcess(role peer.Role, r Registration, gone bool) {
 	switch {
 	case role == peer.RoleAgent && !gone:
@@ -72,8 +72,8 @@
 	}
 }
 
-// removeAgent forgets an agent whose name was removed from the directory, by an entry that could not
-// reach it: not where this one does.
+// removeAgent removes an agent whose name was deleted from the directory because another entry
+// could not reach it. A connected agent is kept.
 func (e *Entry) removeAgent(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,18 +84,17 @@
 	e.reach.set.Remove(name)
 }
 
-// reachCounts are the agents that an entry knows of, and those of them that it has links to.
+// reachCounts holds the number of known agents and of links to agents.
 type reachCounts struct{ known, wanted int }
 
-// reachCounts returns the counts.
 func (e *Entry) reachCounts() reachCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return reachCounts{known: e.reach.set.Known(), wanted: len(e.links)}
 }
 
-// adjustReach connects to the agents that are wanted, and ends the connections that serve nothing
-// any more. It is called with the lock held, at each tick.
+// adjustReach connects to the wanted agents and closes connections that are no longer in use.
+// It is called at each tick. The caller must hold e.mu.
 func (e *Entry) adjustReach(ctx context.Context, now time.Duration) {
 	v := e.reach
 	if e.owner.TakeMissingLabel() {
@@ -114,12 +113,12 @@
 	}
 }
 
-// connectWanted begins the links to the agents that are wanted, and notes those of others.
+// connectWanted opens links to the wanted agents and marks all other links as surplus.
 func (e *Entry) connectWanted(ctx context.Context) {
 	v := e.reach
 	for name, addr := range v.addrs {
 		if v.set.Wanted(name) && e.links[name] == nil {
-			e.open(ctx, Registration{Name: name, Addr: addr})
+			e.openLink(ctx, Registration{Name: name, Addr: addr})
 		}
 	}
 	clear(v.surplus)
@@ -130,15 +129,15 @@
 	}
 }
 
-// open begins the link to an agent.
-func (e *Entry) open(ctx context.Context, r Registration) {
+// openLink starts connecting to an agent.
+func (e *Entry) openLink(ctx context.Context, r Registration) {
 	ctx, stop := context.WithCancel(ctx)
 	l := &link{registration: r, retryNow: make(chan struct{}, 1), stop: stop}
 	e.links[r.Name] = l
 	go e.keepConnected(ctx, l)
 }
 
-// closeSurplus ends the link to an agent that is not wanted, once it serves nothing any more.
+// closeSurplus closes the link to an agent that is not wanted, if it is no longer in use.
 func (e *Entry) closeSurplus(name string) {
 	l := e.links[name]
 	if l != nil && !e.owner.Releasable(name) {
@@ -150,7 +149,7 @@
 	}
 	if l.conn != nil {
 		l.conn = nil
-		e.linked.Add(-1)
+		e.connectedAgents.Add(-1)
 	}
 	e.owner.Release(name)
 	delete(e.links, name)
--- a/node/reach_test.go
+++ b/node/reach_test.go
@@ -13,8 +13,8 @@
 	"github.com/beaconpoint/beaconpoint/settings"
 )
 
-// directoryEntry returns an entry that was told of so many agents, none of which listens.
-func directoryEntry(t *testing.T, agents int) *Entry {
+// newEntryWithAgents returns an entry that was told of so many agents, none of which listens.
+func newEntryWithAgents(t *testing.T, agents int) *Entry {
 	t.Helper()
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, slog.New(slog.DiscardHandler))
 	for k := range agents {
@@ -23,18 +23,18 @@
 	return e
 }
 
-// adjust lets one tick pass.
-func (e *Entry) adjust(t *testing.T) {
+// tickReach lets one tick pass.
+func (e *Entry) tickReach(t *testing.T) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.adjustReach(t.Context(), e.clock.now())
 }
 
-// TestAnEntryOpensABoundedNumberOfLinks, and all of them in a small fleet.
-func TestAnEntryOpensABoundedNumberOfLinks(t *testing.T) {
+// TestEntryLimitsLinks, and all of them in a small fleet.
+func TestEntryLimitsLinks(t *testing.T) {
 	for _, agents := range []int{11, reach.FullMesh, 800} {
-		e := directoryEntry(t, agents)
-		e.adjust(t)
+		e := newEntryWithAgents(t, agents)
+		e.tickReach(t)
 		e.mu.Lock()
 		links := len(e.links)
 		e.mu.Unlock()
@@ -43,29 +43,29 @@
 	}
 }
 
-// TestAnAgentThatIsGoneFromTheDirectoryIsDropped, unless this entry reaches it: an entry that could
+// TestAgentRemovedFromDirectoryIsDropped, unless this entry reaches it: an entry that could
 // not may have been cut off itself.
-func TestAnAgentThatIsGoneFromTheDirectoryIsDropped(t *testing.T) {
-	e := directoryEntry(t, 3)
-	e.adjust(t)
+func TestAgentRemovedFromDirectoryIsDropped(t *testing.T) {
+	e := newEntryWithAgents(t, 3)
+	e.tickReach(t)
 	e.mu.Lock()
 	reached := peer.NewConn(nil)
 	e.links["side-0"].conn = reached
 	e.mu.Unlock()
 	e.applyProcess(peer.RoleAgent, Registration{Name: "side-0"}, true)
 	e.applyProcess(peer.RoleAgent, Registration{Name: "side-1"}, true)
-	e.adjust(t)
+	e.tickReach(t)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	assert.Equal(t, len(e.links), 2)
 	assert.Assert(t, e.links["side-0"] != nil && e.links["side-2"] != nil)
 }
 
-// TestWatchesOfTheStoreDoNotGrowWithTheFleet: all entries together begin a bounded number a second,
+// TestStoreWatchRateIsBounded: all entries together begin a bounded number a second,
 // and one that failed is soon followed by the next.
-func TestWatchesOfTheStoreDoNotGrowWithTheFleet(t *testing.T) {
+func TestStoreWatchRateIsBounded(t *testing.T) {
 	for _, entries := range []int{1, 3, 16, 55, 184, 1000} {
-		e := directoryEntry(t, 0)
+		e := newEntryWithAgents(t, 0)
 		for k := range entries {
 			e.applyProcess(peer.RoleEntry, Registration{Name: fmt.Sprintf("edge-%d", k), Addr: "127.0.0.1:1"}, false)
 		}
@@ -85,35 +85,35 @@
 	}
 }
 
-// TestAnAgentForgetsEntries that have not been connected for long: hosts are replaced each day, and
+// TestAgentForgetsDisconnectedEntries that have not been connected for long: hosts are replaced each day, and
 // each one would be dialled for good.
-func TestAnAgentForgetsEntries(t *testing.T) {
+func TestAgentForgetsDisconnectedEntries(t *testing.T) {
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
 	var now time.Duration
-	a.clock = newClockOf(func() time.Duration { return now })
-	a.clock.began = 0
+	a.clock = newBootClockFrom(func() time.Duration { return now })
+	a.clock.origin = 0
 	now = time.Second
 	a.addEntries([]Registration{{Name: "edge-1", Addr: "127.0.0.1:1"}})
-	count, _ := a.missing()
+	count, _ := a.disconnectedEntries()
 	assert.Equal(t, count, 0) // it has just been heard of
-	now += dialRetry
-	count, due := a.missing()
+	now += dialRetryMin
+	count, due := a.disconnectedEntries()
 	assert.Equal(t, count, 1)
 	assert.Equal(t, len(due), 1)
-	a.introduced("edge-1")
-	now += introducedTime / 2
-	_, due = a.missing()
+	a.recordIntroduction("edge-1")
+	now += reintroduceInterval / 2
+	_, due = a.disconnectedEntries()
 	assert.Equal(t, len(due), 0, "it knows this agent")
-	now += introducedTime
-	_, due = a.missing()
+	now += reintroduceInterval
+	_, due = a.disconnectedEntries()
 	assert.Equal(t, len(due), 1, "it may have restarted")
-	now += forgetTime
-	count, due = a.missing()
+	now += forgetAfter
+	count, due = a.disconnectedEntries()
 	assert.Equal(t, count+len(due)+len(a.entries), 0)
 }
 
-// TestAnAgentIntroducesItselfToABoundedNumberOfEntries.
-func TestAnAgentIntroducesItselfToABoundedNumberOfEntries(t *testing.T) {
+// TestAgentLimitsIntroductions.
+func TestAgentLimitsIntroductions(t *testing.T) {
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
 	var list []Registration
 	for k := range 184 {
--- a/node/renewal.go
+++ b/node/renewal.go
@@ -7,8 +7,8 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// renewLoop keeps a renewal of the target's lease under way. While no target is
-// known it waits for a heartbeat.
+// renewLoop renews the target's lease continuously. While no target is known, it waits for a
+// heartbeat.
 func (a *Agent) renewLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if a.renewOnce(ctx, a.heartbeatSeen) {
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// renewBesideLoop keeps a second renewal under way while replies get lost.
-func (a *Agent) renewBesideLoop(ctx context.Context) error {
+// parallelRenewLoop makes renewals in parallel with renewLoop while replies are being lost.
+func (a *Agent) parallelRenewLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -31,28 +31,28 @@
 		case <-a.repliesLost:
 		}
 		select {
-		case <-a.heartbeatSeenBeside: // from before: it must not end a pause
+		case <-a.heartbeatSeenParallel: // discard an earlier signal, which must not cut the next pause short
 		default:
 		}
-		for a.losingReplies() && a.renewBeside(ctx) {
+		for a.losingReplies() && a.renewParallel(ctx) {
 		}
 	}
 }
 
-// renewBeside makes one renewal beside the first.
-func (a *Agent) renewBeside(ctx context.Context) bool {
-	return a.renewOnce(ctx, a.heartbeatSeenBeside)
+// renewParallel makes one renewal in parallel with renewLoop.
+func (a *Agent) renewParallel(ctx context.Context) bool {
+	return a.renewOnce(ctx, a.heartbeatSeenParallel)
 }
 
-// losingReplies reports whether the target's replies get lost.
+// losingReplies reports whether replies of the target are being lost.
 func (a *Agent) losingReplies() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.supervisor.LosingReplies(a.clock.now())
 }
 
-// renewOnce makes one renewal, and the pause after one that failed, which a heartbeat
-// ends. It reports whether a target is known.
+// renewOnce makes one renewal. After a failure it pauses until the backoff has elapsed or a
+// heartbeat arrives. It reports whether a target is known.
 func (a *Agent) renewOnce(ctx context.Context, heartbeat <-chan struct{}) bool {
 	a.mu.Lock()
 	c, ok := a.supervisor.NextRenewal(a.clock.now())
@@ -63,7 +63,7 @@
 	began := time.Now()
 	reply, lists := a.target.Renew(c)
 	a.renewSeconds.UpdateDuration(began)
-	a.renewSecondsBefore.UpdateDuration(began)
+	a.renewSecondsDeprecated.UpdateDuration(began)
 	a.mu.Lock()
 	now := a.clock.now()
 	a.supervisor.RenewalAnswered(now, c, reply, lists)
@@ -83,8 +83,8 @@
 	return true
 }
 
-// start calls the target to start a run. The supervisor looks for its answer when it
-// is due to be sent again.
+// start sends a start call to the target. The supervisor's timeouts are checked when the call
+// is due to be resent.
 func (a *Agent) start(c supervisor.StartCall) {
 	began := time.Now()
 	retry := time.AfterFunc(supervisor.StartRetry+time.Millisecond, a.checkTimeouts)
@@ -98,7 +98,7 @@
 	a.scheduleFlush(now)
 }
 
-// checkTimeouts has the supervisor act on what has run out of time.
+// checkTimeouts lets the supervisor handle expired timeouts.
 func (a *Agent) checkTimeouts() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,7 +107,7 @@
 	a.scheduleFlush(now)
 }
 
-// stopRun calls the target to stop a run.
+// stopRun sends a stop call to the target.
 func (a *Agent) stopRun(c supervisor.StopCall) {
 	reply := a.target.Stop(c)
 	a.mu.Lock()
--- a/node/renewal_test.go
+++ b/node/renewal_test.go
@@ -14,10 +14,10 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// TestAHeartbeatReachesBothRenewals: a heartbeat that ends the pause of the second
+// TestHeartbeatWakesBothRenewLoops: a heartbeat that ends the pause of the second
 // renewal must not be lost to the first, which waits for it to serve the target's new
 // incarnation.
-func TestAHeartbeatReachesBothRenewals(t *testing.T) {
+func TestHeartbeatWakesBothRenewLoops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var served time.Time
 		calls := 0
@@ -39,9 +39,9 @@
 		a.clock = virtualClock()
 		a.Heartbeat(supervisor.Report{ID: "i-1", Seq: 1})
 		<-a.heartbeatSeen
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
-		go a.renewBeside(ctx)
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		go a.renewParallel(ctx)
 		synctest.Wait()
 		go func() { _ = a.renewLoop(ctx) }()
 		time.Sleep(5 * time.Millisecond) // the target has answered as another incarnation
@@ -49,7 +49,7 @@
 		a.Heartbeat(supervisor.Report{ID: "i-2", Seq: 1})
 		time.Sleep(10 * time.Millisecond)
 		assert.Check(t, !served.IsZero() && served.Sub(began) < 10*time.Millisecond, "not served at once")
-		end()
+		cancel()
 		time.Sleep(2 * time.Second) // the calls under way end
 	})
 }
--- a/node/retry.go
+++ b/node/retry.go
@@ -9,34 +9,33 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// tryTimeouts are how long the tries of a call to the store may take, by turns. A
-// silent store has lost the call that waits, so the next must come soon after it is
-// back; a slow one needs a long try now and then. Before they were bounded so, calls
-// that were lost in a silent store took 1.4 s.
-var tryTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 900 * time.Millisecond}
+// attemptTimeouts are the timeouts of successive attempts of a call to the store, used in
+// rotation. An attempt made while the store is silent is lost, so short timeouts let the next
+// one start soon after the store is back; a slow store needs a long one now and then.
+var attemptTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 900 * time.Millisecond}
 
-// The next try follows firstPause after each failure at least. From the beginning of
-// one try to the next passes twice as long each time, up to storeRetry, so that a
-// store that refuses at once is not pressed. Not measured.
+// After a failed attempt the next one starts no sooner than storeRetryMin. The interval between
+// the starts of attempts doubles up to storeRetryMax, which limits the load on a store that
+// rejects calls immediately.
 const (
-	firstPause = 50 * time.Millisecond
-	storeRetry = 500 * time.Millisecond
+	storeRetryMin = 50 * time.Millisecond
+	storeRetryMax = 500 * time.Millisecond
 )
 
-// storeCall is a call to the store that is repeated until it succeeds. It logs when
-// the store is lost and when it is back.
+// storeCall is a call to the store that is repeated until it succeeds. It logs when the store
+// becomes unavailable and when it is available again.
 type storeCall struct {
-	name     string // for logs
+	name     string // in log lines
 	log      *slog.Logger
-	failures int // in a row
+	failures int // consecutive
 }
 
-// try makes the call once, with extra on top of the time that a try may take. It
-// reports whether it succeeded; after a failure it has paused.
-func (c *storeCall) try(ctx context.Context, extra time.Duration, do func(context.Context) error) bool {
+// attempt makes the call once, with a timeout extended by extra, and reports whether it
+// succeeded. After a failure it waits before it returns.
+func (c *storeCall) attempt(ctx context.Context, extra time.Duration, do func(context.Context) error) bool {
 	began := time.Now()
-	bounded, cancel := context.WithTimeout(ctx, extra+tryTimeouts[c.failures%len(tryTimeouts)])
-	err := do(bounded)
+	attemptCtx, cancel := context.WithTimeout(ctx, extra+attemptTimeouts[c.failures%len(attemptTimeouts)])
+	err := do(attemptCtx)
 	cancel()
 	if err == nil {
 		if c.failures > 0 {
@@ -48,15 +47,15 @@
 	if c.failures == 0 && ctx.Err() == nil {
 		c.log.Warn(event.StoreLost, "call", c.name, "why", err.Error())
 	}
-	interval := backoff.Interval(firstPause, storeRetry, c.failures)
-	sleep(ctx, max(firstPause, interval-time.Since(began)))
+	interval := backoff.Interval(storeRetryMin, storeRetryMax, c.failures)
+	sleep(ctx, max(storeRetryMin, interval-time.Since(began)))
 	c.failures++
 	return false
 }
 
-// untilDone repeats a call to the store until it succeeds or the context ends.
-func untilDone(ctx context.Context, log *slog.Logger, name string, do func(context.Context) error) {
+// retryUntilDone repeats a call to the store until it succeeds or ctx is done.
+func retryUntilDone(ctx context.Context, log *slog.Logger, name string, do func(context.Context) error) {
 	c := &storeCall{name: name, log: log}
-	for ctx.Err() == nil && !c.try(ctx, 0, do) {
+	for ctx.Err() == nil && !c.attempt(ctx, 0, do) {
 	}
 }
--- a/node/retry_test.go
+++ b/node/retry_test.go
@@ -15,24 +15,24 @@
 	"github.com/beaconpoint/beaconpoint/settings"
 )
 
-// store is a store for the tests: silent or refusing until backAt, and then
+// fakeStore is a fakeStore for the tests: silent or refusing until backAt, and then
 // answering after delay.
-type store struct {
-	backAt  time.Time
-	refuses bool
-	delay   time.Duration
-	calls   int
+type fakeStore struct {
+	availableAt time.Time
+	rejects     bool
+	delay       time.Duration
+	calls       int
 }
 
-var errDown = errors.New("the store is down")
+var errStoreDown = errors.New("the store is down")
 
 // call is one call: a call that was sent while the store was silent is lost.
-func (s *store) call(ctx context.Context) error {
+func (s *fakeStore) call(ctx context.Context) error {
 	s.calls++
-	down := time.Now().Before(s.backAt)
+	down := time.Now().Before(s.availableAt)
 	switch {
-	case down && s.refuses:
-		return errDown
+	case down && s.rejects:
+		return errStoreDown
 	case down:
 		<-ctx.Done()
 		return ctx.Err()
@@ -45,42 +45,42 @@
 	}
 }
 
-// lateness returns how long after the store is back a call that began down
+// recoveryDelay returns how long after the store is back a call that began down
 // earlier succeeds.
-func lateness(t *testing.T, s store, down time.Duration) time.Duration {
+func recoveryDelay(t *testing.T, s fakeStore, down time.Duration) time.Duration {
 	t.Helper()
-	s.backAt = time.Now().Add(down)
-	untilDone(t.Context(), slog.New(slog.DiscardHandler), "list", s.call)
-	return time.Since(s.backAt)
+	s.availableAt = time.Now().Add(down)
+	retryUntilDone(t.Context(), slog.New(slog.DiscardHandler), "list", s.call)
+	return time.Since(s.availableAt)
 }
 
-func TestACallSucceedsSoonAfterASilentStoreIsBack(t *testing.T) {
+func TestCallSucceedsSoonAfterStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		assert.Assert(t, lateness(t, store{}, 20*time.Millisecond) <= 280*time.Millisecond)
+		assert.Assert(t, recoveryDelay(t, fakeStore{}, 20*time.Millisecond) <= 280*time.Millisecond)
 		for down := 100 * time.Millisecond; down < 12*time.Second; down += 170 * time.Millisecond {
-			late := lateness(t, store{}, down)
+			late := recoveryDelay(t, fakeStore{}, down)
 			assert.Assert(t, late <= 950*time.Millisecond, "down for %v, late by %v", down, late)
 		}
 	})
 }
 
-func TestAStoreThatRefusesIsNotPressed(t *testing.T) {
+func TestCallsToRejectingStoreBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &store{refuses: true, backAt: time.Now().Add(10 * time.Second)}
-		untilDone(t.Context(), slog.New(slog.DiscardHandler), "list", s.call)
+		s := &fakeStore{rejects: true, availableAt: time.Now().Add(10 * time.Second)}
+		retryUntilDone(t.Context(), slog.New(slog.DiscardHandler), "list", s.call)
 		assert.Assert(t, s.calls <= 26, "%d calls", s.calls)
-		assert.Assert(t, time.Since(s.backAt) <= storeRetry)
+		assert.Assert(t, time.Since(s.availableAt) <= storeRetryMax)
 	})
 }
 
-func TestASlowStoreIsGivenTime(t *testing.T) {
+func TestCallToSlowStoreSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		assert.Assert(t, lateness(t, store{delay: 800 * time.Millisecond}, 0) < 3*time.Second)
+		assert.Assert(t, recoveryDelay(t, fakeStore{delay: 800 * time.Millisecond}, 0) < 3*time.Second)
 	})
 }
 
 // newTestEntry returns an entry whose configuration comes from the store.
-func newTestEntry(s *store) *Entry {
+func newTestEntry(s *fakeStore) *Entry {
 	source := ConfigSource{
 		Read: func(ctx context.Context, o ConfigObserver) (uint64, error) {
 			if err := s.call(ctx); err != nil {
@@ -109,34 +109,34 @@
 	return e
 }
 
-// TestAStartingEntryHasRequestsWaitForTheConfiguration: it is on its way, and a
+// TestRequestsWaitForFirstConfig: it is on its way, and a
 // refusal would be final for the caller.
-func TestAStartingEntryHasRequestsWaitForTheConfiguration(t *testing.T) {
+func TestRequestsWaitForFirstConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		s := &store{backAt: time.Now().Add(30 * time.Millisecond)}
+		s := &fakeStore{availableAt: time.Now().Add(30 * time.Millisecond)}
 		e := newTestEntry(s)
 		began := time.Now()
 		go e.watchConfig(ctx)
 		assert.Assert(t, e.AwaitTable(ctx) != nil)
-		assert.Assert(t, time.Since(began) < firstConfigTime)
+		assert.Assert(t, time.Since(began) < firstConfigTimeout)
 		end()
 		synctest.Wait()
 	})
 }
 
-// TestWithoutAStoreRequestsAreRefusedAtOnce: only the first moments of an entry
+// TestRequestsStopWaitingForAbsentConfig: only the first moments of an entry
 // are worth waiting for.
-func TestWithoutAStoreRequestsAreRefusedAtOnce(t *testing.T) {
+func TestRequestsStopWaitingForAbsentConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		e := newTestEntry(&store{backAt: time.Now().Add(time.Hour)})
+		e := newTestEntry(&fakeStore{availableAt: time.Now().Add(time.Hour)})
 		go e.watchConfig(ctx)
 		began := time.Now()
 		assert.Assert(t, e.AwaitTable(ctx) == nil)
-		assert.Equal(t, time.Since(began), firstConfigTime)
+		assert.Equal(t, time.Since(began), firstConfigTimeout)
 		began = time.Now()
 		assert.Assert(t, e.AwaitTable(ctx) == nil)
 		assert.Equal(t, time.Since(began), time.Duration(0))
--- a/node/session.go
+++ b/node/session.go
@@ -10,27 +10,27 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// An agent's connections of entries. What an entry does on its side is in link.go.
+// Connections from entries, on the agent's side. The entry's side is in link.go.
 
-// listen takes connections of entries until the context ends.
+// listen accepts connections from entries until ctx is done.
 func (a *Agent) listen(ctx context.Context) error {
 	return listen(ctx, a.settings.Peers, a.accept)
 }
 
-// accept runs one connection of an entry until it ends.
+// accept handles a connection from an entry, or another agent's request for a spec.
 func (a *Agent) accept(ctx context.Context, raw net.Conn) {
 	c := peer.NewConn(raw)
 	defer c.Close()
 	defer context.AfterFunc(ctx, c.Close)()
-	watchdog := time.AfterFunc(peer.Silence, func() { c.CloseFor(errSilent) })
+	watchdog := time.AfterFunc(peer.Silence, func() { c.CloseFor(errSilenceTimeout) })
 	f, err := c.Receive()
 	watchdog.Stop()
 	if err == nil && f.AskSpec != "" {
-		a.giveSpec(c, f.AskSpec)
+		a.sendSpec(c, f.AskSpec)
 		return
 	}
 	if err != nil || f.Hello == nil || f.Hello.Role != peer.RoleEntry {
-		return // not an entry, or one that has gone: it connects again
+		return // not an entry, or the connection broke: an entry reconnects
 	}
 	hello := f.Hello
 	go c.Run()
@@ -46,16 +46,16 @@
 	a.disconnect(id)
 }
 
-// connect records the connection of an entry.
+// connect records a connection from an entry.
 func (a *Agent) connect(c *peer.Conn, h *peer.Hello) supervisor.ConnID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lastConn++
-	a.conns[a.lastConn] = &agentConn{name: h.Name, level: h.Level, conn: c}
+	a.lastConnID++
+	a.conns[a.lastConnID] = &agentConn{name: h.Name, level: h.Level, conn: c}
 	now := a.clock.now()
 	a.addEntry(now, Registration{Name: h.Name, Addr: h.Addr})
-	a.supervisor.Connected(now, a.lastConn, *h)
-	return a.lastConn
+	a.supervisor.Connected(now, a.lastConnID, *h)
+	return a.lastConnID
 }
 
 // disconnect records the end of a connection.
@@ -69,7 +69,7 @@
 	a.scheduleFlush(now)
 }
 
-// receive handles a frame of an entry.
+// receive handles a frame from an entry.
 func (a *Agent) receive(id supervisor.ConnID, f *peer.Frame) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -84,13 +84,14 @@
 		a.documentRequest = documentRequest{}
 	}
 	now := a.clock.now()
-	a.passDocument(now, id, f)
+	a.exchangeDocument(now, id, f)
 	a.supervisor.Receive(now, id, f)
-	a.specs.arrived(f)
+	a.specs.wake(f)
 	a.scheduleFlush(now)
 }
 
-// send completes a frame and sends it to an entry. It is called with the lock held.
+// send sets the echo and configuration version of a frame and queues it for an entry. The
+// caller must hold a.mu.
 func (a *Agent) send(id supervisor.ConnID, f *peer.Frame) {
 	c := a.conns[id]
 	if c == nil {
@@ -101,9 +102,9 @@
 	c.conn.Send(f)
 }
 
-// scheduleFlush has a changed state sent when it is due, and a second renewal begun
-// where replies get lost. It is called with the lock held, after every call to the
-// supervisor.
+// scheduleFlush schedules the next flush of changed states and starts a parallel renewal if
+// replies are being lost. It must be called after every call to the supervisor. The caller must
+// hold a.mu.
 func (a *Agent) scheduleFlush(now time.Duration) {
 	if a.supervisor.LosingReplies(now) {
 		notify(a.repliesLost)
@@ -123,12 +124,12 @@
 	})
 }
 
-// closeSilent gives up the connections whose entries have been silent for too long. It is
-// called with the lock held.
+// closeSilent closes the connections from entries that have been silent for too long. The
+// caller must hold a.mu.
 func (a *Agent) closeSilent(now time.Duration) {
 	for id, c := range a.conns {
 		if a.supervisor.SilentTooLong(now, id) {
-			c.conn.CloseFor(errSilent)
+			c.conn.CloseFor(errSilenceTimeout)
 		}
 	}
 }
--- a/node/spec.go
+++ b/node/spec.go
@@ -9,45 +9,45 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// specWait bounds how long an agent waits for a spec that another one asks for: the entry
-// names it as soon as the spec is on its way here. Not measured; a little less than the
-// other one waits.
-const specWait = 120 * time.Millisecond
+// specWaitTimeout is how long an agent waits for a spec that another agent has requested. An
+// entry refers to the spec as soon as it is on its way here. The requesting agent waits
+// slightly longer.
+const specWaitTimeout = 120 * time.Millisecond
 
-// specWaiters are other agents' requests for specs that have not come yet. It is used under
-// its agent's lock.
-type specWaiters map[string][]chan struct{} // by job
+// specWaiters holds the pending requests of other agents for specs that have not arrived, by
+// job. It is guarded by the agent's lock.
+type specWaiters map[string][]chan struct{}
 
-// wait returns a channel that is closed when an order of the job has come.
+// wait returns a channel that is closed when an order of the job arrives.
 func (w *specWaiters) wait(job string) <-chan struct{} {
 	if *w == nil {
 		*w = make(specWaiters)
 	}
-	came := make(chan struct{})
-	(*w)[job] = append((*w)[job], came)
-	return came
+	ready := make(chan struct{})
+	(*w)[job] = append((*w)[job], ready)
+	return ready
 }
 
-// drop forgets the requests for a job's spec.
+// drop removes the pending requests for a job's spec.
 func (w specWaiters) drop(job string) {
 	delete(w, job)
 }
 
-// arrived wakes those that wait for the jobs of a frame's orders.
-func (w specWaiters) arrived(f *peer.Frame) {
+// wake closes the channels of requests for the jobs in a frame's orders.
+func (w specWaiters) wake(f *peer.Frame) {
 	if len(w) == 0 {
 		return
 	}
 	for _, order := range f.Starts {
-		for _, came := range w[order.Task.Job] {
-			close(came)
+		for _, ready := range w[order.Task.Job] {
+			close(ready)
 		}
 		delete(w, order.Task.Job)
 	}
 }
 
-// giveSpec answers another agent that needs a job's spec, once it is here.
-func (a *Agent) giveSpec(c *peer.Conn, job string) {
+// sendSpec answers another agent's request for a job's spec.
+func (a *Agent) sendSpec(c *peer.Conn, job string) {
 	spec, known := a.awaitSpec(job)
 	buf, err := peer.AppendFrame(nil, &peer.Frame{GiveSpec: &peer.GivenSpec{Known: known, Spec: spec}})
 	if err == nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// awaitSpec returns a job's spec, which may be on its way here.
+// awaitSpec returns a job's spec, waiting for it if it has not arrived yet.
 func (a *Agent) awaitSpec(job string) (string, bool) {
 	a.mu.Lock()
 	spec, known := a.supervisor.Spec(job)
@@ -66,12 +66,12 @@
 		a.mu.Unlock()
 		return spec, true
 	}
-	came := a.specs.wait(job)
+	ready := a.specs.wait(job)
 	a.mu.Unlock()
-	timer := time.NewTimer(specWait)
+	timer := time.NewTimer(specWaitTimeout)
 	defer timer.Stop()
 	select {
-	case <-came:
+	case <-ready:
 	case <-timer.C:
 	}
 	a.mu.Lock()
@@ -80,9 +80,9 @@
 	return a.supervisor.Spec(job)
 }
 
-// fetchSpec gets a job's spec from the agent at addr.
+// fetchSpec fetches a job's spec from the agent at addr and passes it to the supervisor.
 func (a *Agent) fetchSpec(job, addr string) {
-	spec, known, err := askSpec(job, addr)
+	spec, known, err := requestSpec(job, addr)
 	if err != nil {
 		a.log.Info(event.SpecNotFetched, "job", job, "addr", addr, "error", err.Error())
 	}
@@ -93,9 +93,9 @@
 	a.scheduleFlush(now)
 }
 
-// askSpec asks the agent at addr for a job's spec.
-func askSpec(job, addr string) (spec string, known bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*specWait)
+// requestSpec requests a job's spec from the agent at addr.
+func requestSpec(job, addr string) (spec string, known bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), 2*specWaitTimeout)
 	defer cancel()
 	raw, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -106,7 +106,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	if err := raw.SetDeadline(time.Now().Add(2 * specWait)); err != nil {
+	if err := raw.SetDeadline(time.Now().Add(2 * specWaitTimeout)); err != nil {
 		return "", false, err
 	}
 	if _, err := raw.Write(buf); err != nil {
--- a/node/spec_test.go
+++ b/node/spec_test.go
@@ -29,22 +29,22 @@
 	return a
 }
 
-// bringSpec has the entry send an order with the spec of a job. The agent knows no target
+// deliverSpec has the entry send an order with the spec of a job. The agent knows no target
 // and rejects the order; it keeps the spec.
-func bringSpec(a *Agent, job string) {
-	a.receive(a.lastConn, &peer.Frame{Seq: 1, Starts: []task.Order{{Task: task.ID{Job: job}, Run: 1, Spec: "text"}}})
+func deliverSpec(a *Agent, job string) {
+	a.receive(a.lastConnID, &peer.Frame{Seq: 1, Starts: []task.Order{{Task: task.ID{Job: job}, Run: 1, Spec: "text"}}})
 }
 
-// TestAnAgentAsksAnotherOneForASpec over one connection each: a spec that is there is given
+// TestAgentServesSpecToAgent over one connection each: a spec that is there is given
 // at once, one that is on its way when it comes, and of one that does not come the asker is
 // told.
-func TestAnAgentAsksAnotherOneForASpec(t *testing.T) {
+func TestAgentServesSpecToAgent(t *testing.T) {
 	for name, c := range map[string]struct {
-		comesAfter time.Duration
-		known      bool
+		arrivesAfter time.Duration
+		known        bool
 	}{
 		"there":         {0, true},
-		"on its way":    {specWait / 2, true},
+		"on its way":    {specWaitTimeout / 2, true},
 		"does not come": {time.Hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -52,9 +52,9 @@
 				a := newSpecAgent()
 				near, far := net.Pipe()
 				go a.accept(t.Context(), far)
-				bring := time.AfterFunc(c.comesAfter, func() { bringSpec(a, "j") })
-				defer bring.Stop()
-				if c.comesAfter == 0 {
+				deliver := time.AfterFunc(c.arrivesAfter, func() { deliverSpec(a, "j") })
+				defer deliver.Stop()
+				if c.arrivesAfter == 0 {
 					synctest.Wait()
 				}
 				began := time.Now()
@@ -68,7 +68,7 @@
 				if c.known {
 					assert.Equal(t, f.GiveSpec.Spec, "text")
 				}
-				assert.Equal(t, time.Since(began), min(c.comesAfter, specWait))
+				assert.Equal(t, time.Since(began), min(c.arrivesAfter, specWaitTimeout))
 				_, err = peer.ReadFrame(near)
 				assert.Assert(t, err != nil, "the connection ends")
 				near.Close()
@@ -77,13 +77,13 @@
 	}
 }
 
-// TestAnAgentThatCannotBeAsked: the error says why.
-func TestAnAgentThatCannotBeAsked(t *testing.T) {
+// TestRequestSpecReturnsDialError: the error says why.
+func TestRequestSpecReturnsDialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := l.Addr().String()
 	l.Close()
-	_, known, err := askSpec("j", addr)
+	_, known, err := requestSpec("j", addr)
 	assert.Assert(t, !known)
 	var refused *net.OpError
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
--- a/node/submit_test.go
+++ b/node/submit_test.go
@@ -11,12 +11,12 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestAJobWhoseCallerHasGoneIsNotTaken: its connection broke before the job was submitted.
+// TestSubmitRejectsJobOfDisconnectedCaller: its connection broke before the job was submitted.
 // Nothing may be started for it: the caller may have submitted it at another entry.
-func TestAJobWhoseCallerHasGoneIsNotTaken(t *testing.T) {
+func TestSubmitRejectsJobOfDisconnectedCaller(t *testing.T) {
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, slog.New(slog.DiscardHandler))
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	j := task.Job{ID: "5c0e7a21d94b36f8", Service: "trackd", Attempts: 1, ObjectiveFactor: 1,
 		Steps: []task.Step{{Count: 1, Needs: task.Needs{CPU: 1000}}}}
 	_, err := e.Submit(ctx, j)
--- a/node/zip.go
+++ b/node/zip.go
@@ -9,52 +9,51 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// maxDocument bounds a document, in bytes; the platform's store takes no larger one.
-const maxDocument = 4 << 20
+// maxDocumentBytes is the maximum size of an uncompressed document, which is also the limit of
+// the platform's store.
+const maxDocumentBytes = 4 << 20
 
-// errDocumentSize means that a document is larger than maxDocument.
-var errDocumentSize = errors.New("node: the document is too large")
+// errDocumentTooLarge is returned for documents larger than maxDocumentBytes.
+var errDocumentTooLarge = errors.New("node: configuration document exceeds 4 MiB when decompressed")
 
-// document is a configuration as the operator wrote it, in one or both of its forms. It is
-// used under the lock of its process.
+// document is a configuration document as the operator wrote it, plain, compressed with gzip,
+// or both. It is guarded by the lock of its process.
 type document struct {
-	plain, zipped []byte
+	plain, gzipped []byte
 }
 
-// documentOf returns the document of a frame, empty where it has none.
+// documentOf returns the document in a frame, empty if there is none.
 func documentOf(f *peer.Frame) document {
-	return document{plain: f.Document, zipped: f.DocumentZip}
+	return document{plain: f.Document, gzipped: f.DocumentZip}
 }
 
-// empty reports whether there is no document.
 func (d *document) empty() bool {
-	return len(d.plain) == 0 && len(d.zipped) == 0
+	return len(d.plain) == 0 && len(d.gzipped) == 0
 }
 
-// text returns the document as it was written. The error is that of decompression.
+// text returns the plain document, decompressing it if needed.
 func (d *document) text() ([]byte, error) {
 	if len(d.plain) > 0 {
 		return d.plain, nil
 	}
-	r, err := gzip.NewReader(bytes.NewReader(d.zipped))
+	r, err := gzip.NewReader(bytes.NewReader(d.gzipped))
 	if err != nil {
 		return nil, err
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, maxDocument+1))
+	plain, err := io.ReadAll(io.LimitReader(r, maxDocumentBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) > maxDocument {
-		return nil, errDocumentSize
+	if len(plain) > maxDocumentBytes {
+		return nil, errDocumentTooLarge
 	}
 	return plain, nil
 }
 
-// zip returns the document compressed, and remembers it so. The error is that of
-// compression.
-func (d *document) zip() ([]byte, error) {
-	if len(d.zipped) > 0 {
-		return d.zipped, nil
+// compress returns the document compressed with gzip and caches the result.
+func (d *document) compress() ([]byte, error) {
+	if len(d.gzipped) > 0 {
+		return d.gzipped, nil
 	}
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -67,15 +66,15 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	d.zipped = out.Bytes()
-	return d.zipped, nil
+	d.gzipped = out.Bytes()
+	return d.gzipped, nil
 }
 
-// frame returns a frame that hands the document to a peer of a level.
+// frame returns a frame with the document, compressed if the peer's protocol level supports it.
 func (d *document) frame(level peer.Level) (*peer.Frame, error) {
 	if level >= peer.LevelRelay {
-		zipped, err := d.zip()
-		return &peer.Frame{DocumentZip: zipped}, err
+		gzipped, err := d.compress()
+		return &peer.Frame{DocumentZip: gzipped}, err
 	}
 	plain, err := d.text()
 	return &peer.Frame{Document: plain}, err
--- a/node/zip_test.go
+++ b/node/zip_test.go
@@ -10,9 +10,9 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// TestADocumentComesAsItWasWritten, whatever the levels of those that it goes through, and
+// TestDocumentSurvivesForwarding, whatever the levels of those that it goes through, and
 // goes compressed to who understands that.
-func TestADocumentComesAsItWasWritten(t *testing.T) {
+func TestDocumentSurvivesForwarding(t *testing.T) {
 	text := bytes.Repeat([]byte(`{"route":"nony24.example"}`), 4000)
 	for _, first := range []peer.Level{peer.LevelBase, peer.LevelNewest} {
 		for _, second := range []peer.Level{peer.LevelBase, peer.LevelNewest} {
@@ -34,21 +34,21 @@
 	}
 }
 
-// TestADocumentThatIsNotOne is refused with an error, also one that would fill the memory.
-func TestADocumentThatIsNotOne(t *testing.T) {
-	d := document{zipped: []byte("this is not compressed at all")}
+// TestInvalidDocumentIsRejected is refused with an error, also one that would fill the memory.
+func TestInvalidDocumentIsRejected(t *testing.T) {
+	d := document{gzipped: []byte("this is not compressed at all")}
 	_, err := d.text()
 	assert.ErrorIs(t, err, gzip.ErrHeader)
-	huge := document{plain: make([]byte, maxDocument+1)}
-	zipped, err := huge.zip()
+	huge := document{plain: make([]byte, maxDocumentBytes+1)}
+	zipped, err := huge.compress()
 	assert.NilError(t, err)
-	d = document{zipped: zipped}
+	d = document{gzipped: zipped}
 	_, err = d.text()
-	assert.ErrorIs(t, err, errDocumentSize)
+	assert.ErrorIs(t, err, errDocumentTooLarge)
 }
 
-// TestDocumentsLeaveRoomOnANarrowLink: they take a quarter of it.
-func TestDocumentsLeaveRoomOnANarrowLink(t *testing.T) {
+// TestDocumentsUseShareOfLink: they take a quarter of it.
+func TestDocumentsUseShareOfLink(t *testing.T) {
 	var p documentPacer
 	const bytes, megabits = 25_000, 2 // a tenth of a second at the whole rate
 	assert.Assert(t, p.take(0, bytes, megabits))
