--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -9,8 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// virtualClock returns a clock for tests in virtual time, which the clock of the host does not
-// know of.
+// virtualClock returns a clock that follows the virtual time of synctest.
 func virtualClock() bootClock {
 	began := time.Now()
 	return newBootClockFrom(func() time.Duration { return time.Since(began) })
@@ -23,8 +22,8 @@
 	assert.Assert(t, c.now() >= first)
 }
 
-// TestTickAfterSuspensionSkipsSilenceCheck: the clock of package time stands still while the host is suspended,
-// so that a tick comes as if in time. It must count as late.
+// TestTickAfterSuspensionSkipsSilenceCheck: ticks use a timer that stops while the host is
+// suspended, so a late tick must be detected by the boot clock.
 func TestTickAfterSuspensionSkipsSilenceCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
@@ -43,7 +42,7 @@
 		lock.Lock()
 		defer lock.Unlock()
 		assert.Assert(t, checked[before-1])
-		assert.Assert(t, !checked[before], "the first tick after the suspension judges the silence of peers")
+		assert.Assert(t, !checked[before], "the first tick after the suspension checks the silence of peers")
 	})
 }
 
--- a/node/document_test.go
+++ b/node/document_test.go
@@ -20,7 +20,7 @@
 	frames chan *peer.Frame
 }
 
-// newFrameRecorder returns a connection whose frames can be counted.
+// newFrameRecorder returns a recorder with an open connection.
 func newFrameRecorder(t *testing.T) *frameRecorder {
 	t.Helper()
 	near, far := net.Pipe()
@@ -40,7 +40,7 @@
 	return w
 }
 
-// count returns how many frames since the last call are as asked.
+// count returns how many of the frames sent since the last call match.
 func (w *frameRecorder) count(match func(*peer.Frame) bool) int {
 	synctest.Wait()
 	n := 0
@@ -59,10 +59,8 @@
 func isDocumentRequest(f *peer.Frame) bool { return f.AskDocument }
 func hasDocument(f *peer.Frame) bool       { return len(f.Document) > 0 }
 
-// TestAgentRequestsDocumentFromOneEntry (its sleeps, as all in this package, are
-// in virtual time): sent by all entries to all agents
-// at once, a large one filled the narrow links, whose connections broke and began
-// anew with the same document.
+// TestAgentRequestsDocumentFromOneEntry guards against all entries sending a large document at
+// once, which overloads narrow links.
 func TestAgentRequestsDocumentFromOneEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
@@ -79,19 +77,19 @@
 			return asked
 		}
 		assert.Equal(t, announce(), 1)
-		assert.Equal(t, announce(), 0) // its answer is under way
+		assert.Equal(t, announce(), 0) // the first request is in flight
 		time.Sleep(documentRequestTimeout)
-		assert.Equal(t, announce(), 1) // it was lost
+		assert.Equal(t, announce(), 1) // the first request has timed out
 		a.receive(1, &peer.Frame{Config: 5, Document: []byte("{}")})
 		time.Sleep(documentRequestTimeout)
 		assert.Equal(t, announce(), 0)
-		a.receive(2, &peer.Frame{AskDocument: true}) // an entry that has begun anew
+		a.receive(2, &peer.Frame{AskDocument: true}) // an entry that has restarted
 		assert.Equal(t, recorders[1].count(hasDocument), 1)
 		assert.Equal(t, recorders[0].count(hasDocument), 0)
 	})
 }
 
-// TestEntryLimitsDocumentRate: its link may be narrow.
+// TestEntryLimitsDocumentRate guards against documents saturating a narrow link of the entry.
 func TestEntryLimitsDocumentRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEntry(&fakeStore{})
@@ -117,8 +115,8 @@
 	})
 }
 
-// TestEntryDelaysDocumentRequest: the store tells it of a new configuration
-// soon, unless it turns this entry away; one that knows none asks at once.
+// TestEntryDelaysDocumentRequest: an entry with a configuration gives its own watch time to
+// report a new one; an entry without one requests it at once.
 func TestEntryDelaysDocumentRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEntry(&fakeStore{})
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -15,7 +15,8 @@
 	"github.com/beaconpoint/beaconpoint/testutil/page"
 )
 
-// metricNames returns the metricNames of a set's metrics, a histogram by its own.
+// metricNames returns the names of the metrics in a set. A histogram appears once, under its
+// base name.
 func metricNames(set *metrics.Set) []string {
 	var out bytes.Buffer
 	set.WritePrometheus(&out)
@@ -42,7 +43,7 @@
 	return list
 }
 
-// vmrange is the label of a histogram's bucket.
+// vmrange matches the bucket label of a histogram.
 var vmrange = regexp.MustCompile(`,?vmrange="[^"]*"`)
 
 func TestMetricsPageMatchesCode(t *testing.T) {
--- a/node/reach_test.go
+++ b/node/reach_test.go
@@ -13,7 +13,8 @@
 	"github.com/beaconpoint/beaconpoint/settings"
 )
 
-// newEntryWithAgents returns an entry that was told of so many agents, none of which listens.
+// newEntryWithAgents returns an entry whose directory has the given number of agents, none of
+// which listens.
 func newEntryWithAgents(t *testing.T, agents int) *Entry {
 	t.Helper()
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, slog.New(slog.DiscardHandler))
@@ -23,14 +24,15 @@
 	return e
 }
 
-// tickReach lets one tick pass.
+// tickReach calls adjustReach as a tick does.
 func (e *Entry) tickReach(t *testing.T) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.adjustReach(t.Context(), e.clock.now())
 }
 
-// TestEntryLimitsLinks, and all of them in a small fleet.
+// TestEntryLimitsLinks: an entry connects to all agents of a small fleet and to a bounded
+// number in a large one.
 func TestEntryLimitsLinks(t *testing.T) {
 	for _, agents := range []int{11, reach.FullMesh, 800} {
 		e := newEntryWithAgents(t, agents)
@@ -43,8 +45,8 @@
 	}
 }
 
-// TestAgentRemovedFromDirectoryIsDropped, unless this entry reaches it: an entry that could
-// not may have been cut off itself.
+// TestAgentRemovedFromDirectoryIsDropped: a connected agent is kept, since the entry that
+// removed it may have been cut off itself.
 func TestAgentRemovedFromDirectoryIsDropped(t *testing.T) {
 	e := newEntryWithAgents(t, 3)
 	e.tickReach(t)
@@ -61,8 +63,8 @@
 	assert.Assert(t, e.links["side-0"] != nil && e.links["side-2"] != nil)
 }
 
-// TestStoreWatchRateIsBounded: all entries together begin a bounded number a second,
-// and one that failed is soon followed by the next.
+// TestStoreWatchRateIsBounded guards against a load on the store that grows with the number of
+// entries, and against long waits after a failed watch.
 func TestStoreWatchRateIsBounded(t *testing.T) {
 	for _, entries := range []int{1, 3, 16, 55, 184, 1000} {
 		e := newEntryWithAgents(t, 0)
@@ -79,14 +81,13 @@
 			assert.Assert(t, float64(entries)/most.Seconds() <= 1.1*watchesPerSecond)
 		}
 		if entries > 2*watchesPerSecond {
-			assert.Assert(t, most-least > most/4, "all watches end together")
+			assert.Assert(t, most-least > most/4, "waits are not spread out")
 		}
 		assert.Equal(t, e.watchWait(1), minWatchWait)
 	}
 }
 
-// TestAgentForgetsDisconnectedEntries that have not been connected for long: hosts are replaced each day, and
-// each one would be dialled for good.
+// TestAgentForgetsDisconnectedEntries guards against dialing entries on replaced hosts forever.
 func TestAgentForgetsDisconnectedEntries(t *testing.T) {
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
 	var now time.Duration
@@ -95,7 +96,7 @@
 	now = time.Second
 	a.addEntries([]Registration{{Name: "edge-1", Addr: "127.0.0.1:1"}})
 	count, _ := a.disconnectedEntries()
-	assert.Equal(t, count, 0) // it has just been heard of
+	assert.Equal(t, count, 0) // it was just listed
 	now += dialRetryMin
 	count, due := a.disconnectedEntries()
 	assert.Equal(t, count, 1)
@@ -103,16 +104,16 @@
 	a.recordIntroduction("edge-1")
 	now += reintroduceInterval / 2
 	_, due = a.disconnectedEntries()
-	assert.Equal(t, len(due), 0, "it knows this agent")
+	assert.Equal(t, len(due), 0, "the entry was just introduced to this agent")
 	now += reintroduceInterval
 	_, due = a.disconnectedEntries()
-	assert.Equal(t, len(due), 1, "it may have restarted")
+	assert.Equal(t, len(due), 1, "the entry may have restarted")
 	now += forgetAfter
 	count, due = a.disconnectedEntries()
 	assert.Equal(t, count+len(due)+len(a.entries), 0)
 }
 
-// TestAgentLimitsIntroductions.
+// TestAgentLimitsIntroductions guards against introductions to every entry of a large fleet.
 func TestAgentLimitsIntroductions(t *testing.T) {
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
 	var list []Registration
--- a/node/renewal_test.go
+++ b/node/renewal_test.go
@@ -14,9 +14,8 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// TestHeartbeatWakesBothRenewLoops: a heartbeat that ends the pause of the second
-// renewal must not be lost to the first, which waits for it to serve the target's new
-// incarnation.
+// TestHeartbeatWakesBothRenewLoops guards against a heartbeat that ends the pause of the
+// parallel renewal but does not wake renewLoop to serve the target's new incarnation.
 func TestHeartbeatWakesBothRenewLoops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var served time.Time
@@ -29,7 +28,7 @@
 					served = time.Now()
 				}
 				time.Sleep(time.Second)
-			case calls == 1: // the second renewal, which pauses
+			case calls == 1: // the parallel renewal, which pauses
 				return supervisor.Reply{Outcome: supervisor.NoAnswer, Err: errors.New("lost")}, nil
 			}
 			time.Sleep(time.Millisecond)
@@ -48,8 +47,8 @@
 		began := time.Now()
 		a.Heartbeat(supervisor.Report{ID: "i-2", Seq: 1})
 		time.Sleep(10 * time.Millisecond)
-		assert.Check(t, !served.IsZero() && served.Sub(began) < 10*time.Millisecond, "not served at once")
+		assert.Check(t, !served.IsZero() && served.Sub(began) < 10*time.Millisecond, "the new incarnation was not served within 10 ms")
 		cancel()
-		time.Sleep(2 * time.Second) // the calls under way end
+		time.Sleep(2 * time.Second) // let calls in flight end
 	})
 }
--- a/node/retry_test.go
+++ b/node/retry_test.go
@@ -15,8 +15,8 @@
 	"github.com/beaconpoint/beaconpoint/settings"
 )
 
-// fakeStore is a fakeStore for the tests: silent or refusing until backAt, and then
-// answering after delay.
+// fakeStore is a store that is silent or rejects calls until availableAt, and then answers
+// after delay.
 type fakeStore struct {
 	availableAt time.Time
 	rejects     bool
@@ -26,7 +26,7 @@
 
 var errStoreDown = errors.New("the store is down")
 
-// call is one call: a call that was sent while the store was silent is lost.
+// call simulates one call. A call made while the store is silent gets no answer.
 func (s *fakeStore) call(ctx context.Context) error {
 	s.calls++
 	down := time.Now().Before(s.availableAt)
@@ -45,8 +45,8 @@
 	}
 }
 
-// recoveryDelay returns how long after the store is back a call that began down
-// earlier succeeds.
+// recoveryDelay returns how long after the store recovers a call succeeds that was started the
+// given time before the recovery.
 func recoveryDelay(t *testing.T, s fakeStore, down time.Duration) time.Duration {
 	t.Helper()
 	s.availableAt = time.Now().Add(down)
@@ -54,6 +54,8 @@
 	return time.Since(s.availableAt)
 }
 
+// TestCallSucceedsSoonAfterStoreRecovers guards against long waits for attempts that were lost
+// while the store was silent.
 func TestCallSucceedsSoonAfterStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		assert.Assert(t, recoveryDelay(t, fakeStore{}, 20*time.Millisecond) <= 280*time.Millisecond)
@@ -64,6 +66,8 @@
 	})
 }
 
+// TestCallsToRejectingStoreBackOff guards against overloading a store that rejects calls at
+// once.
 func TestCallsToRejectingStoreBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rejects: true, availableAt: time.Now().Add(10 * time.Second)}
@@ -73,13 +77,14 @@
 	})
 }
 
+// TestCallToSlowStoreSucceeds guards against timeouts that are too short for a slow store.
 func TestCallToSlowStoreSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		assert.Assert(t, recoveryDelay(t, fakeStore{delay: 800 * time.Millisecond}, 0) < 3*time.Second)
 	})
 }
 
-// newTestEntry returns an entry whose configuration comes from the store.
+// newTestEntry returns an entry that reads its configuration and directory from the store.
 func newTestEntry(s *fakeStore) *Entry {
 	source := ConfigSource{
 		Read: func(ctx context.Context, o ConfigObserver) (uint64, error) {
@@ -109,8 +114,8 @@
 	return e
 }
 
-// TestRequestsWaitForFirstConfig: it is on its way, and a
-// refusal would be final for the caller.
+// TestRequestsWaitForFirstConfig guards against refusing requests, which is final for the
+// caller, while the first configuration is being read.
 func TestRequestsWaitForFirstConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
@@ -126,8 +131,8 @@
 	})
 }
 
-// TestRequestsStopWaitingForAbsentConfig: only the first moments of an entry
-// are worth waiting for.
+// TestRequestsStopWaitingForAbsentConfig: requests wait for a configuration only during the
+// first firstConfigTimeout after startup.
 func TestRequestsStopWaitingForAbsentConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
--- a/node/spec_test.go
+++ b/node/spec_test.go
@@ -16,7 +16,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newSpecAgent returns an agent with the connection of an entry.
+// newSpecAgent returns an agent with a connection from an entry.
 func newSpecAgent() *Agent {
 	calls := TargetCalls{
 		Start: func(supervisor.StartCall) supervisor.Reply { return supervisor.Reply{Outcome: supervisor.NoAnswer} },
@@ -29,23 +29,22 @@
 	return a
 }
 
-// deliverSpec has the entry send an order with the spec of a job. The agent knows no target
-// and rejects the order; it keeps the spec.
+// deliverSpec delivers an order with the spec of a job. The agent has no target and rejects the
+// order, but keeps the spec.
 func deliverSpec(a *Agent, job string) {
 	a.receive(a.lastConnID, &peer.Frame{Seq: 1, Starts: []task.Order{{Task: task.ID{Job: job}, Run: 1, Spec: "text"}}})
 }
 
-// TestAgentServesSpecToAgent over one connection each: a spec that is there is given
-// at once, one that is on its way when it comes, and of one that does not come the asker is
-// told.
+// TestAgentServesSpecToAgent: an agent answers at once if it has the spec, otherwise when the
+// spec arrives, and reports it unknown after specWaitTimeout.
 func TestAgentServesSpecToAgent(t *testing.T) {
 	for name, c := range map[string]struct {
 		arrivesAfter time.Duration
 		known        bool
 	}{
-		"there":         {0, true},
-		"on its way":    {specWaitTimeout / 2, true},
-		"does not come": {time.Hour, false},
+		"present":      {0, true},
+		"in flight":    {specWaitTimeout / 2, true},
+		"not arriving": {time.Hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -70,14 +69,14 @@
 				}
 				assert.Equal(t, time.Since(began), min(c.arrivesAfter, specWaitTimeout))
 				_, err = peer.ReadFrame(near)
-				assert.Assert(t, err != nil, "the connection ends")
+				assert.Assert(t, err != nil, "the connection is closed after the answer")
 				near.Close()
 			})
 		})
 	}
 }
 
-// TestRequestSpecReturnsDialError: the error says why.
+// TestRequestSpecReturnsDialError: the error names why the other agent could not be reached.
 func TestRequestSpecReturnsDialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -9,9 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStoppingEntryServesUntilBalancerRemovesIt: the balancer asks each second, takes
-// an entry out after two misses, and what it has passed on before that may arrive a
-// while later.
+// TestStoppingEntryServesUntilBalancerRemovesIt guards against refusing requests that the load
+// balancer forwards before it has seen two failed readiness checks.
 func TestStoppingEntryServesUntilBalancerRemovesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const missed, underWay = 2 * time.Second, 300 * time.Millisecond
@@ -23,6 +22,6 @@
 		cancel()
 		assert.NilError(t, e.stop(ctx, func() { closed = time.Since(began) }, func() {}))
 		assert.Assert(t, closed >= missed+underWay, "closed after %v", closed)
-		assert.Assert(t, closed <= e.settings.Grace/2) // half is left for what runs
+		assert.Assert(t, closed <= e.settings.Grace/2) // half remains for running jobs
 	})
 }
--- a/node/submit_test.go
+++ b/node/submit_test.go
@@ -11,8 +11,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestSubmitRejectsJobOfDisconnectedCaller: its connection broke before the job was submitted.
-// Nothing may be started for it: the caller may have submitted it at another entry.
+// TestSubmitRejectsJobOfDisconnectedCaller guards against running a job twice: its caller may
+// already have submitted it to another entry.
 func TestSubmitRejectsJobOfDisconnectedCaller(t *testing.T) {
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
--- a/node/zip_test.go
+++ b/node/zip_test.go
@@ -10,8 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// TestDocumentSurvivesForwarding, whatever the levels of those that it goes through, and
-// goes compressed to who understands that.
+// TestDocumentSurvivesForwarding: a document stays the same across peers of different protocol
+// levels, and is compressed for those that support it.
 func TestDocumentSurvivesForwarding(t *testing.T) {
 	text := bytes.Repeat([]byte(`{"route":"nony24.example"}`), 4000)
 	for _, first := range []peer.Level{peer.LevelBase, peer.LevelNewest} {
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestInvalidDocumentIsRejected is refused with an error, also one that would fill the memory.
+// TestInvalidDocumentIsRejected: data that is not gzip, or that expands beyond
+// maxDocumentBytes.
 func TestInvalidDocumentIsRejected(t *testing.T) {
 	d := document{gzipped: []byte("this is not compressed at all")}
 	_, err := d.text()
@@ -47,10 +48,11 @@
 	assert.ErrorIs(t, err, errDocumentTooLarge)
 }
 
-// TestDocumentsUseShareOfLink: they take a quarter of it.
+// TestDocumentsUseShareOfLink guards against documents saturating a narrow link: they may use a
+// quarter of it.
 func TestDocumentsUseShareOfLink(t *testing.T) {
 	var p documentPacer
-	const bytes, megabits = 25_000, 2 // a tenth of a second at the whole rate
+	const bytes, megabits = 25_000, 2 // 0.1 s at the full rate of the link
 	assert.Assert(t, p.take(0, bytes, megabits))
 	assert.Assert(t, !p.take(p.freeAt-1, bytes, megabits))
 	assert.Equal(t, p.freeAt.Milliseconds(), int64(400))
