--- a/peer/array.go
+++ b/peer/array.go
@@ -10,8 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// arrayFrame is a frame as the version before sends it: an array of these fields, whose
-// order and number are the format. It must not change.
+// arrayFrame is a frame in the array encoding of the previous version. The order and number of
+// fields define the format and must not change.
 type arrayFrame struct {
 	Stamp, Echo     time.Duration
 	Seq, Config     uint64
@@ -27,7 +27,7 @@
 	Reservation     *Reservation
 }
 
-// arrayHello is the introduction of the version before.
+// arrayHello is a Hello of the previous version.
 type arrayHello struct {
 	Role      Role
 	Name      string
@@ -35,7 +35,7 @@
 	Introduce bool
 }
 
-// arrayOrder is an order of the version before.
+// arrayOrder is an order of the previous version.
 type arrayOrder struct {
 	Task            task.ID
 	Run             int
@@ -46,7 +46,7 @@
 	TimeLeft        time.Duration
 }
 
-// order returns the order as this version has it.
+// order converts o to an order of this version.
 func (o arrayOrder) order() task.Order {
 	return task.Order{
 		Task: o.Task, Run: o.Run, Spec: o.Spec, Needs: o.Needs,
@@ -54,16 +54,16 @@
 	}
 }
 
-// isArray reports whether a frame's body is of the version before.
+// isArray reports whether a frame is encoded as an array, as in the previous version.
 func isArray(body []byte) bool {
 	return len(body) > 0 && msgpcode.IsFixedArray(body[0])
 }
 
-// decodeArray decodes a frame of the version before.
+// decodeArray decodes a frame of the previous version.
 func decodeArray(body []byte) (*Frame, error) {
 	a := new(arrayFrame)
 	if err := msgpack.Unmarshal(body, a); err != nil {
-		return nil, fmt.Errorf("peer: decode array: %w", err)
+		return nil, fmt.Errorf("peer: decode array-encoded frame: %w", err)
 	}
 	f := &Frame{
 		Stamp: a.Stamp, Echo: a.Echo, Seq: a.Seq, Config: a.Config,
--- a/peer/array_test.go
+++ b/peer/array_test.go
@@ -13,20 +13,20 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestFramesOfTheVersionBeforeAreUnderstood decodes the bytes that the version before
+// TestDecodeFramesOfPreviousVersion decodes the bytes that the version before
 // sends for each kind of frame.
-func TestFramesOfTheVersionBeforeAreUnderstood(t *testing.T) {
+func TestDecodeFramesOfPreviousVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/frames-array.golden")
 	assert.NilError(t, err)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-	before := make(map[string][]byte)
+	previous := make(map[string][]byte)
 	for k := 0; k+1 < len(lines); k += 2 {
-		before[lines[k]], err = hex.DecodeString(lines[k+1])
+		previous[lines[k]], err = hex.DecodeString(lines[k+1])
 		assert.NilError(t, err)
 	}
 	found := 0
 	for _, g := range goldenFrames() {
-		bytes, ok := before[g.name]
+		bytes, ok := previous[g.name]
 		if !ok {
 			continue // a kind that the version before does not know
 		}
@@ -35,13 +35,13 @@
 		assert.NilError(t, err, g.name)
 		assert.DeepEqual(t, f, g.frame)
 	}
-	assert.Equal(t, found, len(before))
+	assert.Equal(t, found, len(previous))
 }
 
-// TestTheVersionBeforeUnderstandsFrames decodes each kind of frame as the version before
+// TestPreviousVersionDecodesFrames decodes each kind of frame as the version before
 // does: into its own structs, which lack the new fields.
-func TestTheVersionBeforeUnderstandsFrames(t *testing.T) {
-	for _, g := range append(goldenFrames(), goldenFrame{"whole", whole()}) {
+func TestPreviousVersionDecodesFrames(t *testing.T) {
+	for _, g := range append(goldenFrames(), goldenFrame{"whole", fullFrame()}) {
 		buf, err := AppendFrame(nil, g.frame)
 		assert.NilError(t, err)
 		var old arrayFrame
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestFramesCanGrow: a field that this version does not know is skipped, in the frame and
+// TestDecodeFrameSkipsUnknownFields: a field that this version does not know is skipped, in the frame and
 // in a part of it.
-func TestFramesCanGrow(t *testing.T) {
+func TestDecodeFrameSkipsUnknownFields(t *testing.T) {
 	type laterHello struct {
 		Name, Later string
 	}
@@ -74,15 +74,15 @@
 		Hello *laterHello
 		Later []task.Needs
 	}
-	buf, err := framing.Append(nil, maxFrame, framing.Maps, &laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Needs{{CPU: 1}}})
+	buf, err := framing.Append(nil, maxFrameBytes, framing.Maps, &laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Needs{{CPU: 1}}})
 	assert.NilError(t, err)
 	f, err := DecodeFrame(buf[framing.PrefixSize:])
 	assert.NilError(t, err)
 	assert.DeepEqual(t, f, &Frame{Seq: 7, Hello: &Hello{Name: "edge-1"}})
 }
 
-// TestArraysOfAnotherLengthAreRefused: the form of the version before can't grow.
-func TestArraysOfAnotherLengthAreRefused(t *testing.T) {
+// TestDecodeFrameRejectsArrayOfWrongLength: the form of the version before can't grow.
+func TestDecodeFrameRejectsArrayOfWrongLength(t *testing.T) {
 	for _, body := range [][]byte{{0x92, 1, 2}, {0x94, 1, 2, 3, 4}} {
 		var needs task.Needs
 		assert.ErrorContains(t, msgpack.Unmarshal(body, &needs), "number of fields")
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -10,46 +10,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of a connection.
+// Limits of a connection.
 const (
-	// userTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken. Not measured; peers' silence is noticed sooner.
-	userTimeout = 3 * time.Second
-	// maxBacklog is how many bytes may wait to be written; a peer that reads
-	// too slowly is cut off.
-	maxBacklog = 4 << 20
-	// readBuffer is the size of the read buffer, in bytes.
-	readBuffer = 8 << 10
+	// tcpUserTimeout is how long sent data may remain unacknowledged before the connection is
+	// closed.
+	tcpUserTimeout = 3 * time.Second
+	// maxBacklogBytes limits the data that waits to be written. A peer that reads too slowly is
+	// disconnected.
+	maxBacklogBytes = 4 << 20
+	readBufferBytes = 8 << 10
 )
 
-// Conn is one connection between an entry and an agent. Frames are sent in order and
-// never block the sender: they are queued, and a peer that reads too slowly is cut
-// off. Send and Close are safe for concurrent use; Receive and Run are for one
-// goroutine each.
+// Conn is a connection between an entry and an agent. Frames are sent in order. Sending never
+// blocks: frames are queued, and a peer that reads too slowly is disconnected. Send and Close
+// are safe for concurrent use; Receive and Run must each be called from a single goroutine.
 type Conn struct {
-	raw  net.Conn
-	in   *bufio.Reader
-	once sync.Once     // closes raw
-	wake chan struct{} // there is something to write, or the connection is closed
+	raw       net.Conn
+	reader    *bufio.Reader
+	closeOnce sync.Once     // guards the close of raw
+	wake      chan struct{} // capacity 1; signals that the backlog has data or the connection is closed
 
 	mu      sync.Mutex
 	backlog []byte // encoded frames that wait to be written
-	seq     uint64 // of the last frame sent
+	seq     uint64 // number of the last frame sent
 	closed  bool
-	cause   error // why it was closed here, if for a reason
+	cause   error // first local reason for closing, nil if there is none
 }
 
-// errBacklog means that the peer read too slowly.
-var errBacklog = errors.New("peer: too many bytes wait to be written")
+// errBacklogFull is the cause of closing a connection whose peer reads too slowly.
+var errBacklogFull = errors.New("peer: write backlog exceeds 4 MiB: peer reads too slowly")
 
-// NewConn wraps raw. Run must be called for frames to be sent.
+// NewConn returns a connection that uses raw. Frames are written by Run.
 func NewConn(raw net.Conn) *Conn {
-	SetUserTimeout(raw, userTimeout)
-	return &Conn{raw: raw, in: bufio.NewReaderSize(raw, readBuffer), wake: make(chan struct{}, 1)}
+	SetUserTimeout(raw, tcpUserTimeout)
+	return &Conn{raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), wake: make(chan struct{}, 1)}
 }
 
-// SetUserTimeout bounds how long a cut goes unnoticed on a TCP connection that has
-// bytes under way. Connections of other kinds, as in tests, are left as they are.
+// SetUserTimeout sets TCP_USER_TIMEOUT, which limits how long a broken TCP connection with
+// unacknowledged data goes undetected. Connections of other types, as used in tests, are not
+// changed.
 func SetUserTimeout(raw net.Conn, d time.Duration) {
 	tcp, ok := raw.(*net.TCPConn)
 	if !ok {
@@ -64,8 +63,8 @@
 	})
 }
 
-// Send numbers f and queues it. It returns the number, zero when the connection is
-// closed. A frame that can't be encoded, or a full queue, closes it.
+// Send assigns the next sequence number to f and queues it. It returns the number, zero if the
+// connection is closed. The connection is closed if f can't be encoded or the backlog is full.
 func (c *Conn) Send(f *Frame) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +73,8 @@
 	}
 	f.Seq = c.seq + 1
 	buf, err := AppendFrame(c.backlog, f)
-	if err == nil && len(buf) > maxBacklog {
-		err = errBacklog
+	if err == nil && len(buf) > maxBacklogBytes {
+		err = errBacklogFull
 	}
 	if err != nil {
 		c.closed = true
@@ -92,12 +91,11 @@
 	return c.seq
 }
 
-// Receive reads the next frame.
 func (c *Conn) Receive() (*Frame, error) {
-	return ReadFrame(c.in)
+	return ReadFrame(c.reader)
 }
 
-// Run writes the queued frames until the connection ends.
+// Run writes queued frames until the connection is closed.
 func (c *Conn) Run() {
 	defer c.Close()
 	var spare []byte
@@ -120,34 +118,34 @@
 	}
 }
 
-// Write writes bytes at once, within a time. It is for connections without Run.
-func (c *Conn) Write(bytes []byte, within time.Duration) error {
-	if err := c.raw.SetWriteDeadline(time.Now().Add(within)); err != nil {
+// Write writes data directly, with a timeout. It must not be used on a connection with Run.
+func (c *Conn) Write(bytes []byte, timeout time.Duration) error {
+	if err := c.raw.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	_, err := c.raw.Write(bytes)
 	return err
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() {
 	c.CloseFor(nil)
 }
 
-// Cause returns why the connection ended: what it was closed for here, or else the
-// error of its last Receive.
-func (c *Conn) Cause(received error) error {
+// Cause returns why the connection ended: the local cause of its closing if there is one,
+// otherwise the given error of the last Receive.
+func (c *Conn) Cause(receiveErr error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cause != nil {
 		return c.cause
 	}
-	return received
+	return receiveErr
 }
 
-// CloseFor ends the connection for a cause. The first cause stays.
+// CloseFor closes the connection with a cause. Only the first cause is kept.
 func (c *Conn) CloseFor(cause error) {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.mu.Lock()
 		c.closed = true
 		if c.cause == nil {
--- a/peer/echo_test.go
+++ b/peer/echo_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAnEchoNeverLeadsThePeersClock: whatever the delay of the stamps and the rate of the
+// TestEchoNeverExceedsPeerClock: whatever the delay of the stamps and the rate of the
 // clocks within the bound, the reading is not later than the peer's clock.
-func TestAnEchoNeverLeadsThePeersClock(t *testing.T) {
+func TestEchoNeverExceedsPeerClock(t *testing.T) {
 	for _, rate := range []float64{0.98, 1, 1.02} {
 		peerClock := func(own time.Duration) time.Duration { return time.Duration(rate * float64(own)) }
 		var e Echo
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestAnEarlierStampDoesNotCount: frames of one connection come in order, but a lower
+// TestEchoIgnoresLowerStamp: frames of one connection come in order, but a lower
 // stamp must not move the reading.
-func TestAnEarlierStampDoesNotCount(t *testing.T) {
+func TestEchoIgnoresLowerStamp(t *testing.T) {
 	var e Echo
 	e.Observe(10*time.Second, 3*time.Second)
 	e.Observe(11*time.Second, 2*time.Second)
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -1,11 +1,10 @@
-// Package peer carries what entries and agents tell each other: frames of msgpack
-// over TCP, each with the stamps on which leases rest.
+// Package peer implements the protocol between entries and agents: frames of msgpack over TCP,
+// with the timestamps on which leases are based.
 //
-// Structs are encoded as maps from the names of their fields to those that are not empty.
-// A receiver skips names that it does not know, so that a struct can get a field while
-// processes of the version before are up; docs/design/frames.md says why it is done so.
-// testdata/frames.golden holds the bytes. Frames of the version before are arrays:
-// array.go decodes them.
+// Structs are encoded as maps from field names to non-empty fields. A receiver skips unknown
+// names, so fields can be added while processes of the previous version are running; see
+// docs/design/frames.md. testdata/frames.golden pins the encoding. Frames of the previous
+// version are arrays and are decoded in array.go.
 package peer
 
 import (
@@ -23,239 +22,236 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// maxFrame is the largest frame, in bytes, without its length prefix.
-const maxFrame = 4 << 20
+// maxFrameBytes is the maximum size of a frame without its length prefix.
+const maxFrameBytes = 4 << 20
 
-// ErrFrameSize means that a frame is larger than maxFrame.
+// ErrFrameSize is returned for frames larger than maxFrameBytes.
 var ErrFrameSize = framing.ErrSize
 
-// Frame is one message. Each part may be absent; a frame without parts is a
-// heartbeat.
+// Frame is one message. All fields are optional; a frame without content serves as a heartbeat.
 type Frame struct {
-	// Stamp is the sender's own steady clock.
+	// Stamp is the sender's clock when the frame is sent.
 	Stamp time.Duration
-	// Echo is what the receiver's clock reads at the least when the frame is sent, by
-	// the latest stamp that the sender has got from it (type Echo); an agent echoes the
-	// stamp itself. The lease that the receiver grants the sender counts from it.
+	// Echo is a lower bound of the receiver's clock when the frame is sent, derived from the
+	// latest stamp received from it (see type Echo). An agent echoes the stamp itself. The
+	// lease that the receiver grants to the sender is measured from Echo.
 	Echo time.Duration
-	// Seq numbers the frames of one direction of a connection, from 1.
+	// Seq is the sequence number of the frame in its direction of the connection, starting at
+	// 1.
 	Seq uint64
-	// Config is the version of the newest configuration that the sender
-	// knows.
+	// Config is the version of the newest configuration known to the sender.
 	Config uint64
 
-	// Hello opens each direction of a connection.
+	// Hello is set in the first frame of each direction of a connection.
 	Hello *Hello
-	// Document hands over the configuration to a peer that has asked for it.
+	// Document is the configuration document, sent to a peer that requested it.
 	Document []byte
-	// DocumentZip is the same, compressed with gzip, on a connection of LevelRelay.
+	// DocumentZip is the document compressed with gzip, on connections of LevelRelay or newer.
 	DocumentZip []byte
-	// AskDocument asks the receiver for its document.
+	// AskDocument requests the receiver's configuration document.
 	AskDocument bool
-	// Evacuations are the evacuated data halls, where the sender knows of a later
-	// revision than it has told or heard on the connection. The version before skips it.
+	// Evacuations is the set of evacuated data halls. It is set if the sender has a later
+	// revision than any sent or received on the connection. The previous version ignores it.
 	Evacuations *evacuation.Set
 
-	// From an entry: runs to start and to stop; the id of the reservation that
-	// this frame uses or gives back, zero for none; and what room it still wants.
+	// Fields sent by entries.
+	//
+	// Starts and Stops are the runs to start and to stop. UsedReservation is the ID of the
+	// reservation that this frame uses or releases, zero if none. RoomRequest is the capacity
+	// that the entry still needs.
 	Starts          []task.Order
 	Stops           []task.Ref
 	UsedReservation uint64
 	RoomRequest     *RoomRequest
-	// Watch begins or ends the entry's watch of the target, on a connection of
-	// LevelWatch: only entries that watch are told of each change of its room.
+	// Watch starts or ends the entry's watch of the target, on connections of LevelWatch or
+	// newer. Only watching entries are sent each change of the target's free capacity.
 	Watch Watch
-	// Claims and Settled are what the entry says of jobs to their home, on a connection
-	// of LevelClaim.
+	// Claims and Settled are messages to the agent as home of jobs, on connections of
+	// LevelClaim.
 	Claims  []claim.Claim
 	Settled []claim.Settlement
 
-	// From an agent to another one: the job whose spec it needs, and the answer.
+	// AskSpec and GiveSpec are sent between agents: the job whose spec is requested, and the
+	// answer.
 	AskSpec  string
 	GiveSpec *GivenSpec
 
-	// From an agent: the state of its target, how runs ended, and room that it
-	// reserves for the receiver.
+	// State, Ended and Reservation are sent by agents: the state of the target, the ends of
+	// runs, and capacity reserved for the receiver.
 	State       *State
 	Ended       []Ended
 	Reservation *Reservation
-	// Crashed are runs whose ends were told as lapsed, which were at work when the target
-	// crashed, as shows now. The version before skips it.
+	// Crashed holds runs that were reported as lapsed and later found to have been executing
+	// when the target crashed. The previous version ignores it.
 	Crashed []task.Ref
-	// Claimed and Interests are what the agent says of jobs as their home.
+	// Claimed and Interests are messages from the agent as home of jobs.
 	Claimed   []claim.Reply
 	Interests []claim.Interest
 }
 
-// Role is what a process is.
+// Role is the role of a process.
 type Role string
 
-// Roles.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
 )
 
-// Hello introduces a process.
+// Hello identifies a process to its peer.
 type Hello struct {
 	Role Role
 	Name string // unique in the system
-	// Addr is where the process takes connections of its peers.
+	// Addr is the address on which the process accepts connections from peers.
 	Addr string
-	// Introduce says that the sender only makes itself known: the receiver connects
-	// to it, and this connection closes.
+	// Introduce marks an introduction: the receiver opens a connection to the sender's address,
+	// and this connection is closed.
 	Introduce bool
-	// Level is the newest revision of the exchange that the sender understands; the
-	// version that did not say so has LevelBase.
+	// Level is the newest protocol level that the sender supports. It is LevelBase for versions
+	// that do not send it.
 	Level Level
-	// Boot differs between the lives of an entry.
+	// Boot distinguishes restarts of the same entry.
 	Boot uint64
-	// Fleet is how many agents an entry knows of; an agent passes on the most that it was
-	// told, so that an entry which finds few while the store is down does not take the fleet
-	// for a small one. The version before skips it.
+	// Fleet is the number of agents known to an entry. An agent sends the highest number
+	// received, so that an entry that finds few agents while the store is down does not
+	// underestimate the fleet. The previous version ignores it.
 	Fleet int
 }
 
-// Level is a revision of what entries and agents may ask of each other. Both sides of a
-// connection keep to the lower one of theirs.
+// Level is a revision of the protocol between entries and agents. A connection uses the lower
+// level of its two sides.
 type Level int
 
-// Levels.
 const (
-	// LevelBase has a heartbeat each HeartbeatInterval in both directions, all states,
-	// and the spec in each order.
+	// LevelBase sends a heartbeat every HeartbeatInterval in both directions, all state
+	// updates, and the spec in each order.
 	LevelBase Level = iota
-	// LevelWatch has entries watch the agents that they use; the other connections
-	// carry a heartbeat each IdleHeartbeatInterval. A job's spec goes to an agent once.
+	// In LevelWatch entries watch the agents that they use; other connections carry a heartbeat
+	// every IdleHeartbeatInterval. The spec of a job is sent to an agent once.
 	LevelWatch
-	// LevelRelay has agents hand specs to each other: an order may name an agent that
-	// has the spec in place of the text. Documents are compressed.
+	// In LevelRelay agents fetch specs from each other: an order may name an agent that has the
+	// spec instead of carrying it. Documents are compressed.
 	LevelRelay
-	// LevelClaim has entries claim jobs at agents before they start them.
+	// In LevelClaim entries claim jobs at agents before they start them.
 	LevelClaim
-	// LevelNewest is what this version understands.
+	// LevelNewest is the newest level supported by this version.
 	LevelNewest = LevelClaim
 )
 
-// Watch is a change of an entry's watch of a target.
+// Watch is a change to an entry's watch of a target.
 type Watch uint8
 
-// Changes of a watch.
 const (
 	WatchUnchanged Watch = iota
 	WatchBegins
 	WatchEnds
 )
 
-// GivenSpec is an agent's answer to another one that needs a spec.
+// GivenSpec is an agent's answer to another agent's request for a spec.
 type GivenSpec struct {
-	// Known says that the agent has the spec.
+	// Known reports whether the agent has the spec.
 	Known bool
 	Spec  string
 }
 
-// RoomRequest tells an agent that tasks wait at the sender, which wants room reserved
-// for them.
+// RoomRequest asks an agent to reserve capacity for tasks that wait at the sender.
 type RoomRequest struct {
-	// Slack is how long the most urgent of them can wait: an agent serves the
-	// request with the least first.
+	// Slack is how long the most urgent task can wait. An agent serves the request with the
+	// least slack first.
 	Slack time.Duration
-	// Needs is what that task takes.
+	// Needs is the resource demand of that task.
 	Needs task.Needs
-	// Total is what all waiting tasks take, counted up to the target's capacity.
+	// Total is the demand of all waiting tasks, limited to the target's capacity.
 	Total task.Needs
 }
 
-// Reservation is room that an agent reserves for the receiver for a short time.
+// Reservation is capacity that an agent reserves for the receiver for a short time.
 type Reservation struct {
-	ID   uint64 // rises from 1
+	ID   uint64 // increases from 1
 	Room task.Needs
 }
 
-// Profile is the part of a target's state that seldom changes.
+// Profile is the part of a target's state that rarely changes.
 type Profile struct {
-	// Target is the id of the incarnation, empty where none is known.
+	// Target is the ID of the target's incarnation, empty if unknown.
 	Target  string
 	Service string
 	Hall    string
 	Labels  []string
-	// Capacity is the target's whole room.
+	// Capacity is the target's total capacity.
 	Capacity task.Needs
 }
 
-// Equal reports whether p and o are the same.
+// Equal reports whether p and o are equal.
 func (p Profile) Equal(o Profile) bool {
 	return p.Target == o.Target && p.Service == o.Service && p.Hall == o.Hall &&
 		p.Capacity == o.Capacity && slices.Equal(p.Labels, o.Labels)
 }
 
-// State is the state of an agent's target, as the receiver should see it.
+// State is the state of an agent's target as presented to the receiver.
 type State struct {
-	// Profile is nil where it is as in the last state on the connection.
+	// Profile is nil if it has not changed since the last state on the connection.
 	Profile *Profile
-	// Free is the room that the receiver may use.
+	// Free is the capacity that the receiver may use.
 	Free task.Needs
-	// Speed is the target's learned speed, 1 being usual.
+	// Speed is the target's estimated relative speed; 1 is normal.
 	Speed float64
-	// Health says whether the target is ejected.
+	// Health reports whether the target is ejected.
 	Health Health
-	// Accepting says that the target takes work.
+	// Accepting reports whether the target accepts work.
 	Accepting bool
-	// Cleared says that no run of an earlier connection of the receiver is
-	// left here.
+	// Cleared reports that no runs from earlier connections of the receiver are left on the
+	// target.
 	Cleared bool
-	// SeenSeq is the number of the receiver's last frame that this state takes into
-	// account.
+	// SeenSeq is the sequence number of the receiver's last frame that this state reflects.
 	SeenSeq uint64
 }
 
-// Health is the result of an agent's outlier detection.
+// Health is the result of outlier detection on a target.
 type Health uint8
 
-// Healths of a target.
 const (
-	// Healthy is the usual health.
+	// Healthy is the normal state.
 	Healthy Health = iota
-	// Ejected targets get single probes only.
+	// Ejected targets receive single probes only.
 	Ejected
 )
 
-// Ended is the end of a run.
+// Ended reports the end of a run.
 type Ended struct {
 	Ref task.Ref
 	End task.End
-	// Reason is how the end is known, or why the run did not begin.
+	// Reason is how the end was determined, or why the run did not start.
 	Reason code.Code
-	// Took is how long the run was at work, on the agent's clock.
+	// Took is the execution time of the run, on the agent's clock.
 	Took time.Duration
-	// TargetFault says that a failure counts as the target's fault and not as the
-	// task's.
+	// TargetFault reports whether a failure is attributed to the target rather than to the
+	// task.
 	TargetFault bool
 }
 
 // AppendFrame appends f with its length prefix to buf.
 func AppendFrame(buf []byte, f *Frame) ([]byte, error) {
-	return framing.Append(buf, maxFrame, framing.Maps, f)
+	return framing.Append(buf, maxFrameBytes, framing.Maps, f)
 }
 
-// ReadFrame reads one frame. Its size is checked before memory is allocated.
+// ReadFrame reads one frame. It checks the size before allocating memory.
 func ReadFrame(r io.Reader) (*Frame, error) {
-	body, err := framing.Read(r, maxFrame)
+	body, err := framing.Read(r, maxFrameBytes)
 	if err != nil {
 		return nil, err
 	}
 	return DecodeFrame(body)
 }
 
-// DecodeFrame decodes a frame without its length prefix, of this version or of the one
-// before.
+// DecodeFrame decodes a frame without its length prefix, in the encoding of this or the
+// previous version.
 func DecodeFrame(body []byte) (*Frame, error) {
 	if isArray(body) {
 		return decodeArray(body)
 	}
 	f := new(Frame)
 	if err := msgpack.Unmarshal(body, f); err != nil {
-		return nil, fmt.Errorf("peer: decode: %w", err)
+		return nil, fmt.Errorf("peer: decode frame: %w", err)
 	}
 	return f, nil
 }
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -15,8 +15,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// whole is a frame with every part.
-func whole() *Frame {
+// fullFrame is a frame with every part.
+func fullFrame() *Frame {
 	id := task.ID{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}
 	return &Frame{
 		Stamp: time.Second, Echo: 2 * time.Second, Seq: 3, Config: 4,
@@ -30,28 +30,28 @@
 	}
 }
 
-func TestAFrameComesBackAsItWas(t *testing.T) {
-	buf, err := AppendFrame(nil, whole())
+func TestFrameRoundTrip(t *testing.T) {
+	buf, err := AppendFrame(nil, fullFrame())
 	assert.NilError(t, err)
 	buf, err = AppendFrame(buf, &Frame{Seq: 4})
 	assert.NilError(t, err)
 	in := bytes.NewReader(buf)
 	first, err := ReadFrame(in)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, first, whole())
+	assert.DeepEqual(t, first, fullFrame())
 	second, err := ReadFrame(in)
 	assert.NilError(t, err)
 	assert.Equal(t, second.Seq, uint64(4))
 }
 
-func TestAFrameThatIsTooLargeIsNotRead(t *testing.T) {
+func TestOversizedFrameIsRejected(t *testing.T) {
 	_, err := ReadFrame(bytes.NewReader([]byte{0xff, 0, 0, 0, 1}))
 	assert.ErrorIs(t, err, ErrFrameSize)
-	_, err = AppendFrame(nil, &Frame{Document: make([]byte, maxFrame+1)})
+	_, err = AppendFrame(nil, &Frame{Document: make([]byte, maxFrameBytes+1)})
 	assert.ErrorIs(t, err, ErrFrameSize)
 }
 
-func TestAConnectionKeepsTheOrder(t *testing.T) {
+func TestConnKeepsFrameOrder(t *testing.T) {
 	one, other := net.Pipe()
 	sender, receiver := NewConn(one), NewConn(other)
 	go sender.Run()
@@ -72,7 +72,7 @@
 }
 
 func FuzzDecodeFrame(f *testing.F) {
-	buf, err := AppendFrame(nil, whole())
+	buf, err := AppendFrame(nil, fullFrame())
 	assert.NilError(f, err)
 	f.Add(buf[framing.PrefixSize:])
 	f.Add([]byte{})
@@ -92,7 +92,7 @@
 	for _, c := range []struct {
 		name  string
 		frame *Frame
-	}{{"heartbeat", &Frame{Stamp: time.Second, Echo: time.Second, Seq: 9}}, {"whole", whole()}} {
+	}{{"heartbeat", &Frame{Stamp: time.Second, Echo: time.Second, Seq: 9}}, {"whole", fullFrame()}} {
 		b.Run(c.name, func(b *testing.B) {
 			var buf []byte
 			for b.Loop() {
@@ -108,9 +108,9 @@
 	}
 }
 
-// TestAConnectionSaysWhyItEnded: the first cause on this side goes before what reading
+// TestConnCauseIsFirstLocalError: the first cause on this side goes before what reading
 // says of it.
-func TestAConnectionSaysWhyItEnded(t *testing.T) {
+func TestConnCauseIsFirstLocalError(t *testing.T) {
 	one, other := net.Pipe()
 	c, far := NewConn(one), NewConn(other)
 	far.Close()
@@ -123,6 +123,6 @@
 
 	one, _ = net.Pipe()
 	c = NewConn(one)
-	assert.Equal(t, c.Send(&Frame{Document: make([]byte, maxFrame+1)}), uint64(0))
+	assert.Equal(t, c.Send(&Frame{Document: make([]byte, maxFrameBytes+1)}), uint64(0))
 	assert.ErrorIs(t, c.Cause(nil), ErrFrameSize)
 }
--- a/peer/heartbeat.go
+++ b/peer/heartbeat.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Heartbeats, and how long a peer may be silent. A connection is in use while its entry
-// watches the target or has runs there, and always at LevelBase.
+// Heartbeat intervals and silence timeouts. A connection is in use while its entry watches the
+// target or has runs there, and always at LevelBase.
 const (
-	// HeartbeatInterval is how often a connection in use carries a frame at least, in
-	// both directions, so that leases go on. Half and double: no difference.
+	// HeartbeatInterval is the maximum time between frames on a connection in use, in both
+	// directions. Leases are extended by these frames.
 	HeartbeatInterval = 110 * time.Millisecond
-	// IdleHeartbeatInterval is that of a connection that is not in use: with 240 agents
-	// an idle entry sends and receives 12 KB/s.
+	// IdleHeartbeatInterval is the same for a connection that is not in use.
 	IdleHeartbeatInterval = 2 * time.Second
-	// Silence is how long the peer may be silent before a connection in use is given
-	// up: longer than the entry's lease. Not measured.
+	// Silence is how long the peer of a connection in use may be silent before the connection
+	// is closed. It is longer than the entry's lease.
 	Silence = 800 * time.Millisecond
-	// IdleSilence is that of a connection that is not in use: two heartbeats may be
-	// lost. Nothing runs there, and an entry that begins to use it waits Silence.
+	// IdleSilence is the same for a connection that is not in use. It tolerates the loss of two
+	// heartbeats: nothing runs on such a connection, and an entry that starts to use it waits
+	// only Silence.
 	IdleSilence = 2*IdleHeartbeatInterval + Silence
 )
 
-// ClearTime is how long after the last frame of an entry a run that it ordered may still be
-// at work: the entry's lease at the agent (500 ms), the target's lease on a clock that is 2%
-// slow (816 ms), the stop (50 ms) and late timers (84 ms). docs/design/platform.md has the sum.
+// ClearTime is how long after an entry's last frame a run that it started may still execute:
+// the entry's lease at the agent (500 ms), the target's lease on a clock that is 2% slow (816
+// ms), the stop (50 ms) and late timers (84 ms). See docs/design/platform.md.
 const ClearTime = 1450 * time.Millisecond
 
-// Interval returns how often a connection carries a frame at least.
+// Interval returns the maximum time between frames on a connection.
 func Interval(used bool) time.Duration {
 	if used {
 		return HeartbeatInterval
@@ -32,8 +32,9 @@
 	return IdleHeartbeatInterval
 }
 
-// SilentTooLong reports whether a connection should be given up at now. heardAt is when
-// the peer's last frame came; usedSince counts where the connection is in use.
+// SilentTooLong reports whether a connection must be closed at now. heardAt is when the last
+// frame was received from the peer. usedSince is when the use of the connection began, if it is
+// in use.
 func SilentTooLong(now, heardAt time.Duration, used bool, usedSince time.Duration) bool {
 	if !used {
 		return now-heardAt > IdleSilence
--- a/peer/heartbeat_test.go
+++ b/peer/heartbeat_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSilence: a connection that is not in use may be silent for longer, and the time
+// TestSilenceTimeoutDependsOnUse: a connection that is not in use may be silent for longer, and the time
 // counts anew when its use begins.
-func TestSilence(t *testing.T) {
+func TestSilenceTimeoutDependsOnUse(t *testing.T) {
 	const heard = 10 * time.Second
 	assert.Assert(t, SilentTooLong(heard+Silence+1, heard, true, 0))
 	assert.Assert(t, !SilentTooLong(heard+Silence+1, heard, false, 0))
--- a/peer/spec.go
+++ b/peer/spec.go
@@ -2,39 +2,38 @@
 
 import "slices"
 
-// keptSpecs is how many specs a connection remembers. A target runs a few tasks at once,
-// so that a job's orders to one agent seldom lie further apart; a spec has at most 4,000
-// bytes, which makes 64 KB a connection.
-const keptSpecs = 16
+// maxCachedSpecs is the number of specs cached per connection. A target runs few tasks at once,
+// so orders of the same job to an agent are rarely further apart. Specs of up to 4,000 bytes
+// take 64 KB.
+const maxCachedSpecs = 16
 
-// Specs are the specs that were sent last on a connection, so that each goes to an agent
-// once, however many tasks of the job run there. Sender and receiver add the same ones in
-// the same order, and so know what the other one remembers.
+// Specs caches the specs sent most recently on a connection, so that the spec of a job is sent
+// once for all its tasks. Sender and receiver add the same specs in the same order, so each
+// knows what the other has cached.
 type Specs struct {
-	kept []jobSpec
-	next int // where the next one goes, once all places are taken
+	entries []jobSpec
+	next    int // where the next spec is stored once the cache is full
 }
 
-// jobSpec is the spec of one job.
 type jobSpec struct {
 	job, spec string
 }
 
-// Add remembers the spec of a job, in place of the oldest one where there is no room.
+// Add caches the spec of a job. If the cache is full, it replaces the oldest one.
 func (s *Specs) Add(job, spec string) {
-	if len(s.kept) < keptSpecs {
-		s.kept = append(s.kept, jobSpec{job, spec})
+	if len(s.entries) < maxCachedSpecs {
+		s.entries = append(s.entries, jobSpec{job, spec})
 		return
 	}
-	s.kept[s.next] = jobSpec{job, spec}
-	s.next = (s.next + 1) % keptSpecs
+	s.entries[s.next] = jobSpec{job, spec}
+	s.next = (s.next + 1) % maxCachedSpecs
 }
 
-// Find returns the spec of a job, if it is remembered.
+// Find returns the spec of a job if it is cached.
 func (s *Specs) Find(job string) (string, bool) {
-	k := slices.IndexFunc(s.kept, func(js jobSpec) bool { return js.job == job })
+	k := slices.IndexFunc(s.entries, func(js jobSpec) bool { return js.job == job })
 	if k < 0 {
 		return "", false
 	}
-	return s.kept[k].spec, true
+	return s.entries[k].spec, true
 }
--- a/peer/spec_test.go
+++ b/peer/spec_test.go
@@ -7,17 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBothSidesRememberTheSameSpecs: a job of the last keptSpecs is found, an earlier one
+// TestSpecsEvictOldestFirst: a job of the last keptSpecs is found, an earlier one
 // is not.
-func TestBothSidesRememberTheSameSpecs(t *testing.T) {
+func TestSpecsEvictOldestFirst(t *testing.T) {
 	var s Specs
-	const jobs = 3 * keptSpecs
+	const jobs = 3 * maxCachedSpecs
 	for k := range jobs {
 		s.Add(fmt.Sprint(k), fmt.Sprint("spec ", k))
 	}
 	for k := range jobs {
 		spec, ok := s.Find(fmt.Sprint(k))
-		assert.Equal(t, ok, k >= jobs-keptSpecs, "job %d", k)
+		assert.Equal(t, ok, k >= jobs-maxCachedSpecs, "job %d", k)
 		if ok {
 			assert.Equal(t, spec, fmt.Sprint("spec ", k))
 		}
