--- a/framing/framing.go
+++ b/framing/framing.go
@@ -1,6 +1,5 @@
-// Package framing writes and reads frames: a length prefix of four bytes, big endian,
-// and values in msgpack. It owns no state; packages peer and seats/wire say what the
-// values are.
+// Package framing encodes and decodes frames: a length prefix of four bytes, big endian,
+// followed by msgpack values. It has no state; packages peer and seats/wire define the values.
 package framing
 
 import (
@@ -12,25 +11,25 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// PrefixSize is the size of the length prefix, in bytes.
+// PrefixSize is the size of the length prefix in bytes.
 const PrefixSize = 4
 
-// ErrSize means that a frame is larger than its limit.
+// ErrSize is returned for frames larger than the limit.
 var ErrSize = errors.New("framing: frame is larger than the limit")
 
-// Form is how structs are encoded.
+// Form selects the encoding of structs.
 type Form bool
 
-// Forms.
 const (
-	// Arrays holds each field, in order: short, but a struct can't get another field.
+	// Arrays encodes a struct as an array of all fields in order. It is compact, but fields
+	// can't be added.
 	Arrays Form = false
-	// Maps holds the names of the fields and those that are not empty.
+	// Maps encodes a struct as a map from field names to non-empty fields.
 	Maps Form = true
 )
 
-// Append appends a frame of the values to buf. limit bounds its size in bytes, without
-// the prefix. After an error buf is as it was.
+// Append appends a frame with the values to buf. limit is the maximum size in bytes without the
+// prefix. On error it returns buf unchanged.
 func Append(buf []byte, limit int, form Form, values ...any) ([]byte, error) {
 	w := &sliceWriter{data: append(buf, make([]byte, PrefixSize)...)}
 	enc := msgpack.GetEncoder()
@@ -40,7 +39,7 @@
 	enc.UseArrayEncodedStructs(form == Arrays)
 	enc.SetOmitEmpty(form == Maps)
 	if err := enc.EncodeMulti(values...); err != nil {
-		return buf, fmt.Errorf("framing: encode: %w", err)
+		return buf, fmt.Errorf("framing: encode frame: %w", err)
 	}
 	size := len(w.data) - len(buf) - PrefixSize
 	if size > limit {
@@ -50,8 +49,8 @@
 	return w.data, nil
 }
 
-// Read reads one frame and returns it without its prefix. Its size is checked before
-// memory is allocated. The error is ErrSize or that of reading.
+// Read reads one frame and returns it without its prefix. It checks the size before allocating
+// memory. It returns ErrSize or the error of the reader.
 func Read(r io.Reader, limit int) ([]byte, error) {
 	var prefix [PrefixSize]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
@@ -66,7 +65,7 @@
 	return body, err
 }
 
-// sliceWriter appends what is written to a slice.
+// sliceWriter is an io.Writer that appends to a slice.
 type sliceWriter struct{ data []byte }
 
 // Write implements io.Writer.
--- a/framing/framing_test.go
+++ b/framing/framing_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFramesAreReadAsTheyWereAppended(t *testing.T) {
+func TestAppendReadRoundTrip(t *testing.T) {
 	buf, err := Append([]byte("before"), 100, Arrays, "one", 2)
 	assert.NilError(t, err)
 	assert.Equal(t, string(buf[:6]), "before")
@@ -16,7 +16,7 @@
 	assert.Equal(t, string(body), "\xa3one\x02")
 }
 
-func TestAFrameOverTheLimitIsNeitherAppendedNorRead(t *testing.T) {
+func TestFrameOverLimitIsRejected(t *testing.T) {
 	buf, err := Append([]byte("before"), 4, Arrays, "long text")
 	assert.ErrorIs(t, err, ErrSize)
 	assert.Equal(t, string(buf), "before")
