--- a/peer/array_test.go
+++ b/peer/array_test.go
@@ -13,8 +13,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestDecodeFramesOfPreviousVersion decodes the bytes that the version before
-// sends for each kind of frame.
+// TestDecodeFramesOfPreviousVersion guards against failing to decode frames of the previous
+// version during an upgrade.
 func TestDecodeFramesOfPreviousVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/frames-array.golden")
 	assert.NilError(t, err)
@@ -28,7 +28,7 @@
 	for _, g := range goldenFrames() {
 		bytes, ok := previous[g.name]
 		if !ok {
-			continue // a kind that the version before does not know
+			continue // not supported by the previous version
 		}
 		found++
 		f, err := DecodeFrame(bytes[framing.PrefixSize:])
@@ -38,10 +38,10 @@
 	assert.Equal(t, found, len(previous))
 }
 
-// TestPreviousVersionDecodesFrames decodes each kind of frame as the version before
-// does: into its own structs, which lack the new fields.
+// TestPreviousVersionDecodesFrames guards against frames that the previous version can't decode
+// into its structs, which lack the new fields.
 func TestPreviousVersionDecodesFrames(t *testing.T) {
-	for _, g := range append(goldenFrames(), goldenFrame{"whole", fullFrame()}) {
+	for _, g := range append(goldenFrames(), goldenFrame{"all fields", fullFrame()}) {
 		buf, err := AppendFrame(nil, g.frame)
 		assert.NilError(t, err)
 		var old arrayFrame
@@ -51,7 +51,7 @@
 		assert.Equal(t, old.UsedReservation, g.frame.UsedReservation)
 		assert.Equal(t, len(old.Starts), len(g.frame.Starts))
 		for k, o := range g.frame.Starts {
-			o.SpecKept, o.SpecAt = false, "" // the version before is never sent such an order
+			o.SpecKept, o.SpecAt = false, "" // never sent to the previous version
 			assert.Equal(t, old.Starts[k].order(), o)
 		}
 		assert.DeepEqual(t, old.Ended, g.frame.Ended)
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestDecodeFrameSkipsUnknownFields: a field that this version does not know is skipped, in the frame and
-// in a part of it.
+// TestDecodeFrameSkipsUnknownFields guards against rejecting frames of a later version that
+// have additional fields.
 func TestDecodeFrameSkipsUnknownFields(t *testing.T) {
 	type laterHello struct {
 		Name, Later string
@@ -81,7 +81,8 @@
 	assert.DeepEqual(t, f, &Frame{Seq: 7, Hello: &Hello{Name: "edge-1"}})
 }
 
-// TestDecodeFrameRejectsArrayOfWrongLength: the form of the version before can't grow.
+// TestDecodeFrameRejectsArrayOfWrongLength guards against decoding arrays into the wrong
+// fields.
 func TestDecodeFrameRejectsArrayOfWrongLength(t *testing.T) {
 	for _, body := range [][]byte{{0x92, 1, 2}, {0x94, 1, 2, 3, 4}} {
 		var needs task.Needs
--- a/peer/echo_test.go
+++ b/peer/echo_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestEchoNeverExceedsPeerClock: whatever the delay of the stamps and the rate of the
-// clocks within the bound, the reading is not later than the peer's clock.
+// TestEchoNeverExceedsPeerClock guards against a lower bound that is ahead of the peer's clock,
+// for any delay of stamps and any drift within the limit.
 func TestEchoNeverExceedsPeerClock(t *testing.T) {
 	for _, rate := range []float64{0.98, 1, 1.02} {
 		peerClock := func(own time.Duration) time.Duration { return time.Duration(rate * float64(own)) }
 		var e Echo
-		assert.Equal(t, e.At(time.Hour), time.Duration(0), "nothing is known")
+		assert.Equal(t, e.At(time.Hour), time.Duration(0), "no stamp observed yet")
 		for k := range 50 {
 			sent := time.Duration(k+1) * 900 * time.Millisecond
 			delay := time.Duration(k%7) * 150 * time.Millisecond
@@ -26,12 +26,11 @@
 	}
 }
 
-// TestEchoIgnoresLowerStamp: frames of one connection come in order, but a lower
-// stamp must not move the reading.
+// TestEchoIgnoresLowerStamp guards against an older stamp moving the lower bound.
 func TestEchoIgnoresLowerStamp(t *testing.T) {
 	var e Echo
 	e.Observe(10*time.Second, 3*time.Second)
 	e.Observe(11*time.Second, 2*time.Second)
 	assert.Equal(t, e.At(10*time.Second), 3*time.Second)
-	assert.Equal(t, e.At(9*time.Second), 3*time.Second, "a time before the stamp came takes nothing off")
+	assert.Equal(t, e.At(9*time.Second), 3*time.Second, "a time before the stamp was received does not lower the bound")
 }
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -15,7 +15,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// fullFrame is a frame with every part.
+// fullFrame returns a frame with most fields set.
 func fullFrame() *Frame {
 	id := task.ID{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}
 	return &Frame{
@@ -92,7 +92,7 @@
 	for _, c := range []struct {
 		name  string
 		frame *Frame
-	}{{"heartbeat", &Frame{Stamp: time.Second, Echo: time.Second, Seq: 9}}, {"whole", fullFrame()}} {
+	}{{"heartbeat", &Frame{Stamp: time.Second, Echo: time.Second, Seq: 9}}, {"full", fullFrame()}} {
 		b.Run(c.name, func(b *testing.B) {
 			var buf []byte
 			for b.Loop() {
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestConnCauseIsFirstLocalError: the first cause on this side goes before what reading
-// says of it.
+// TestConnCauseIsFirstLocalError: the first local cause takes precedence over the error of
+// Receive.
 func TestConnCauseIsFirstLocalError(t *testing.T) {
 	one, other := net.Pipe()
 	c, far := NewConn(one), NewConn(other)
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -16,13 +16,13 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// goldenFrame is one kind of frame.
+// goldenFrame is a frame and its name in the golden file.
 type goldenFrame struct {
 	name  string
 	frame *Frame
 }
 
-// goldenFrames has each kind of frame that a process sends, in both directions.
+// goldenFrames returns one frame of each kind that processes send, in both directions.
 func goldenFrames() []goldenFrame {
 	id := task.ID{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}
 	stamps := Frame{Stamp: 1500 * time.Millisecond, Echo: 1400 * time.Millisecond, Seq: 70000, Config: 12}
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestFrameEncodingIsUnchanged holds the bytes of every kind of frame: processes of two
-// versions talk to each other during an upgrade.
+// TestFrameEncodingIsUnchanged guards against changes to the encoding, since processes of two
+// versions exchange frames during an upgrade.
 func TestFrameEncodingIsUnchanged(t *testing.T) {
 	var out strings.Builder
 	for _, g := range goldenFrames() {
--- a/peer/heartbeat_test.go
+++ b/peer/heartbeat_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSilenceTimeoutDependsOnUse: a connection that is not in use may be silent for longer, and the time
-// counts anew when its use begins.
+// TestSilenceTimeoutDependsOnUse: a connection that is not in use may be silent for longer, and
+// the time is measured anew when its use begins.
 func TestSilenceTimeoutDependsOnUse(t *testing.T) {
 	const heard = 10 * time.Second
 	assert.Assert(t, SilentTooLong(heard+Silence+1, heard, true, 0))
--- a/peer/spec_test.go
+++ b/peer/spec_test.go
@@ -7,8 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSpecsEvictOldestFirst: a job of the last keptSpecs is found, an earlier one
-// is not.
+// TestSpecsEvictOldestFirst guards against sender and receiver caching different specs.
 func TestSpecsEvictOldestFirst(t *testing.T) {
 	var s Specs
 	const jobs = 3 * maxCachedSpecs
