--- a/node/configure.go
+++ b/node/configure.go
@@ -38,7 +38,7 @@
 	read := &storeCall{name: "config", log: e.log}
 	watch := &storeCall{name: "watch", log: e.log}
 	observer := ConfigObserver{Document: e.applyDocument, Evacuations: e.applyEvacuations, Evacuation: e.applyEvacuation, Process: e.applyProcess}
-	var revision uint64 // of the store; zero if the configuration must be read anew
+	var revision uint64 // of the store; zero if the configuration must be read again
 	for ctx.Err() == nil {
 		if revision == 0 {
 			if revision = e.readConfig(ctx, read, observer); revision > 0 {
--- a/node/entry.go
+++ b/node/entry.go
@@ -47,7 +47,7 @@
 	// cuts off remaining requests when hard is done.
 	Serve func(ctx, hard context.Context) error
 	// ForgetAfter is how long an agent may be unreachable before the entry removes it from the
-	// directory. The default is forgetAfter; tests set it lower.
+	// directory. The default is forgetAfter; tests override it.
 	ForgetAfter time.Duration
 
 	metrics   *metrics.Set
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -27,9 +27,9 @@
 		if strings.HasSuffix(base, "_sum") || strings.HasSuffix(base, "_count") {
 			continue
 		}
-		if whole, ok := strings.CutSuffix(base, "_bucket"); ok {
+		if histogram, ok := strings.CutSuffix(base, "_bucket"); ok {
 			labels = vmrange.ReplaceAllString(labels, "")
-			name = whole
+			name = histogram
 			if labels != "}" {
 				name += "{" + labels
 			}
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -125,13 +125,13 @@
 	// LevelBase sends a heartbeat every HeartbeatInterval in both directions, all state
 	// updates, and the spec in each order.
 	LevelBase Level = iota
-	// In LevelWatch entries watch the agents that they use; other connections carry a heartbeat
-	// every IdleHeartbeatInterval. The spec of a job is sent to an agent once.
+	// LevelWatch adds watches: entries watch the agents that they use, and other connections
+	// carry a heartbeat every IdleHeartbeatInterval. The spec of a job is sent to an agent once.
 	LevelWatch
-	// In LevelRelay agents fetch specs from each other: an order may name an agent that has the
+	// LevelRelay lets agents fetch specs from each other: an order may name an agent that has the
 	// spec instead of carrying it. Documents are compressed.
 	LevelRelay
-	// In LevelClaim entries claim jobs at agents before they start them.
+	// LevelClaim adds claims: entries claim jobs at agents before they start them.
 	LevelClaim
 	// LevelNewest is the newest level supported by this version.
 	LevelNewest = LevelClaim
--- a/peer/heartbeat_test.go
+++ b/peer/heartbeat_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestSilenceTimeoutDependsOnUse: a connection that is not in use may be silent for longer, and
-// the time is measured anew when its use begins.
+// the time is measured again from the beginning of its use.
 func TestSilenceTimeoutDependsOnUse(t *testing.T) {
 	const heard = 10 * time.Second
 	assert.Assert(t, SilentTooLong(heard+Silence+1, heard, true, 0))
