--- a/node/agent.go
+++ b/node/agent.go
@@ -127,10 +127,10 @@
 
 // stop waits until ctx is done, then stops accepting work and waits for the remaining runs to
 // end within the grace period.
-func (a *Agent) stop(ctx, hard context.Context) error {
+func (a *Agent) stop(ctx, hardCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-hard.Done():
+	case <-hardCtx.Done():
 		return nil
 	}
 	began := a.clock.now()
