--- a/framing/framing.go
+++ b/framing/framing.go
@@ -1,5 +1,6 @@
-// Package framing encodes and decodes frames: a length prefix of four bytes, big endian,
-// followed by msgpack values. It has no state; packages peer and seats/wire define the values.
+// Package framing writes and reads frames: a length prefix of four bytes, big endian, followed by
+// msgpack values. Append encodes the values; Read returns them encoded, and its caller decodes
+// them. Packages peer and seats/wire define the values.
 package framing
 
 import (
@@ -17,19 +18,19 @@
 // ErrSize is returned for frames larger than the limit.
 var ErrSize = errors.New("framing: frame is larger than the limit")
 
-// Form selects the encoding of structs.
+// Form is an encoding of structs.
 type Form bool
 
 const (
-	// Arrays encodes a struct as an array of all fields in order. It is compact, but fields
-	// can't be added.
+	// Arrays encodes a struct as an array of all fields in order. The encoding is compact, but
+	// does not allow fields to be added.
 	Arrays Form = false
-	// Maps encodes a struct as a map from field names to non-empty fields.
+	// Maps encodes a struct as a map from field names to the values of non-empty fields.
 	Maps Form = true
 )
 
 // Append appends a frame with the values to buf. limit is the maximum size in bytes without the
-// prefix. On error it returns buf unchanged.
+// prefix; for a larger frame Append returns ErrSize. On error it returns buf unchanged.
 func Append(buf []byte, limit int, form Form, values ...any) ([]byte, error) {
 	w := &sliceWriter{data: append(buf, make([]byte, PrefixSize)...)}
 	enc := msgpack.GetEncoder()
@@ -50,7 +51,7 @@
 }
 
 // Read reads one frame and returns it without its prefix. It checks the size before allocating
-// memory. It returns ErrSize or the error of the reader.
+// memory. It returns ErrSize if the size exceeds limit, otherwise the error of the reader.
 func Read(r io.Reader, limit int) ([]byte, error) {
 	var prefix [PrefixSize]byte
 	if _, err := io.ReadFull(r, prefix[:]); err != nil {
--- a/peer/array.go
+++ b/peer/array.go
@@ -10,8 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// arrayFrame is a frame in the array encoding of the previous version. The order and number of
-// fields define the format and must not change.
+// arrayFrame is a frame in the array encoding, which peers of LevelBase send. The order and number
+// of fields define the format and must not change.
 type arrayFrame struct {
 	Stamp, Echo     time.Duration
 	Seq, Config     uint64
@@ -27,7 +27,7 @@
 	Reservation     *Reservation
 }
 
-// arrayHello is a Hello of the previous version.
+// arrayHello is a Hello in the array encoding.
 type arrayHello struct {
 	Role      Role
 	Name      string
@@ -35,7 +35,7 @@
 	Introduce bool
 }
 
-// arrayOrder is an order of the previous version.
+// arrayOrder is a task.Order in the array encoding.
 type arrayOrder struct {
 	Task            task.ID
 	Run             int
@@ -46,7 +46,7 @@
 	TimeLeft        time.Duration
 }
 
-// order converts o to an order of this version.
+// order converts o to a task.Order.
 func (o arrayOrder) order() task.Order {
 	return task.Order{
 		Task: o.Task, Run: o.Run, Spec: o.Spec, Needs: o.Needs,
@@ -54,12 +54,12 @@
 	}
 }
 
-// isArray reports whether a frame is encoded as an array, as in the previous version.
+// isArray reports whether the body of a frame is in the array encoding.
 func isArray(body []byte) bool {
 	return len(body) > 0 && msgpcode.IsFixedArray(body[0])
 }
 
-// decodeArray decodes a frame of the previous version.
+// decodeArray decodes the body of a frame in the array encoding.
 func decodeArray(body []byte) (*Frame, error) {
 	a := new(arrayFrame)
 	if err := msgpack.Unmarshal(body, a); err != nil {
--- a/peer/array_test.go
+++ b/peer/array_test.go
@@ -13,35 +13,35 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestDecodeFramesOfPreviousVersion guards against failing to decode frames of the previous
-// version during an upgrade.
-func TestDecodeFramesOfPreviousVersion(t *testing.T) {
+// TestDecodeArrayEncodedFrames guards against failing to decode the frames of LevelBase peers
+// during an upgrade.
+func TestDecodeArrayEncodedFrames(t *testing.T) {
 	text, err := os.ReadFile("testdata/frames-array.golden")
 	assert.NilError(t, err)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-	previous := make(map[string][]byte)
+	arrays := make(map[string][]byte)
 	for k := 0; k+1 < len(lines); k += 2 {
-		previous[lines[k]], err = hex.DecodeString(lines[k+1])
+		arrays[lines[k]], err = hex.DecodeString(lines[k+1])
 		assert.NilError(t, err)
 	}
 	found := 0
 	for _, g := range goldenFrames() {
-		bytes, ok := previous[g.name]
+		bytes, ok := arrays[g.name]
 		if !ok {
-			continue // not supported by the previous version
+			continue // not sent at LevelBase
 		}
 		found++
 		f, err := DecodeFrame(bytes[framing.PrefixSize:])
 		assert.NilError(t, err, g.name)
 		assert.DeepEqual(t, f, g.frame)
 	}
-	assert.Equal(t, found, len(previous))
+	assert.Equal(t, found, len(arrays))
 }
 
-// TestPreviousVersionDecodesFrames guards against frames that the previous version can't decode
-// into its structs, which lack the new fields.
-func TestPreviousVersionDecodesFrames(t *testing.T) {
-	for _, g := range append(goldenFrames(), goldenFrame{"all fields", fullFrame()}) {
+// TestLevelBasePeerDecodesFrames guards against frames that LevelBase peers can't decode into their
+// structs, which lack the new fields.
+func TestLevelBasePeerDecodesFrames(t *testing.T) {
+	for _, g := range append(goldenFrames(), goldenFrame{"most fields", fullFrame()}) {
 		buf, err := AppendFrame(nil, g.frame)
 		assert.NilError(t, err)
 		var old arrayFrame
@@ -51,7 +51,7 @@
 		assert.Equal(t, old.UsedReservation, g.frame.UsedReservation)
 		assert.Equal(t, len(old.Starts), len(g.frame.Starts))
 		for k, o := range g.frame.Starts {
-			o.SpecKept, o.SpecAt = false, "" // never sent to the previous version
+			o.SpecKept, o.SpecAt = false, "" // never sent to LevelBase peers
 			assert.Equal(t, old.Starts[k].order(), o)
 		}
 		assert.DeepEqual(t, old.Ended, g.frame.Ended)
@@ -74,7 +74,8 @@
 		Hello *laterHello
 		Later []task.Needs
 	}
-	buf, err := framing.Append(nil, maxFrameBytes, framing.Maps, &laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Needs{{CPU: 1}}})
+	buf, err := framing.Append(nil, maxFrameBytes, framing.Maps,
+		&laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Needs{{CPU: 1}}})
 	assert.NilError(t, err)
 	f, err := DecodeFrame(buf[framing.PrefixSize:])
 	assert.NilError(t, err)
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -15,15 +15,15 @@
 	// tcpUserTimeout is how long sent data may remain unacknowledged before the connection is
 	// closed.
 	tcpUserTimeout = 3 * time.Second
-	// maxBacklogBytes limits the data that waits to be written. A peer that reads too slowly is
-	// disconnected.
+	// maxBacklogBytes limits the data that waits to be written, including length prefixes. The
+	// connection is closed if it is exceeded.
 	maxBacklogBytes = 4 << 20
 	readBufferBytes = 8 << 10
 )
 
-// Conn is a connection between an entry and an agent. Frames are sent in order. Sending never
-// blocks: frames are queued, and a peer that reads too slowly is disconnected. Send and Close
-// are safe for concurrent use; Receive and Run must each be called from a single goroutine.
+// Conn is a connection between two processes. Frames are sent in order. Send never blocks: frames
+// are queued, and a peer that reads too slowly is disconnected. Send, Close, CloseFor and Cause are
+// safe for concurrent use; Receive and Run must each be called from a single goroutine.
 type Conn struct {
 	raw       net.Conn
 	reader    *bufio.Reader
@@ -37,18 +37,19 @@
 	cause   error // first local reason for closing, nil if there is none
 }
 
-// errBacklogFull is the cause of closing a connection whose peer reads too slowly.
-var errBacklogFull = errors.New("peer: write backlog exceeds 4 MiB: peer reads too slowly")
+// errBacklogFull is the cause of closing a connection whose backlog exceeds maxBacklogBytes. A
+// single frame of nearly maxFrameBytes exceeds the limit, too.
+var errBacklogFull = errors.New("peer: write backlog is full: peer reads too slowly or frame is too large")
 
-// NewConn returns a connection that uses raw. Frames are written by Run.
+// NewConn returns a connection that uses raw. Run writes the queued frames.
 func NewConn(raw net.Conn) *Conn {
 	SetUserTimeout(raw, tcpUserTimeout)
 	return &Conn{raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), wake: make(chan struct{}, 1)}
 }
 
 // SetUserTimeout sets TCP_USER_TIMEOUT, which limits how long a broken TCP connection with
-// unacknowledged data goes undetected. Connections of other types, as used in tests, are not
-// changed.
+// unacknowledged data goes undetected. It has no effect on connections of other types, which tests
+// use.
 func SetUserTimeout(raw net.Conn, d time.Duration) {
 	tcp, ok := raw.(*net.TCPConn)
 	if !ok {
@@ -91,6 +92,7 @@
 	return c.seq
 }
 
+// Receive reads the next frame.
 func (c *Conn) Receive() (*Frame, error) {
 	return ReadFrame(c.reader)
 }
@@ -118,12 +120,13 @@
 	}
 }
 
-// Write writes data directly, with a timeout. It must not be used on a connection with Run.
-func (c *Conn) Write(bytes []byte, timeout time.Duration) error {
+// Write writes encoded frames with a timeout, without queuing them. It must not be used after Run
+// has been called.
+func (c *Conn) Write(data []byte, timeout time.Duration) error {
 	if err := c.raw.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
-	_, err := c.raw.Write(bytes)
+	_, err := c.raw.Write(data)
 	return err
 }
 
--- a/peer/echo.go
+++ b/peer/echo.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// minClockRate bounds the rate of this process's clock relative to its peer's and vice versa.
+// minClockRate is the lowest rate of a peer's clock relative to this process's clock.
 // The platform specifies a drift of up to 2% for targets and nothing for other hosts.
 const minClockRate = 0.98
 
 // Echo tracks the latest stamp of a peer and derives a lower bound of the peer's clock at a
-// later time. A lease granted by the peer is measured from that bound, so it stays fresh on a
-// connection that seldom carries frames from the peer.
+// later time. A lease granted by the peer is measured from that bound, so that the lease is extended
+// even if the peer rarely sends frames.
 type Echo struct {
 	stamp      time.Duration // latest stamp, on the peer's clock
 	receivedAt time.Duration // when it was received, on this process's clock
--- a/peer/echo_test.go
+++ b/peer/echo_test.go
@@ -13,7 +13,7 @@
 	for _, rate := range []float64{0.98, 1, 1.02} {
 		peerClock := func(own time.Duration) time.Duration { return time.Duration(rate * float64(own)) }
 		var e Echo
-		assert.Equal(t, e.At(time.Hour), time.Duration(0), "no stamp observed yet")
+		assert.Equal(t, e.At(time.Hour), time.Duration(0), "the bound is not zero before the first stamp")
 		for k := range 50 {
 			sent := time.Duration(k+1) * 900 * time.Millisecond
 			delay := time.Duration(k%7) * 150 * time.Millisecond
@@ -32,5 +32,5 @@
 	e.Observe(10*time.Second, 3*time.Second)
 	e.Observe(11*time.Second, 2*time.Second)
 	assert.Equal(t, e.At(10*time.Second), 3*time.Second)
-	assert.Equal(t, e.At(9*time.Second), 3*time.Second, "a time before the stamp was received does not lower the bound")
+	assert.Equal(t, e.At(9*time.Second), 3*time.Second, "the bound is lower for a time before the stamp was received")
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -3,8 +3,8 @@
 //
 // Structs are encoded as maps from field names to non-empty fields. A receiver skips unknown
 // names, so fields can be added while processes of the previous version are running; see
-// docs/design/frames.md. testdata/frames.golden pins the encoding. Frames of the previous
-// version are arrays and are decoded in array.go.
+// docs/design/frames.md. testdata/frames.golden pins the encoding. Peers of LevelBase send frames
+// as arrays, which array.go decodes.
 package peer
 
 import (
@@ -25,21 +25,21 @@
 // maxFrameBytes is the maximum size of a frame without its length prefix.
 const maxFrameBytes = 4 << 20
 
-// ErrFrameSize is returned for frames larger than maxFrameBytes.
+// ErrFrameSize is returned for frames larger than maxFrameBytes. It is the same as framing.ErrSize.
 var ErrFrameSize = framing.ErrSize
 
 // Frame is one message. All fields are optional; a frame without content serves as a heartbeat.
 type Frame struct {
-	// Stamp is the sender's clock when the frame is sent.
+	// Stamp is the sender's clock when the frame is sent, zero if the frame is not stamped.
 	Stamp time.Duration
-	// Echo is a lower bound of the receiver's clock when the frame is sent, derived from the
-	// latest stamp received from it (see type Echo). An agent echoes the stamp itself. The
-	// lease that the receiver grants to the sender is measured from Echo.
+	// Echo is a lower bound of the receiver's clock when the frame is sent. An entry derives it
+	// from the latest stamp with type Echo; an agent returns the latest stamp unchanged. The
+	// agent measures the lease that it grants to the entry from Echo.
 	Echo time.Duration
 	// Seq is the sequence number of the frame in its direction of the connection, starting at
 	// 1.
 	Seq uint64
-	// Config is the version of the newest configuration known to the sender.
+	// Config is the version of the sender's configuration, zero if it has none.
 	Config uint64
 
 	// Hello is set in the first frame of each direction of a connection.
@@ -51,23 +51,24 @@
 	// AskDocument requests the receiver's configuration document.
 	AskDocument bool
 	// Evacuations is the set of evacuated data halls. It is set if the sender has a later
-	// revision than any sent or received on the connection. The previous version ignores it.
+	// revision than any sent or received on the connection. Peers of LevelBase ignore it.
 	Evacuations *evacuation.Set
 
-	// Fields sent by entries.
-	//
-	// Starts and Stops are the runs to start and to stop. UsedReservation is the ID of the
-	// reservation that this frame uses or releases, zero if none. RoomRequest is the capacity
-	// that the entry still needs.
-	Starts          []task.Order
-	Stops           []task.Ref
+	// Starts and Stops are sent by entries: the runs to start and to stop.
+	Starts []task.Order
+	Stops  []task.Ref
+	// UsedReservation is sent by entries: the ID of the reservation that the frame uses or
+	// releases, zero if none.
 	UsedReservation uint64
-	RoomRequest     *RoomRequest
-	// Watch starts or ends the entry's watch of the target, on connections of LevelWatch or
-	// newer. Only watching entries are sent each change of the target's free capacity.
+	// RoomRequest is sent by entries: the capacity that the entry still needs.
+	RoomRequest *RoomRequest
+	// Watch is sent by entries on connections of LevelWatch or newer. It begins or ends the
+	// entry's watch of the target. There, only watching entries are sent each change of the
+	// target's free capacity.
 	Watch Watch
-	// Claims and Settled are messages to the agent as home of jobs, on connections of
-	// LevelClaim.
+	// Claims and Settled are sent by entries on connections of LevelClaim or newer: claims and
+	// results of jobs of which the receiver is a home. Entries claim a job at its homes before
+	// they start its tasks; see package claim.
 	Claims  []claim.Claim
 	Settled []claim.Settlement
 
@@ -82,9 +83,10 @@
 	Ended       []Ended
 	Reservation *Reservation
 	// Crashed holds runs that were reported as lapsed and later found to have been executing
-	// when the target crashed. The previous version ignores it.
+	// when the target crashed. It is sent by agents; peers of LevelBase ignore it.
 	Crashed []task.Ref
-	// Claimed and Interests are messages from the agent as home of jobs.
+	// Claimed and Interests are sent by agents about jobs of which the sender is a home: replies
+	// to claims, and the interest of other entries in jobs that the receiver has claimed.
 	Claimed   []claim.Reply
 	Interests []claim.Interest
 }
@@ -93,7 +95,9 @@
 type Role string
 
 const (
+	// RoleEntry is the role of processes that accept jobs.
 	RoleEntry Role = "entry"
+	// RoleAgent is the role of processes that run tasks on a target.
 	RoleAgent Role = "agent"
 )
 
@@ -106,19 +110,19 @@
 	// Introduce marks an introduction: the receiver opens a connection to the sender's address,
 	// and this connection is closed.
 	Introduce bool
-	// Level is the newest protocol level that the sender supports. It is LevelBase for versions
-	// that do not send it.
+	// Level is the newest protocol level that the sender supports, LevelBase if the sender sends
+	// none.
 	Level Level
 	// Boot distinguishes restarts of the same entry.
 	Boot uint64
 	// Fleet is the number of agents known to an entry. An agent sends the highest number
 	// received, so that an entry that finds few agents while the store is down does not
-	// underestimate the fleet. The previous version ignores it.
+	// underestimate the fleet. Peers of LevelBase ignore it.
 	Fleet int
 }
 
-// Level is a revision of the protocol between entries and agents. A connection uses the lower
-// level of its two sides.
+// Level is a level of the protocol between entries and agents. A connection uses the lower level of
+// its two sides.
 type Level int
 
 const (
@@ -133,7 +137,7 @@
 	LevelRelay
 	// LevelClaim adds claims: entries claim jobs at agents before they start them.
 	LevelClaim
-	// LevelNewest is the newest level supported by this version.
+	// LevelNewest is the newest level that this process supports.
 	LevelNewest = LevelClaim
 )
 
@@ -141,14 +145,17 @@
 type Watch uint8
 
 const (
+	// WatchUnchanged is the value in frames that neither begin nor end a watch.
 	WatchUnchanged Watch = iota
+	// WatchBegins begins a watch.
 	WatchBegins
+	// WatchEnds ends a watch.
 	WatchEnds
 )
 
 // GivenSpec is an agent's answer to another agent's request for a spec.
 type GivenSpec struct {
-	// Known reports whether the agent has the spec.
+	// Known reports whether the sender has the spec.
 	Known bool
 	Spec  string
 }
@@ -243,8 +250,7 @@
 	return DecodeFrame(body)
 }
 
-// DecodeFrame decodes a frame without its length prefix, in the encoding of this or the
-// previous version.
+// DecodeFrame decodes a frame without its length prefix, in the map or the array encoding.
 func DecodeFrame(body []byte) (*Frame, error) {
 	if isArray(body) {
 		return decodeArray(body)
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -20,12 +20,16 @@
 	id := task.ID{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}
 	return &Frame{
 		Stamp: time.Second, Echo: 2 * time.Second, Seq: 3, Config: 4,
-		Hello: &Hello{Role: RoleEntry, Name: "edge-1", Addr: "127.0.0.1:1", Level: LevelWatch}, Document: []byte("{}"), DocumentZip: []byte{1}, AskDocument: true,
-		Starts: []task.Order{{Task: id, Run: 2, Spec: "text", Needs: task.Needs{CPU: 1, MemoryMB: 2, GPU: 3}, Estimate: 4, Guess: 5}},
-		Stops:  []task.Ref{{Task: id, Run: 1}}, UsedReservation: 9, RoomRequest: &RoomRequest{Slack: -time.Second},
+		Hello:    &Hello{Role: RoleEntry, Name: "edge-1", Addr: "127.0.0.1:1", Level: LevelWatch},
+		Document: []byte("{}"), DocumentZip: []byte{1}, AskDocument: true,
+		Starts: []task.Order{{Task: id, Run: 2, Spec: "text", Needs: task.Needs{CPU: 1, MemoryMB: 2, GPU: 3},
+			Estimate: 4, Guess: 5}},
+		Stops: []task.Ref{{Task: id, Run: 1}}, UsedReservation: 9, RoomRequest: &RoomRequest{Slack: -time.Second},
 		Watch: WatchBegins, AskSpec: "5c0e7a21d94b36f8", GiveSpec: &GivenSpec{Known: true, Spec: "text"},
-		State:       &State{Profile: &Profile{Target: "i-1", Labels: []string{"a"}}, Speed: 1.25, Health: Ejected, Accepting: true, SeenSeq: 8},
-		Ended:       []Ended{{Ref: task.Ref{Task: id, Run: 2}, End: task.EndDone, Reason: code.RunListed, Took: time.Second}},
+		State: &State{Profile: &Profile{Target: "i-1", Labels: []string{"a"}},
+			Speed: 1.25, Health: Ejected, Accepting: true, SeenSeq: 8},
+		Ended: []Ended{{Ref: task.Ref{Task: id, Run: 2}, End: task.EndDone,
+			Reason: code.RunListed, Took: time.Second}},
 		Reservation: &Reservation{ID: 1},
 	}
 }
@@ -108,8 +112,8 @@
 	}
 }
 
-// TestConnCauseIsFirstLocalError: the first local cause takes precedence over the error of
-// Receive.
+// TestConnCauseIsFirstLocalError guards against reporting the error of Receive or a later cause in
+// place of the first local cause.
 func TestConnCauseIsFirstLocalError(t *testing.T) {
 	one, other := net.Pipe()
 	c, far := NewConn(one), NewConn(other)
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -33,35 +33,44 @@
 	}
 	return []goldenFrame{
 		{"heartbeat", &stamps},
-		{"entry: hello", frameWith(func(f *Frame) { f.Hello = &Hello{Role: RoleEntry, Name: "edge-mtm-1", Addr: "10.1.0.13:7720"} })},
+		{"entry: hello", frameWith(func(f *Frame) {
+			f.Hello = &Hello{Role: RoleEntry, Name: "edge-mtm-1", Addr: "10.1.0.13:7720"}
+		})},
 		{"agent: introduces itself", frameWith(func(f *Frame) {
 			f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Addr: "10.1.0.30:7720", Introduce: true}
 		})},
 		{"either: asks for the configuration", frameWith(func(f *Frame) { f.AskDocument = true })},
 		{"either: hands over the configuration", frameWith(func(f *Frame) { f.Document = []byte(`{"version":12}`) })},
-		{"either: hands over the configuration, compressed", frameWith(func(f *Frame) { f.DocumentZip = []byte{0x1f, 0x8b} })},
+		{"either: hands over the configuration, compressed", frameWith(func(f *Frame) {
+			f.DocumentZip = []byte{0x1f, 0x8b}
+		})},
 		{"either: data halls are evacuated", frameWith(func(f *Frame) {
 			f.Evacuations = &evacuation.Set{Revision: 71, Halls: []string{"mtm", "sulph"}}
 		})},
-		{"either: no data hall is evacuated any more", frameWith(func(f *Frame) { f.Evacuations = &evacuation.Set{Revision: 90} })},
+		{"either: no data hall is evacuated any more", frameWith(func(f *Frame) {
+			f.Evacuations = &evacuation.Set{Revision: 90}
+		})},
 		{"entry: starts", frameWith(func(f *Frame) {
 			f.Starts = []task.Order{
-				{Task: id, Run: 2, Spec: "60ms", Needs: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}, Estimate: 61 * time.Millisecond,
-					Guess: 60 * time.Millisecond, FailedElsewhere: true, TimeLeft: 1480 * time.Millisecond},
+				{Task: id, Run: 2, Spec: "60ms", Needs: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1},
+					Estimate: 61 * time.Millisecond, Guess: 60 * time.Millisecond,
+					FailedElsewhere: true, TimeLeft: 1480 * time.Millisecond},
 				{Task: task.ID{Job: "5c0e7a21d94b36f8"}, Run: 1},
 			}
 		})},
 		{"entry: stops", frameWith(func(f *Frame) { f.Stops = []task.Ref{{Task: id, Run: 2}} })},
 		{"entry: answers an offer and wants more", frameWith(func(f *Frame) {
 			f.UsedReservation = 9
-			f.RoomRequest = &RoomRequest{Slack: -30 * time.Millisecond, Needs: task.Needs{CPU: 1600}, Total: task.Needs{CPU: 12800, MemoryMB: 512, GPU: 2}}
+			f.RoomRequest = &RoomRequest{Slack: -30 * time.Millisecond, Needs: task.Needs{CPU: 1600},
+				Total: task.Needs{CPU: 12800, MemoryMB: 512, GPU: 2}}
 		})},
 		{"entry: begins to watch", frameWith(func(f *Frame) { f.Watch = WatchBegins })},
 		{"entry: starts, the spec is kept there", frameWith(func(f *Frame) {
 			f.Starts = []task.Order{{Task: id, Run: 1, SpecKept: true, Needs: task.Needs{CPU: 1600, MemoryMB: 64}}}
 		})},
 		{"entry: starts, another agent has the spec", frameWith(func(f *Frame) {
-			f.Starts = []task.Order{{Task: id, Run: 1, SpecAt: "10.1.0.30:7720", Needs: task.Needs{CPU: 1600, MemoryMB: 64}}}
+			f.Starts = []task.Order{{Task: id, Run: 1, SpecAt: "10.1.0.30:7720",
+				Needs: task.Needs{CPU: 1600, MemoryMB: 64}}}
 		})},
 		{"entry: claims jobs, and passes a cancellation on", frameWith(func(f *Frame) {
 			f.Claims = []claim.Claim{{Job: id.Job, Lasts: 9 * time.Second, Begun: true}, {Job: id.Job, Cancel: true}}
@@ -83,20 +92,27 @@
 		})},
 		{"agent: asks another one for a spec", &Frame{AskSpec: id.Job}},
 		{"agent: gives a spec to another one", &Frame{GiveSpec: &GivenSpec{Known: true, Spec: "60ms"}}},
-		{"agent: hello", frameWith(func(f *Frame) { f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Level: LevelWatch} })},
+		{"agent: hello", frameWith(func(f *Frame) {
+			f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Level: LevelWatch}
+		})},
 		{"agent: state", frameWith(func(f *Frame) {
-			f.State = &State{Free: task.Needs{CPU: 3200, MemoryMB: 1024}, Speed: 0.75, Accepting: true, Cleared: true, SeenSeq: 69999}
+			f.State = &State{Free: task.Needs{CPU: 3200, MemoryMB: 1024}, Speed: 0.75,
+				Accepting: true, Cleared: true, SeenSeq: 69999}
 		})},
 		{"agent: state of an ejected target, with its profile", frameWith(func(f *Frame) {
 			f.State = &State{Speed: 1, Health: Ejected, Profile: &Profile{Target: "i-7", Service: "trackd", Hall: "mtm",
 				Labels: []string{"rack-1", "gpu"}, Capacity: task.Needs{CPU: 16000, MemoryMB: 65536, GPU: 8}}}
 		})},
 		{"agent: ends of runs", frameWith(func(f *Frame) {
-			for _, e := range []task.End{task.EndNone, task.EndDone, task.EndFailed, task.EndStopped, task.EndLapsed, task.EndLost, task.EndRejected} {
-				f.Ended = append(f.Ended, Ended{Ref: task.Ref{Task: id, Run: 2}, End: e, Reason: code.RunListed, Took: 59 * time.Millisecond, TargetFault: true})
+			for _, e := range []task.End{task.EndNone, task.EndDone, task.EndFailed, task.EndStopped,
+				task.EndLapsed, task.EndLost, task.EndRejected} {
+				f.Ended = append(f.Ended, Ended{Ref: task.Ref{Task: id, Run: 2}, End: e,
+					Reason: code.RunListed, Took: 59 * time.Millisecond, TargetFault: true})
 			}
 		})},
-		{"agent: an offer", frameWith(func(f *Frame) { f.Reservation = &Reservation{ID: 9, Room: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}} })},
+		{"agent: an offer", frameWith(func(f *Frame) {
+			f.Reservation = &Reservation{ID: 9, Room: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}}
+		})},
 	}
 }
 
--- a/peer/heartbeat.go
+++ b/peer/heartbeat.go
@@ -6,22 +6,21 @@
 // target or has runs there, and always at LevelBase.
 const (
 	// HeartbeatInterval is the maximum time between frames on a connection in use, in both
-	// directions. Leases are extended by these frames.
+	// directions. These frames extend leases.
 	HeartbeatInterval = 110 * time.Millisecond
 	// IdleHeartbeatInterval is the same for a connection that is not in use.
 	IdleHeartbeatInterval = 2 * time.Second
 	// Silence is how long the peer of a connection in use may be silent before the connection
 	// is closed. It is longer than the entry's lease.
 	Silence = 800 * time.Millisecond
-	// IdleSilence is the same for a connection that is not in use. It tolerates the loss of two
-	// heartbeats: nothing runs on such a connection, and an entry that starts to use it waits
-	// only Silence.
+	// IdleSilence is the same for a connection that is not in use, which has no runs. It
+	// tolerates one missing heartbeat. From the beginning of its use Silence applies.
 	IdleSilence = 2*IdleHeartbeatInterval + Silence
 )
 
-// ClearTime is how long after an entry's last frame a run that it started may still execute:
-// the entry's lease at the agent (500 ms), the target's lease on a clock that is 2% slow (816
-// ms), the stop (50 ms) and late timers (84 ms). See docs/design/platform.md.
+// ClearTime is how long after an entry's last frame a run that the entry started may still execute.
+// It is the sum of supervisor.OwnerLease (500 ms), supervisor.TargetLease on a clock that is 2% slow
+// (816 ms), the stop (50 ms) and late timers (84 ms). See docs/design/platform.md.
 const ClearTime = 1450 * time.Millisecond
 
 // Interval returns the maximum time between frames on a connection.
@@ -32,12 +31,12 @@
 	return IdleHeartbeatInterval
 }
 
-// SilentTooLong reports whether a connection must be closed at now. heardAt is when the last
-// frame was received from the peer. usedSince is when the use of the connection began, if it is
-// in use.
-func SilentTooLong(now, heardAt time.Duration, used bool, usedSince time.Duration) bool {
+// SilentTooLong reports whether the silence of the peer has lasted so long at now that the connection
+// must be closed. receivedAt is when the last frame was received from the peer. usedSince is when
+// the use of the connection began; it is ignored if used is false.
+func SilentTooLong(now, receivedAt time.Duration, used bool, usedSince time.Duration) bool {
 	if !used {
-		return now-heardAt > IdleSilence
+		return now-receivedAt > IdleSilence
 	}
-	return now-max(heardAt, usedSince) > Silence
+	return now-max(receivedAt, usedSince) > Silence
 }
--- a/peer/heartbeat_test.go
+++ b/peer/heartbeat_test.go
@@ -7,14 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSilenceTimeoutDependsOnUse: a connection that is not in use may be silent for longer, and
-// the time is measured again from the beginning of its use.
+// TestSilenceTimeoutDependsOnUse guards against closing a connection that is not in use after
+// Silence, or measuring Silence from a frame received before the beginning of the use.
 func TestSilenceTimeoutDependsOnUse(t *testing.T) {
-	const heard = 10 * time.Second
-	assert.Assert(t, SilentTooLong(heard+Silence+1, heard, true, 0))
-	assert.Assert(t, !SilentTooLong(heard+Silence+1, heard, false, 0))
-	assert.Assert(t, SilentTooLong(heard+IdleSilence+1, heard, false, 0))
-	used := heard + 2*time.Second
-	assert.Assert(t, !SilentTooLong(used+Silence, heard, true, used))
-	assert.Assert(t, SilentTooLong(used+Silence+1, heard, true, used))
+	const receivedAt = 10 * time.Second
+	assert.Assert(t, SilentTooLong(receivedAt+Silence+1, receivedAt, true, 0))
+	assert.Assert(t, !SilentTooLong(receivedAt+Silence+1, receivedAt, false, 0))
+	assert.Assert(t, SilentTooLong(receivedAt+IdleSilence+1, receivedAt, false, 0))
+	usedSince := receivedAt + 2*time.Second
+	assert.Assert(t, !SilentTooLong(usedSince+Silence, receivedAt, true, usedSince))
+	assert.Assert(t, SilentTooLong(usedSince+Silence+1, receivedAt, true, usedSince))
 }
--- a/peer/spec.go
+++ b/peer/spec.go
@@ -2,14 +2,12 @@
 
 import "slices"
 
-// maxCachedSpecs is the number of specs cached per connection. A target runs few tasks at once,
-// so orders of the same job to an agent are rarely further apart. Specs of up to 4,000 bytes
-// take 64 KB.
+// maxCachedSpecs is the number of specs cached per connection. It must be the same on both sides.
 const maxCachedSpecs = 16
 
-// Specs caches the specs sent most recently on a connection, so that the spec of a job is sent
-// once for all its tasks. Sender and receiver add the same specs in the same order, so each
-// knows what the other has cached.
+// Specs caches the specs sent most recently on a connection, so that a spec is not sent again with
+// further orders of its job while it is cached. Sender and receiver add the same jobs in the same
+// order, so both caches hold the same jobs. The sender may leave out the text of the specs.
 type Specs struct {
 	entries []jobSpec
 	next    int // where the next spec is stored once the cache is full
@@ -19,7 +17,7 @@
 	job, spec string
 }
 
-// Add caches the spec of a job. If the cache is full, it replaces the oldest one.
+// Add caches the spec of a job. If the cache is full, the spec replaces the oldest one.
 func (s *Specs) Add(job, spec string) {
 	if len(s.entries) < maxCachedSpecs {
 		s.entries = append(s.entries, jobSpec{job, spec})
