--- a/node/agent.go
+++ b/node/agent.go
@@ -25,7 +25,7 @@
 	log       *slog.Logger
 	clock     bootClock
 
-	// Serve receives the target's heartbeats until ctx is done.
+	// Serve receives the target's heartbeats until ctx is done. It must be set before Run.
 	Serve func(ctx context.Context) error
 
 	metrics      *metrics.Set
@@ -111,14 +111,14 @@
 // expires. It returns the error of the component that failed, if any.
 func (a *Agent) Run(ctx context.Context) error {
 	a.log.Info(event.Start, "role", "agent", "name", a.settings.Name, "hall", a.settings.Hall)
-	hardCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	abortCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var g run.Group
-	g.Add(func() error { return a.stop(ctx, hardCtx) }, func(error) { cancel() })
+	g.Add(func() error { return a.stop(ctx, abortCtx) }, func(error) { cancel() })
 	for _, component := range []func(context.Context) error{
 		a.Serve, a.serveMetrics, a.listen, a.tick, a.renewLoop, a.parallelRenewLoop, a.discoverEntries, a.introduce,
 	} {
-		g.Add(func() error { return component(hardCtx) }, func(error) { cancel() })
+		g.Add(func() error { return component(abortCtx) }, func(error) { cancel() })
 	}
 	err := g.Run()
 	a.log.Info(event.Stop, "role", "agent", "name", a.settings.Name)
@@ -127,10 +127,10 @@
 
 // stop waits until ctx is done, then stops accepting work and waits for the remaining runs to
 // end within the grace period.
-func (a *Agent) stop(ctx, hardCtx context.Context) error {
+func (a *Agent) stop(ctx, abortCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-hardCtx.Done():
+	case <-abortCtx.Done():
 		return nil
 	}
 	began := a.clock.now()
@@ -160,7 +160,7 @@
 	return a.supervisor.Stats(a.clock.now())
 }
 
-// claims returns the counts of the agent as a home of jobs.
+// claims returns the statistics of claims for jobs of which this agent is a home, see package claim.
 func (a *Agent) claims() claim.Stats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -170,10 +170,10 @@
 // tick calls the supervisor's Tick, sends heartbeats and closes silent connections until ctx is
 // done.
 func (a *Agent) tick(ctx context.Context) error {
-	runTicks(ctx, supervisor.TickInterval, a.clock, &a.pause, &a.mu, func(now time.Duration, judge bool) {
+	runTicks(ctx, supervisor.TickInterval, a.clock, &a.pause, &a.mu, func(now time.Duration, checkSilence bool) {
 		a.supervisor.Tick(now)
 		a.supervisor.Heartbeats(now)
-		if judge {
+		if checkSilence {
 			a.closeSilent(now)
 		}
 		a.scheduleFlush(now)
--- a/node/clock.go
+++ b/node/clock.go
@@ -9,7 +9,7 @@
 
 // bootClock is the clock of a process for leases, timeouts and deadlines. It is monotonic and
 // includes time during which the host was suspended, unlike the clock of package time: a
-// process that resumes must not treat leases granted before the suspension as fresh. Readings
+// process that resumes must not treat leases granted before the suspension as valid. Readings
 // start at one second, so that zero can mean "unset".
 //
 // Timers still use the runtime's clock: a timer that is due during a suspension fires after it.
--- a/node/configure.go
+++ b/node/configure.go
@@ -12,17 +12,14 @@
 
 // Timing of configuration reads and watches.
 const (
-	// minWatchWait is the shortest time that a watch of the store stays open. It bounds the
-	// delay of a change when the loss of a connection goes undetected.
+	// minWatchWait is the shortest wait of a watch of the store, and the wait after a failed one.
 	minWatchWait = time.Second
-	// watchesPerSecond limits how many watches all entries together start per second, so that
-	// the load on the store does not grow with the fleet. maxWatchWait caps the resulting wait:
-	// a store that has dropped its history can make every watch miss a change, which an entry
-	// must apply within 5 s. Waits are randomized over the upper half of the range. The first
-	// watch to end then picks up a change that the others missed, and agents pass it on with
-	// their next idle heartbeat.
+	// watchesPerSecond is how many watches all entries together start per second at the longest
+	// wait. It bounds the load on the store as long as the wait is less than maxWatchWait.
 	watchesPerSecond = 32
-	maxWatchWait     = 4 * time.Second
+	// maxWatchWait is the longest wait of a watch. If the store has dropped its history, a watch
+	// can miss a change, which an entry must apply within 5 s.
+	maxWatchWait = 4 * time.Second
 	// absentConfigRetry is the interval at which the store is read while it has no
 	// configuration.
 	absentConfigRetry = 200 * time.Millisecond
@@ -35,9 +32,10 @@
 
 // watchConfig applies the configuration from its source, and changes to it, until ctx is done.
 func (e *Entry) watchConfig(ctx context.Context) {
-	read := &storeCall{name: "config", log: e.log}
-	watch := &storeCall{name: "watch", log: e.log}
-	observer := ConfigObserver{Document: e.applyDocument, Evacuations: e.applyEvacuations, Evacuation: e.applyEvacuation, Process: e.applyProcess}
+	read := &storeRetrier{name: "config", log: e.log}
+	watch := &storeRetrier{name: "watch", log: e.log}
+	observer := ConfigObserver{Document: e.applyDocument, Evacuations: e.applyEvacuations,
+		Evacuation: e.applyEvacuation, Process: e.applyProcess}
 	var revision uint64 // of the store; zero if the configuration must be read again
 	for ctx.Err() == nil {
 		if revision == 0 {
@@ -58,7 +56,9 @@
 }
 
 // watchWait returns how long the next watch of the store may stay open. The wait grows with the
-// number of entries. After a failure it is minWatchWait, since a change may be pending.
+// number of entries. After a failure it is minWatchWait, since a change may be pending. Otherwise
+// it is randomized over up to half of its length: the first watch to end reports a change that
+// others missed, and agents pass the change on.
 func (e *Entry) watchWait(failures int) time.Duration {
 	if failures > 0 {
 		return minWatchWait
@@ -72,9 +72,9 @@
 
 // readConfig reads the configuration and returns the revision to watch from, zero if none was
 // read.
-func (e *Entry) readConfig(ctx context.Context, call *storeCall, observer ConfigObserver) uint64 {
+func (e *Entry) readConfig(ctx context.Context, retrier *storeRetrier, observer ConfigObserver) uint64 {
 	var revision uint64
-	done := call.attempt(ctx, 0, func(ctx context.Context) error {
+	done := retrier.attempt(ctx, 0, func(ctx context.Context) error {
 		var err error
 		revision, err = e.source.Read(ctx, observer)
 		return err
@@ -139,8 +139,9 @@
 	return len(e.owner.Evacuations().Halls), e.owner.EvacuatedTargets()
 }
 
-// AwaitTable returns the configuration in force. If there is none, it waits for one during the
-// first firstConfigTimeout after startup and returns nil immediately after that.
+// AwaitTable returns the configuration in force. If there is none, it waits for one until
+// firstConfigTimeout after startup or until ctx is done, and then returns nil. Later calls return
+// nil without waiting.
 func (e *Entry) AwaitTable(ctx context.Context) *routing.Table {
 	left := firstConfigTimeout - (e.clock.now() - e.startedAt)
 	if table := e.table.Load(); table != nil || left <= 0 {
--- a/node/document.go
+++ b/node/document.go
@@ -18,18 +18,18 @@
 	// documentRequestDelay is how long an entry that has a configuration waits for its own
 	// watch of the store before it requests a newer one from an agent.
 	documentRequestDelay = 300 * time.Millisecond
-	// An entry sends documents at up to documentBytesPerSecond, and at no more than the share
-	// documentLinkShare of its link's bandwidth. Peers that are turned away ask another entry,
-	// or retry.
+	// documentBytesPerSecond is the maximum rate at which an entry sends documents. Requests above
+	// the limit get no answer; the agent asks another entry or retries.
 	documentBytesPerSecond = 1 << 20
-	documentLinkShare      = 0.25
+	// documentLinkShare is the maximum share of the entry's link that documents use.
+	documentLinkShare = 0.25
 )
 
 // documentRequest tracks when to request a newer document.
 type documentRequest struct {
 	// aheadSince is when a newer version was first seen, zero if there is none.
 	aheadSince time.Duration
-	// askedAt is when the last request was sent, zero if none is in flight.
+	// askedAt is when the last request was sent, zero if none was sent for the newer version.
 	askedAt time.Duration
 }
 
@@ -49,7 +49,7 @@
 // documentPacer limits the rate at which documents are sent. Unlike a token bucket it admits a
 // document of any size and then rejects others until the time for its size has elapsed.
 type documentPacer struct {
-	freeAt time.Duration
+	freeAt time.Duration // when the next document may be sent
 }
 
 // take reports whether a document of the given size may be sent now, and if so counts it.
--- a/node/entry.go
+++ b/node/entry.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	// shutdownDelay is how long a stopping entry keeps accepting requests. The platform's load
-	// balancer polls readiness every second and removes an entry after two failures; requests
-	// that it forwarded before that arrive up to 0.3 s later.
+	// shutdownDelay is how long a stopping entry keeps accepting requests, until the platform's
+	// load balancer has removed the entry after two failed readiness checks, one second apart,
+	// and the requests that it forwarded before have arrived.
 	shutdownDelay = 2600 * time.Millisecond
 	// graceMargin is how long before the end of the grace period all connections are closed, so
 	// that the process exits by itself.
 	graceMargin = 300 * time.Millisecond
-	// listInterval is how often an entry lists the directory to find processes that its watch
-	// missed.
+	// listInterval is the time after which an entry lists the directory again, to find processes
+	// that its watch missed.
 	listInterval = time.Minute
 )
 
@@ -44,8 +44,8 @@
 	clock     bootClock
 
 	// Serve serves the callers' interface until ctx is done. It then shuts down gracefully, and
-	// cuts off remaining requests when hard is done.
-	Serve func(ctx, hard context.Context) error
+	// cuts off remaining requests when abort is done. It must be set before Run.
+	Serve func(ctx, abort context.Context) error
 	// ForgetAfter is how long an agent may be unreachable before the entry removes it from the
 	// directory. The default is forgetAfter; tests override it.
 	ForgetAfter time.Duration
@@ -167,7 +167,7 @@
 	}
 }
 
-// WaitingJobs returns the number of jobs in a queue of which no task has been started.
+// WaitingJobs returns the number of jobs in a queue that have no started task.
 func (e *Entry) WaitingJobs(queue string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,7 +181,8 @@
 	return e.owner.Stats()
 }
 
-// isolated returns 1 if the entry considers itself cut off from most agents, otherwise 0.
+// isolated returns the value of a gauge: 1 if owner.Isolated reports that the entry is cut off,
+// otherwise 0.
 func (e *Entry) isolated() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -191,7 +192,7 @@
 	return 0
 }
 
-// hallsSuspected returns the number of data halls that the entry considers lost.
+// hallsSuspected returns the number of data halls that are suspected to be lost.
 func (e *Entry) hallsSuspected() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -205,8 +206,8 @@
 	return e.owner.Watched()
 }
 
-// linkQueue returns the estimated time to transmit what is queued on the host's link.
-func (e *Entry) linkQueue() time.Duration {
+// linkQueueTime returns the estimated time to transmit what is queued on the host's link.
+func (e *Entry) linkQueueTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.owner.LinkQueue(e.clock.now())
@@ -222,20 +223,21 @@
 // Run runs the entry until ctx is done, and then until its jobs are answered or the grace
 // period expires. It returns the error of the component that failed, if any.
 func (e *Entry) Run(ctx context.Context) error {
-	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "hall", e.settings.Hall, "term", e.owner.Term.String())
-	hardCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "hall", e.settings.Hall,
+		"term", e.owner.Term.String())
+	abortCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	callersCtx, closeCallers := context.WithCancel(hardCtx)
+	callersCtx, closeCallers := context.WithCancel(abortCtx)
 	defer closeCallers()
 	var g run.Group
 	addActor(&g, func() error { return e.stop(ctx, closeCallers, cancel) })
-	addActor(&g, func() error { return e.Serve(callersCtx, hardCtx) })
-	addActor(&g, func() error { return serveMetrics(hardCtx, e.settings.Metrics, e.metrics) })
-	addActor(&g, func() error { e.tick(hardCtx); return nil })
-	addActor(&g, func() error { e.watchConfig(hardCtx); return nil })
-	addActor(&g, func() error { e.discoverAgents(hardCtx); return nil })
-	addActor(&g, func() error { return listen(hardCtx, e.settings.Peers, e.accept) })
-	g.Add(func() error { <-hardCtx.Done(); return nil }, func(error) { cancel() })
+	addActor(&g, func() error { return e.Serve(callersCtx, abortCtx) })
+	addActor(&g, func() error { return serveMetrics(abortCtx, e.settings.Metrics, e.metrics) })
+	addActor(&g, func() error { e.tick(abortCtx); return nil })
+	addActor(&g, func() error { e.watchConfig(abortCtx); return nil })
+	addActor(&g, func() error { e.discoverAgents(abortCtx); return nil })
+	addActor(&g, func() error { return listen(abortCtx, e.settings.Peers, e.accept) })
+	g.Add(func() error { <-abortCtx.Done(); return nil }, func(error) { cancel() })
 	err := g.Run()
 	e.log.Info(event.Stop, "role", "entry", "name", e.settings.Name)
 	return err
@@ -277,37 +279,37 @@
 // tick calls the owner's Tick, updates the set of connections, sends heartbeats and closes
 // silent connections until ctx is done.
 func (e *Entry) tick(ctx context.Context) {
-	runTicks(ctx, owner.TickInterval, e.clock, &e.pause, &e.mu, func(now time.Duration, judge bool) {
+	runTicks(ctx, owner.TickInterval, e.clock, &e.pause, &e.mu, func(now time.Duration, checkSilence bool) {
 		e.owner.Tick(now)
 		e.adjustReach(ctx, now)
 		e.owner.Heartbeats(now)
-		if judge || e.owner.Rejoining(now) {
+		if checkSilence || e.owner.Rejoining(now) {
 			e.closeSilent(now)
 		}
 	})
 }
 
-// discoverAgents lists the agents and entries in the directory and registers this entry. It
-// lists first, since agents learn of an entry when it connects to them. Later changes arrive
-// through the watch of the store; the list is repeated at intervals and on relist.
+// discoverAgents lists the agents and entries in the directory and registers this entry. It lists
+// first, since an agent adds an entry when the entry connects. Later changes arrive through the
+// watch of the store; the directory is listed again after listInterval or a signal on relist.
 func (e *Entry) discoverAgents(ctx context.Context) {
 	own := Registration{Name: e.settings.Name, Addr: e.settings.Peers}
 	for registered := false; ; {
-		retryUntilDone(ctx, e.log, "list", func(try context.Context) error {
-			agents, err := e.directory.List(try, peer.RoleAgent)
+		retryUntilDone(ctx, e.log, "list", func(ctx context.Context) error {
+			agents, err := e.directory.List(ctx, peer.RoleAgent)
 			for _, r := range agents {
 				e.addAgent(r)
 			}
 			return err
 		})
-		retryUntilDone(ctx, e.log, "list", func(try context.Context) error {
-			entries, err := e.directory.List(try, peer.RoleEntry)
+		retryUntilDone(ctx, e.log, "list", func(ctx context.Context) error {
+			entries, err := e.directory.List(ctx, peer.RoleEntry)
 			e.addEntries(entries)
 			return err
 		})
 		if !registered {
-			retryUntilDone(ctx, e.log, "register", func(try context.Context) error {
-				return e.directory.Register(try, peer.RoleEntry, own)
+			retryUntilDone(ctx, e.log, "register", func(ctx context.Context) error {
+				return e.directory.Register(ctx, peer.RoleEntry, own)
 			})
 			registered = true
 		}
--- a/node/introduce.go
+++ b/node/introduce.go
@@ -12,10 +12,10 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// An agent that has had no connection for reregisterAfter registers again. It checks its
-// connections every connectionPollInterval.
 const (
-	reregisterAfter        = 3 * time.Second
+	// reregisterAfter is the time without a connection after which an agent registers again.
+	reregisterAfter = 3 * time.Second
+	// connectionPollInterval is how often an agent checks whether it has a connection.
 	connectionPollInterval = 500 * time.Millisecond
 )
 
@@ -23,18 +23,18 @@
 // entries find the agent in the directory.
 const maxIntroductions = 16
 
-// reintroduceInterval is the time until an agent repeats an introduction to an entry that has
-// not connected. The entry may have restarted since, or may not need this agent.
+// reintroduceInterval is the time until an agent repeats an introduction to an entry that has not
+// connected. The entry may have restarted since, or may not want a connection to the agent.
 const reintroduceInterval = 10 * time.Second
 
-// knownEntry is an entry to which the agent introduces itself while it is not connected.
+// knownEntry is an entry to which the agent introduces itself while the entry is not connected.
 type knownEntry struct {
 	addr string
-	// disconnectedSince is when the entry was last connected or listed. The entry is forgotten
+	// lastSeen is when the entry was last found connected or listed. The entry is forgotten
 	// forgetAfter later.
-	disconnectedSince time.Duration
-	attempts          int // introductions since the last successful one
-	nextIntroduction  time.Duration
+	lastSeen         time.Duration
+	attempts         int           // introductions begun since the last delivered one or connection
+	nextIntroduction time.Duration // when the next introduction is due
 }
 
 // discoverEntries lists the entries in the directory and registers the agent, at startup and
@@ -43,15 +43,16 @@
 func (a *Agent) discoverEntries(ctx context.Context) error {
 	own := Registration{Name: a.settings.Name, Addr: a.settings.Peers}
 	for ctx.Err() == nil {
-		retryUntilDone(ctx, a.log, "list", func(try context.Context) error {
-			entries, err := a.directory.List(try, peer.RoleEntry)
+		retryUntilDone(ctx, a.log, "list", func(ctx context.Context) error {
+			entries, err := a.directory.List(ctx, peer.RoleEntry)
 			a.addEntries(entries)
 			return err
 		})
-		retryUntilDone(ctx, a.log, "register", func(try context.Context) error {
-			return a.directory.Register(try, peer.RoleAgent, own)
+		retryUntilDone(ctx, a.log, "register", func(ctx context.Context) error {
+			return a.directory.Register(ctx, peer.RoleAgent, own)
 		})
-		for disconnected := time.Duration(0); disconnected < reregisterAfter && sleep(ctx, connectionPollInterval); disconnected += connectionPollInterval {
+		for disconnected := time.Duration(0); disconnected < reregisterAfter &&
+			sleep(ctx, connectionPollInterval); disconnected += connectionPollInterval {
 			if a.connected() > 0 {
 				disconnected = 0
 			}
@@ -78,10 +79,10 @@
 // addEntry adds an entry or updates its address. The caller must hold a.mu.
 func (a *Agent) addEntry(now time.Duration, r Registration) {
 	if known := a.entries[r.Name]; known != nil && known.addr == r.Addr {
-		known.disconnectedSince = now
+		known.lastSeen = now
 		return
 	}
-	a.entries[r.Name] = &knownEntry{addr: r.Addr, disconnectedSince: now}
+	a.entries[r.Name] = &knownEntry{addr: r.Addr, lastSeen: now}
 }
 
 // connected returns the number of connections from entries.
@@ -92,8 +93,8 @@
 }
 
 // introduce introduces the agent to each known entry that is not connected, until the entry
-// connects or is forgotten. An entry that restarts while the store is down finds its agents
-// this way.
+// connects or is forgotten. This lets an entry that restarts while the store is down find its
+// agents.
 func (a *Agent) introduce(ctx context.Context) error {
 	for sleep(ctx, dialRetryMin) {
 		count, due := a.disconnectedEntries()
@@ -120,15 +121,15 @@
 	now := a.clock.now()
 	for _, c := range a.conns {
 		if known := a.entries[c.name]; known != nil {
-			known.disconnectedSince, known.attempts, known.nextIntroduction = now, 0, now
+			known.lastSeen, known.attempts, known.nextIntroduction = now, 0, now
 		}
 	}
 	due = make(map[string]string)
 	for name, known := range a.entries {
 		switch {
-		case known.disconnectedSince == now:
-			continue
-		case now-known.disconnectedSince >= forgetAfter:
+		case known.lastSeen == now:
+			continue // connected, or listed just now
+		case now-known.lastSeen >= forgetAfter:
 			delete(a.entries, name)
 			continue
 		case now >= known.nextIntroduction:
@@ -151,7 +152,8 @@
 	}
 }
 
-// introduceTo introduces the agent to an entry, which then connects to the agent's address.
+// introduceTo introduces the agent to an entry, which adds the agent and may connect to it. A
+// failure after ctx is done is not logged and counts as delivered.
 func (a *Agent) introduceTo(ctx context.Context, name, addr string) {
 	if err := a.sendIntroduction(ctx, addr); err != nil && ctx.Err() == nil {
 		a.log.Info(event.IntroductionFailed, "entry", name, "addr", addr, "error", err.Error())
--- a/node/link.go
+++ b/node/link.go
@@ -18,8 +18,9 @@
 	// doubles with each failure up to dialRetryMax.
 	dialRetryMin = 40 * time.Millisecond
 	dialRetryMax = 2 * time.Second
-	// forgetAfter is how long an agent may be unreachable before it is removed from the
-	// directory. An agent that is still running registers again.
+	// forgetAfter is how long an agent may be unreachable before an entry removes the agent from
+	// the directory, and how long an entry may be disconnected before an agent forgets the
+	// entry. An agent that is still running registers again.
 	forgetAfter = 2 * time.Minute
 )
 
@@ -43,8 +44,9 @@
 	}
 }
 
-// keepConnected connects to an agent, and reconnects after each failure, until ctx is done or
-// the agent is forgotten.
+// keepConnected connects to an agent, and reconnects after each failure, until ctx is done or the
+// agent is forgotten. The loop condition calls forget for an agent that has been unreachable for
+// ForgetAfter, unless the entry is isolated.
 func (e *Entry) keepConnected(ctx context.Context, l *link) {
 	defer l.stop()
 	failures := 0
@@ -71,8 +73,8 @@
 	}
 }
 
-// recordUnreachable marks an agent as lost, so that others replace it, and logs the first
-// failure in a row.
+// recordUnreachable marks an agent as lost, so that others replace it, and logs the first of
+// consecutive failures.
 func (e *Entry) recordUnreachable(ctx context.Context, l *link, failures int, err error) {
 	e.mu.Lock()
 	e.reach.set.SetLost(l.registration.Name, true)
@@ -82,8 +84,8 @@
 	}
 }
 
-// forget removes an unreachable agent from the directory and from this entry. It reports false
-// if the store is down or the agent has registered another address in the meantime.
+// forget removes an unreachable agent from the directory and from this entry. It reports false if
+// the call to the directory fails or the agent has registered another address in the meantime.
 func (e *Entry) forget(ctx context.Context, l *link) bool {
 	e.mu.Lock()
 	r := l.registration
@@ -137,7 +139,8 @@
 	l.conn = c
 	l.echo = peer.Echo{}
 	e.connectedAgents.Add(1)
-	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers, Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.reach.set.Known()}
+	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers,
+		Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.reach.set.Known()}
 	l.sentAt = e.clock.now()
 	c.Send(&peer.Frame{Hello: hello, Stamp: l.sentAt})
 	e.owner.Connected(l.sentAt, l.registration.Name)
@@ -149,7 +152,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if l.conn == nil {
-		return // already released by closeSurplus
+		return // closeSurplus has already released the connection
 	}
 	l.conn = nil
 	e.connectedAgents.Add(-1)
@@ -179,8 +182,8 @@
 // send stamps a frame and queues it for an agent. It returns the frame's sequence number, zero
 // if there is no connection. The caller must hold e.mu.
 //
-// The echo is computed for the time of the last tick: a process that was suspended after it
-// must not extend its own lease for decisions made before the suspension.
+// The echo is computed for the time of the last tick. Otherwise a process that was suspended after
+// that tick would extend its lease by the time of the suspension, for decisions made before.
 func (e *Entry) send(name string, f *peer.Frame) uint64 {
 	l := e.links[name]
 	if l == nil || l.conn == nil {
@@ -225,8 +228,8 @@
 	e.addAgent(Registration{Name: f.Hello.Name, Addr: f.Hello.Addr})
 }
 
-// listen accepts connections from peers until ctx is done. It returns an error if it can't
-// listen on addr; errors from Accept are retried.
+// listen accepts connections from peers until ctx is done. It returns an error if it can't listen
+// on addr; after an error from Accept it retries.
 func listen(ctx context.Context, addr string, accept func(context.Context, net.Conn)) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -44,63 +44,63 @@
 	return nil
 }
 
-// newEntryMetrics returns the metrics of an entry. Gauges are evaluated when the set is
-// scraped. docs/metrics-node.md describes each metric and lists the deprecated names, which are
-// served for one more version.
+// newEntryMetrics returns the metrics of an entry. Values that are kept elsewhere, counters among
+// them, are read when the set is scraped. docs/metrics-node.md describes each metric and lists the
+// deprecated names, which are served for one more version.
 func newEntryMetrics(e *Entry) *metrics.Set {
 	set := metrics.NewSet()
-	gauge := func(name string, read func() uint64) {
+	register := func(name string, read func() uint64) {
 		set.NewGauge(name, func() float64 { return float64(read()) })
 	}
-	gauge(`beaconpoint_jobs_total{outcome="accepted"}`, func() uint64 { return e.Stats().Submitted })
-	gauge(`beaconpoint_jobs_total{outcome="completed"}`, func() uint64 { return e.Stats().Completed })
-	gauge(`beaconpoint_jobs_total{outcome="failed"}`, func() uint64 { return e.Stats().Failed })
-	gauge(`beaconpoint_jobs_total{outcome="given-up"}`, func() uint64 { return e.Stats().GivenUp })
-	gauge(`beaconpoint_jobs_total{outcome="refused"}`, func() uint64 { return e.Stats().Refused })
-	gauge(`beaconpoint_jobs_total{outcome="cancelled"}`, func() uint64 { return e.Stats().Cancelled })
-	gauge("beaconpoint_starts_total", func() uint64 { return e.Stats().Starts })
+	register(`beaconpoint_jobs_total{outcome="accepted"}`, func() uint64 { return e.Stats().Submitted })
+	register(`beaconpoint_jobs_total{outcome="completed"}`, func() uint64 { return e.Stats().Completed })
+	register(`beaconpoint_jobs_total{outcome="failed"}`, func() uint64 { return e.Stats().Failed })
+	register(`beaconpoint_jobs_total{outcome="given-up"}`, func() uint64 { return e.Stats().GivenUp })
+	register(`beaconpoint_jobs_total{outcome="refused"}`, func() uint64 { return e.Stats().Refused })
+	register(`beaconpoint_jobs_total{outcome="cancelled"}`, func() uint64 { return e.Stats().Cancelled })
+	register("beaconpoint_starts_total", func() uint64 { return e.Stats().Starts })
 	for _, name := range []string{"beaconpoint_starts_rejected_total", "beaconpoint_bounced_total"} {
-		gauge(name, func() uint64 { return e.Stats().Rejected })
+		register(name, func() uint64 { return e.Stats().Rejected })
 	}
-	gauge("beaconpoint_moved_total", func() uint64 { return e.Stats().Moved })
-	gauge("beaconpoint_jobs", func() uint64 { return uint64(e.jobs()) })
-	gauge("beaconpoint_agents", func() uint64 { return uint64(e.connectedAgents.Load()) })
-	gauge("beaconpoint_agents_known", func() uint64 { return uint64(e.reachCounts().known) })
-	gauge("beaconpoint_agents_wanted", func() uint64 { return uint64(e.reachCounts().wanted) })
-	gauge("beaconpoint_agents_watched", func() uint64 { return uint64(e.watched()) })
-	gauge("beaconpoint_specs_relayed_total", func() uint64 { return e.Stats().Relayed })
-	set.NewGauge("beaconpoint_link_queue_seconds", func() float64 { return e.linkQueue().Seconds() })
-	gauge("beaconpoint_jobs_joined_total", func() uint64 { return e.Stats().Joined })
-	gauge("beaconpoint_jobs_yielded_total", func() uint64 { return e.Stats().Yielded })
-	gauge("beaconpoint_homes_silent_total", func() uint64 { return e.Stats().SilentHomes })
-	gauge("beaconpoint_isolated", e.isolated)
-	gauge("beaconpoint_halls_suspected", e.hallsSuspected)
-	gauge("beaconpoint_halls_suspected_total", func() uint64 { return e.Stats().HallsSuspected })
-	gauge("beaconpoint_config_version", e.version)
-	gauge("beaconpoint_halls_evacuated", func() uint64 { halls, _ := e.evacuations(); return uint64(halls) })
-	gauge("beaconpoint_targets_evacuated", func() uint64 { _, targets := e.evacuations(); return uint64(targets) })
+	register("beaconpoint_moved_total", func() uint64 { return e.Stats().Moved })
+	register("beaconpoint_jobs", func() uint64 { return uint64(e.jobs()) })
+	register("beaconpoint_agents", func() uint64 { return uint64(e.connectedAgents.Load()) })
+	register("beaconpoint_agents_known", func() uint64 { return uint64(e.countAgents().known) })
+	register("beaconpoint_agents_wanted", func() uint64 { return uint64(e.countAgents().links) })
+	register("beaconpoint_agents_watched", func() uint64 { return uint64(e.watched()) })
+	register("beaconpoint_specs_relayed_total", func() uint64 { return e.Stats().Relayed })
+	set.NewGauge("beaconpoint_link_queue_seconds", func() float64 { return e.linkQueueTime().Seconds() })
+	register("beaconpoint_jobs_joined_total", func() uint64 { return e.Stats().Joined })
+	register("beaconpoint_jobs_yielded_total", func() uint64 { return e.Stats().Yielded })
+	register("beaconpoint_homes_silent_total", func() uint64 { return e.Stats().SilentHomes })
+	register("beaconpoint_isolated", e.isolated)
+	register("beaconpoint_halls_suspected", e.hallsSuspected)
+	register("beaconpoint_halls_suspected_total", func() uint64 { return e.Stats().HallsSuspected })
+	register("beaconpoint_config_version", e.version)
+	register("beaconpoint_halls_evacuated", func() uint64 { halls, _ := e.evacuations(); return uint64(halls) })
+	register("beaconpoint_targets_evacuated", func() uint64 { _, targets := e.evacuations(); return uint64(targets) })
 	e.submitted = set.NewHistogram("beaconpoint_answer_seconds")
 	e.stages = newStageHistograms(set, stage.EntryStages)
 	e.answers = make(map[code.Code]*metrics.Counter)
-	for _, c := range answerCauses {
-		row, _ := code.Lookup(c) // each of answerCauses is in the table
+	for _, c := range answerCodes {
+		row, _ := code.Lookup(c) // each of answerCodes is in the table
 		e.answers[c] = set.NewCounter(fmt.Sprintf("beaconpoint_answers_total{why=%q}", row.Name))
 	}
-	gauge(`beaconpoint_answers_total{why="job-hopeless"}`, e.answers[code.JobOutOfTime].Get)
+	register(`beaconpoint_answers_total{why="job-hopeless"}`, e.answers[code.JobOutOfTime].Get)
 	return set
 }
 
-// answerCauses are the result codes with which an entry answers jobs.
-var answerCauses = []code.Code{
+// answerCodes are the result codes with which an entry answers requests for jobs.
+var answerCodes = []code.Code{
 	code.JobAllDone, code.JobAttempts, code.JobOutOfTime, code.JobTooLate, code.JobCallerLeaves, code.JobCancelled,
-	code.JobUnsupported, code.JobNoConfig, code.JobBehind, code.JobLinkFull, code.JobEvacuated, code.JobHallLost, code.JobCrashes,
-	code.QueueFull,
+	code.JobUnsupported, code.JobNoConfig, code.JobBehind, code.JobLinkFull, code.JobEvacuated, code.JobHallLost,
+	code.JobCrashes, code.QueueFull,
 }
 
-// CountAnswer counts an answer by its result code, including answers to requests that were
-// refused before they became jobs.
-func (e *Entry) CountAnswer(why code.Code) {
-	if c := e.answers[why]; c != nil {
+// CountAnswer counts an answer by its result code, including answers to requests that were refused
+// before they became jobs. Codes that are not in answerCodes are not counted.
+func (e *Entry) CountAnswer(result code.Code) {
+	if c := e.answers[result]; c != nil {
 		c.Inc()
 	}
 }
@@ -123,7 +123,8 @@
 		"taken-over": func(s claim.Stats) uint64 { return s.TakenOver },
 		"forgotten":  func(s claim.Stats) uint64 { return s.Forgotten },
 	} {
-		set.NewGauge(fmt.Sprintf("beaconpoint_claims_total{outcome=%q}", outcome), func() float64 { return float64(read(a.claims())) })
+		set.NewGauge(fmt.Sprintf("beaconpoint_claims_total{outcome=%q}", outcome),
+			func() float64 { return float64(read(a.claims())) })
 	}
 	set.NewGauge("beaconpoint_claim_records", func() float64 { return float64(a.claims().Records) })
 	a.startSeconds = set.NewHistogram("beaconpoint_start_call_seconds")
--- a/node/outside.go
+++ b/node/outside.go
@@ -1,17 +1,22 @@
 // Package node runs the two roles of the system as processes: Entry wraps the state machine of
 // package owner, Agent that of package supervisor.
 //
-// The package manages goroutines, clocks, connections and the configuration in force. All
-// decisions are made by the state machines. External systems are accessed through the function
-// fields of Directory, ConfigSource and TargetCalls, which package platform provides.
+// The package manages goroutines, clocks, connections and the configuration in force. It decides
+// when to dial, introduce or forget a process, when to send a configuration document, and when a
+// pause of the process excuses the silence of peers. Decisions about jobs and runs are made by the
+// state machines. External systems are accessed through the function fields of Directory,
+// ConfigSource and TargetCalls, which package platform provides.
 //
+//	outside.go           access to external systems
 //	entry.go, agent.go   the processes: components, startup and shutdown
+//	clock.go, pause.go   the clock of a process, and detection of its pauses
 //	reach.go             the set of agents that an entry connects to
 //	link.go, session.go  connections, on the entry's and on the agent's side
 //	introduce.go         introduction of an agent to entries
-//	renewal.go           an agent's calls to its target
+//	renewal.go           renewal of the target's lease, and other calls to the target
+//	spec.go              exchange of job specs between agents
 //	configure.go         reading the configuration from the store
-//	document.go          exchange of the configuration between processes
+//	document.go, zip.go  exchange of the configuration between processes, and its compression
 //	retry.go             retried calls to the store
 //	metrics.go           metrics
 //
@@ -56,11 +61,12 @@
 	// observer. It returns the revision to continue from. Zero means that the history is no
 	// longer available and Read must be called.
 	Watch func(ctx context.Context, at uint64, wait time.Duration, o ConfigObserver) (uint64, error)
+	// Parse parses a configuration document.
 	Parse func(document []byte) (*routing.Table, error)
 }
 
-// ConfigObserver has the callbacks for configuration and directory changes. All fields must be
-// set.
+// ConfigObserver has the callbacks for the configuration, the evacuated halls and the directory in
+// the store, and for changes to them. All fields must be set.
 type ConfigObserver struct {
 	// Document receives the configuration document.
 	Document func(text []byte)
--- a/node/pause.go
+++ b/node/pause.go
@@ -11,17 +11,18 @@
 // A process that was suspended by its host or starved of CPU time has not read what its peers
 // sent in the meantime.
 const (
-	// pauseThreshold is how late a tick must be to count as a pause of the process.
+	// pauseThreshold is the time between two ticks above which the process counts as paused.
 	pauseThreshold = peer.Silence / 2
 	// catchUpTime is how long after a pause the silence of peers is ignored, while the frames
 	// that arrived during the pause are read.
 	catchUpTime = 100 * time.Millisecond
 )
 
-// pauseDetector detects pauses of the process from late ticks.
+// pauseDetector detects pauses of the process from the time between ticks. The first tick counts as
+// the end of a pause.
 type pauseDetector struct {
 	lastAt    time.Duration // time of the last tick
-	resumedAt time.Duration // time of the last late tick
+	resumedAt time.Duration // time of the last tick after a pause
 }
 
 // tick records a tick and reports whether silent peers may be disconnected now.
@@ -33,10 +34,11 @@
 	return now-p.resumedAt >= catchUpTime
 }
 
-// runTicks calls do at each interval with the lock held, until ctx is done. checkSilence
-// reports whether silent peers may be disconnected.
+// runTicks calls do at each interval with the lock held, until ctx is done. The argument checkSilence
+// of do reports whether silent peers may be disconnected.
 func runTicks(
-	ctx context.Context, interval time.Duration, clock bootClock, p *pauseDetector, lock sync.Locker, do func(now time.Duration, checkSilence bool),
+	ctx context.Context, interval time.Duration, clock bootClock, p *pauseDetector, lock sync.Locker,
+	do func(now time.Duration, checkSilence bool),
 ) {
 	for sleep(ctx, interval) {
 		lock.Lock()
--- a/node/reach.go
+++ b/node/reach.go
@@ -14,7 +14,8 @@
 	set     *reach.Set
 	addrs   map[string]string   // of all known agents, by name
 	entries map[string]struct{} // names of all known entries
-	// surplus holds connected agents that are no longer wanted but still in use.
+	// surplus holds the agents with a link that are no longer wanted. Each link is closed once it
+	// is no longer in use.
 	surplus map[string]struct{}
 }
 
@@ -44,8 +45,8 @@
 	notify(l.retryNow)
 }
 
-// addEntries adds entries. Entries do not connect to each other, but their number determines
-// how many agents each one covers.
+// addEntries adds entries. Entries do not connect to each other, but their number determines to how
+// many agents each one connects.
 func (e *Entry) addEntries(list []Registration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,17 +85,17 @@
 	e.reach.set.Remove(name)
 }
 
-// reachCounts holds the number of known agents and of links to agents.
-type reachCounts struct{ known, wanted int }
+// agentCounts holds the number of known agents and of links to agents, including surplus ones.
+type agentCounts struct{ known, links int }
 
-func (e *Entry) reachCounts() reachCounts {
+func (e *Entry) countAgents() agentCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return reachCounts{known: e.reach.set.Known(), wanted: len(e.links)}
+	return agentCounts{known: e.reach.set.Known(), links: len(e.links)}
 }
 
-// adjustReach connects to the wanted agents and closes connections that are no longer in use.
-// It is called at each tick. The caller must hold e.mu.
+// adjustReach connects to the wanted agents and closes surplus links that are no longer in use. It
+// is called at each tick. The caller must hold e.mu.
 func (e *Entry) adjustReach(ctx context.Context, now time.Duration) {
 	v := e.reach
 	if e.owner.TakeMissingLabel() {
@@ -137,7 +138,7 @@
 	go e.keepConnected(ctx, l)
 }
 
-// closeSurplus closes the link to an agent that is not wanted, if it is no longer in use.
+// closeSurplus closes the link to an agent that is not wanted, if the link is no longer in use.
 func (e *Entry) closeSurplus(name string) {
 	l := e.links[name]
 	if l != nil && !e.owner.Releasable(name) {
--- a/node/renewal.go
+++ b/node/renewal.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// renewParallel makes one renewal in parallel with renewLoop.
+// renewParallel makes one renewal in parallel with renewLoop. It reports false if no target is known
+// or ctx is done.
 func (a *Agent) renewParallel(ctx context.Context) bool {
 	return a.renewOnce(ctx, a.heartbeatSeenParallel)
 }
@@ -52,7 +53,7 @@
 }
 
 // renewOnce makes one renewal. After a failure it pauses until the backoff has elapsed or a
-// heartbeat arrives. It reports whether a target is known.
+// heartbeat arrives. It reports false if no target is known or ctx is done.
 func (a *Agent) renewOnce(ctx context.Context, heartbeat <-chan struct{}) bool {
 	a.mu.Lock()
 	c, ok := a.supervisor.NextRenewal(a.clock.now())
@@ -83,13 +84,13 @@
 	return true
 }
 
-// start sends a start call to the target. The supervisor's timeouts are checked when the call
-// is due to be resent.
+// start sends a start call to the target. If there is no reply within StartRetry, checkTimeouts lets
+// the supervisor start another call.
 func (a *Agent) start(c supervisor.StartCall) {
 	began := time.Now()
-	retry := time.AfterFunc(supervisor.StartRetry+time.Millisecond, a.checkTimeouts)
+	timeoutCheck := time.AfterFunc(supervisor.StartRetry+time.Millisecond, a.checkTimeouts)
 	reply := a.target.Start(c)
-	retry.Stop()
+	timeoutCheck.Stop()
 	a.startSeconds.UpdateDuration(began)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/retry.go
+++ b/node/retry.go
@@ -9,30 +9,31 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// attemptTimeouts are the timeouts of successive attempts of a call to the store, used in
-// rotation. An attempt made while the store is silent is lost, so short timeouts let the next
-// one start soon after the store is back; a slow store needs a long one now and then.
+// attemptTimeouts are the timeouts of successive attempts of a call to the store, used in rotation.
+// An attempt made while the store is silent is lost, and a short timeout lets the next one start
+// soon after the store is back. The longest one allows a slow store to answer.
 var attemptTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 900 * time.Millisecond}
 
-// After a failed attempt the next one starts no sooner than storeRetryMin. The interval between
-// the starts of attempts doubles up to storeRetryMax, which limits the load on a store that
-// rejects calls immediately.
 const (
+	// storeRetryMin is the shortest pause after a failed attempt, and the first interval between
+	// the starts of attempts.
 	storeRetryMin = 50 * time.Millisecond
+	// storeRetryMax is the longest interval between the starts of attempts, up to which the
+	// interval doubles. It limits the load on a store that rejects calls immediately.
 	storeRetryMax = 500 * time.Millisecond
 )
 
-// storeCall is a call to the store that is repeated until it succeeds. It logs when the store
-// becomes unavailable and when it is available again.
-type storeCall struct {
-	name     string // in log lines
+// storeRetrier counts the consecutive failures of a call to the store, on which the timeout of an
+// attempt and the pause after it depend. It logs the first failure and the next success.
+type storeRetrier struct {
+	name     string // of the call, in log lines
 	log      *slog.Logger
 	failures int // consecutive
 }
 
 // attempt makes the call once, with a timeout extended by extra, and reports whether it
 // succeeded. After a failure it waits before it returns.
-func (c *storeCall) attempt(ctx context.Context, extra time.Duration, do func(context.Context) error) bool {
+func (c *storeRetrier) attempt(ctx context.Context, extra time.Duration, do func(context.Context) error) bool {
 	began := time.Now()
 	attemptCtx, cancel := context.WithTimeout(ctx, extra+attemptTimeouts[c.failures%len(attemptTimeouts)])
 	err := do(attemptCtx)
@@ -55,7 +56,7 @@
 
 // retryUntilDone repeats a call to the store until it succeeds or ctx is done.
 func retryUntilDone(ctx context.Context, log *slog.Logger, name string, do func(context.Context) error) {
-	c := &storeCall{name: name, log: log}
+	c := &storeRetrier{name: name, log: log}
 	for ctx.Err() == nil && !c.attempt(ctx, 0, do) {
 	}
 }
--- a/node/session.go
+++ b/node/session.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if err != nil || f.Hello == nil || f.Hello.Role != peer.RoleEntry {
-		return // not an entry, or the connection broke: an entry reconnects
+		return // not an entry, or the connection broke and the entry reconnects
 	}
 	hello := f.Hello
 	go c.Run()
@@ -102,9 +102,9 @@
 	c.conn.Send(f)
 }
 
-// scheduleFlush schedules the next flush of changed states and starts a parallel renewal if
-// replies are being lost. It must be called after every call to the supervisor. The caller must
-// hold a.mu.
+// scheduleFlush schedules the next flush of changed states and starts a parallel renewal if replies
+// are being lost. It must be called after calls to the supervisor that may change a state; the next
+// tick does so for connect and stop. The caller must hold a.mu.
 func (a *Agent) scheduleFlush(now time.Duration) {
 	if a.supervisor.LosingReplies(now) {
 		notify(a.repliesLost)
--- a/node/spec.go
+++ b/node/spec.go
@@ -9,13 +9,13 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// specWaitTimeout is how long an agent waits for a spec that another agent has requested. An
-// entry refers to the spec as soon as it is on its way here. The requesting agent waits
-// slightly longer.
+// specWaitTimeout is how long an agent that is asked for a spec waits until the spec arrives. An
+// entry names the agent in orders to others as soon as it has sent the spec there. The requesting
+// agent waits twice as long for the answer.
 const specWaitTimeout = 120 * time.Millisecond
 
-// specWaiters holds the pending requests of other agents for specs that have not arrived, by
-// job. It is guarded by the agent's lock.
+// specWaiters holds the pending requests of other agents for specs that have not arrived, by job:
+// for each request a channel that wake closes. It is guarded by the agent's lock.
 type specWaiters map[string][]chan struct{}
 
 // wait returns a channel that is closed when an order of the job arrives.
@@ -28,7 +28,8 @@
 	return ready
 }
 
-// drop removes the pending requests for a job's spec.
+// drop removes all pending requests for a job's spec. Those that still wait look for the spec at
+// their own timeout.
 func (w specWaiters) drop(job string) {
 	delete(w, job)
 }
@@ -58,7 +59,8 @@
 	}
 }
 
-// awaitSpec returns a job's spec, waiting for it if it has not arrived yet.
+// awaitSpec returns a job's spec and whether it is known. If the spec has not arrived yet, awaitSpec
+// waits for it for up to specWaitTimeout.
 func (a *Agent) awaitSpec(job string) (string, bool) {
 	a.mu.Lock()
 	spec, known := a.supervisor.Spec(job)
@@ -93,7 +95,8 @@
 	a.scheduleFlush(now)
 }
 
-// requestSpec requests a job's spec from the agent at addr.
+// requestSpec requests a job's spec from the agent at addr. known is false without an error if the
+// agent does not have the spec or its reply has no GiveSpec.
 func requestSpec(job, addr string) (spec string, known bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*specWaitTimeout)
 	defer cancel()
--- a/node/zip.go
+++ b/node/zip.go
@@ -9,15 +9,15 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// maxDocumentBytes is the maximum size of an uncompressed document, which is also the limit of
-// the platform's store.
+// maxDocumentBytes is the maximum size of a decompressed document, which is also the limit of the
+// platform's store. A plain document of this size does not fit into a frame of package peer.
 const maxDocumentBytes = 4 << 20
 
-// errDocumentTooLarge is returned for documents larger than maxDocumentBytes.
-var errDocumentTooLarge = errors.New("node: configuration document exceeds 4 MiB when decompressed")
+// errDocumentTooLarge is returned for compressed documents that expand beyond maxDocumentBytes.
+var errDocumentTooLarge = errors.New("node: decompressed configuration document exceeds the size limit")
 
 // document is a configuration document as the operator wrote it, plain, compressed with gzip,
-// or both. It is guarded by the lock of its process.
+// or both. The document in force is guarded by the lock of the Entry or Agent.
 type document struct {
 	plain, gzipped []byte
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -130,7 +130,7 @@
 	// updates, and the spec in each order.
 	LevelBase Level = iota
 	// LevelWatch adds watches: entries watch the agents that they use, and other connections
-	// carry a heartbeat every IdleHeartbeatInterval. The spec of a job is sent to an agent once.
+	// carry a heartbeat every IdleHeartbeatInterval. A spec is not sent again while it is cached.
 	LevelWatch
 	// LevelRelay lets agents fetch specs from each other: an order may name an agent that has the
 	// spec instead of carrying it. Documents are compressed.
