--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -22,8 +22,8 @@
 	assert.Assert(t, c.now() >= first)
 }
 
-// TestTickAfterSuspensionSkipsSilenceCheck: ticks use a timer that stops while the host is
-// suspended, so a late tick must be detected by the boot clock.
+// TestTickAfterSuspensionSkipsSilenceCheck guards against taking a suspension of the host for silence
+// of the peers: timers stop meanwhile, and only the boot clock shows the time between two ticks.
 func TestTickAfterSuspensionSkipsSilenceCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
@@ -32,7 +32,9 @@
 		var p pauseDetector
 		var lock sync.Mutex
 		var checked []bool
-		go runTicks(t.Context(), 20*time.Millisecond, clock, &p, &lock, func(_ time.Duration, checkSilence bool) { checked = append(checked, checkSilence) })
+		go runTicks(t.Context(), 20*time.Millisecond, clock, &p, &lock, func(_ time.Duration, checkSilence bool) {
+			checked = append(checked, checkSilence)
+		})
 		time.Sleep(time.Second)
 		lock.Lock()
 		before := len(checked)
--- a/node/document_test.go
+++ b/node/document_test.go
@@ -59,15 +59,16 @@
 func isDocumentRequest(f *peer.Frame) bool { return f.AskDocument }
 func hasDocument(f *peer.Frame) bool       { return len(f.Document) > 0 }
 
-// TestAgentRequestsDocumentFromOneEntry guards against all entries sending a large document at
-// once, which overloads narrow links.
+// TestAgentRequestsDocumentFromOneEntry guards against requests that make all entries send a large
+// document at once, which overloads narrow links.
 func TestAgentRequestsDocumentFromOneEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
 		a.clock = virtualClock()
 		recorders := []*frameRecorder{newFrameRecorder(t), newFrameRecorder(t), newFrameRecorder(t)}
 		for k, recorder := range recorders {
-			assert.Equal(t, int(a.connect(recorder.conn, &peer.Hello{Role: peer.RoleEntry, Name: string(rune('a' + k))})), k+1)
+			assert.Equal(t, int(a.connect(recorder.conn,
+				&peer.Hello{Role: peer.RoleEntry, Name: string(rune('a' + k))})), k+1)
 		}
 		announce := func() (asked int) {
 			for k, recorder := range recorders {
@@ -76,16 +77,16 @@
 			}
 			return asked
 		}
-		assert.Equal(t, announce(), 1)
+		assert.Equal(t, announce(), 1) // the first of the three entries
 		assert.Equal(t, announce(), 0) // the first request is in flight
 		time.Sleep(documentRequestTimeout)
 		assert.Equal(t, announce(), 1) // the first request has timed out
 		a.receive(1, &peer.Frame{Config: 5, Document: []byte("{}")})
 		time.Sleep(documentRequestTimeout)
-		assert.Equal(t, announce(), 0)
+		assert.Equal(t, announce(), 0)               // the agent has the document
 		a.receive(2, &peer.Frame{AskDocument: true}) // an entry that has restarted
 		assert.Equal(t, recorders[1].count(hasDocument), 1)
-		assert.Equal(t, recorders[0].count(hasDocument), 0)
+		assert.Equal(t, recorders[0].count(hasDocument), 0) // not requested by this entry
 	})
 }
 
@@ -109,14 +110,14 @@
 			return sent
 		}
 		assert.Equal(t, request(), 1)
-		assert.Equal(t, request(), 0)
+		assert.Equal(t, request(), 0) // until the time for the first document has elapsed
 		time.Sleep(time.Second / 4)
 		assert.Equal(t, request(), 1)
 	})
 }
 
-// TestEntryDelaysDocumentRequest: an entry with a configuration gives its own watch time to
-// report a new one; an entry without one requests it at once.
+// TestEntryDelaysDocumentRequest guards against requesting a document that the entry's own watch is
+// about to report, and against a delay if the entry has no configuration.
 func TestEntryDelaysDocumentRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEntry(&fakeStore{})
@@ -127,12 +128,12 @@
 			e.receive(l, recorder.conn, &peer.Frame{Config: 7})
 			return recorder.count(isDocumentRequest)
 		}
-		assert.Equal(t, receive(), 1)
+		assert.Equal(t, receive(), 1)    // no configuration yet
 		e.applyDocument([]byte("12345")) // version 5
-		assert.Equal(t, receive(), 0)
+		assert.Equal(t, receive(), 0)    // the entry's watch may report version 7
 		time.Sleep(documentRequestDelay)
 		assert.Equal(t, receive(), 1)
-		e.applyDocument([]byte("1234567"))
+		e.applyDocument([]byte("1234567")) // version 7
 		time.Sleep(time.Second)
 		assert.Equal(t, receive(), 0)
 	})
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -46,6 +46,8 @@
 // vmrange matches the bucket label of a histogram.
 var vmrange = regexp.MustCompile(`,?vmrange="[^"]*"`)
 
+// TestMetricsPageMatchesCode guards against metrics that the page lacks, and against a page that
+// describes others.
 func TestMetricsPageMatchesCode(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, log)
--- a/node/reach_test.go
+++ b/node/reach_test.go
@@ -31,8 +31,8 @@
 	e.adjustReach(t.Context(), e.clock.now())
 }
 
-// TestEntryLimitsLinks: an entry connects to all agents of a small fleet and to a bounded
-// number in a large one.
+// TestEntryLimitsLinks guards against connecting to more than reach.FullMesh agents of a large fleet,
+// or to fewer than all of a small one.
 func TestEntryLimitsLinks(t *testing.T) {
 	for _, agents := range []int{11, reach.FullMesh, 800} {
 		e := newEntryWithAgents(t, agents)
@@ -45,14 +45,14 @@
 	}
 }
 
-// TestAgentRemovedFromDirectoryIsDropped: a connected agent is kept, since the entry that
-// removed it may have been cut off itself.
-func TestAgentRemovedFromDirectoryIsDropped(t *testing.T) {
+// TestOnlyDisconnectedAgentIsDropped guards against dropping a connected agent that another entry has
+// removed from the directory, since that entry may have been cut off itself.
+func TestOnlyDisconnectedAgentIsDropped(t *testing.T) {
 	e := newEntryWithAgents(t, 3)
 	e.tickReach(t)
 	e.mu.Lock()
-	reached := peer.NewConn(nil)
-	e.links["side-0"].conn = reached
+	conn := peer.NewConn(nil)
+	e.links["side-0"].conn = conn
 	e.mu.Unlock()
 	e.applyProcess(peer.RoleAgent, Registration{Name: "side-0"}, true)
 	e.applyProcess(peer.RoleAgent, Registration{Name: "side-1"}, true)
@@ -77,10 +77,11 @@
 			least, most = min(least, wait), max(most, wait)
 		}
 		assert.Assert(t, least >= minWatchWait && most <= maxWatchWait)
-		if entries < 4*watchesPerSecond {
+		if entries < 4*watchesPerSecond { // the wait is below maxWatchWait
+			// The longest of 100 random waits is up to 10% below the limit.
 			assert.Assert(t, float64(entries)/most.Seconds() <= 1.1*watchesPerSecond)
 		}
-		if entries > 2*watchesPerSecond {
+		if entries > 2*watchesPerSecond { // the wait is at least twice minWatchWait
 			assert.Assert(t, most-least > most/4, "waits are not spread out")
 		}
 		assert.Equal(t, e.watchWait(1), minWatchWait)
@@ -96,7 +97,7 @@
 	now = time.Second
 	a.addEntries([]Registration{{Name: "edge-1", Addr: "127.0.0.1:1"}})
 	count, _ := a.disconnectedEntries()
-	assert.Equal(t, count, 0) // it was just listed
+	assert.Equal(t, count, 0) // the entry was just listed
 	now += dialRetryMin
 	count, due := a.disconnectedEntries()
 	assert.Equal(t, count, 1)
@@ -104,10 +105,10 @@
 	a.recordIntroduction("edge-1")
 	now += reintroduceInterval / 2
 	_, due = a.disconnectedEntries()
-	assert.Equal(t, len(due), 0, "the entry was just introduced to this agent")
+	assert.Equal(t, len(due), 0, "introduced again before reintroduceInterval")
 	now += reintroduceInterval
 	_, due = a.disconnectedEntries()
-	assert.Equal(t, len(due), 1, "the entry may have restarted")
+	assert.Equal(t, len(due), 1, "not introduced again after reintroduceInterval")
 	now += forgetAfter
 	count, due = a.disconnectedEntries()
 	assert.Equal(t, count+len(due)+len(a.entries), 0)
--- a/node/renewal_test.go
+++ b/node/renewal_test.go
@@ -47,7 +47,8 @@
 		began := time.Now()
 		a.Heartbeat(supervisor.Report{ID: "i-2", Seq: 1})
 		time.Sleep(10 * time.Millisecond)
-		assert.Check(t, !served.IsZero() && served.Sub(began) < 10*time.Millisecond, "the new incarnation was not served within 10 ms")
+		assert.Check(t, !served.IsZero() && served.Sub(began) < 10*time.Millisecond,
+			"the new incarnation was not served within 10 ms")
 		cancel()
 		time.Sleep(2 * time.Second) // let calls in flight end
 	})
--- a/node/retry_test.go
+++ b/node/retry_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// recoveryDelay returns how long after the store recovers a call succeeds that was started the
-// given time before the recovery.
+// recoveryDelay starts a call while the store is down for the given time. It returns how long after
+// the recovery the call succeeds.
 func recoveryDelay(t *testing.T, s fakeStore, down time.Duration) time.Duration {
 	t.Helper()
 	s.availableAt = time.Now().Add(down)
@@ -66,8 +66,8 @@
 	})
 }
 
-// TestCallsToRejectingStoreBackOff guards against overloading a store that rejects calls at
-// once.
+// TestCallsToRejectingStoreBackOff guards against overloading a store that rejects calls at once:
+// the interval must grow to storeRetryMax, that is 20 calls in 10 s besides the first ones.
 func TestCallsToRejectingStoreBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{rejects: true, availableAt: time.Now().Add(10 * time.Second)}
@@ -131,8 +131,8 @@
 	})
 }
 
-// TestRequestsStopWaitingForAbsentConfig: requests wait for a configuration only during the
-// first firstConfigTimeout after startup.
+// TestRequestsStopWaitingForAbsentConfig guards against requests that wait for a configuration longer
+// than until firstConfigTimeout after startup.
 func TestRequestsStopWaitingForAbsentConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
--- a/node/spec_test.go
+++ b/node/spec_test.go
@@ -35,8 +35,8 @@
 	a.receive(a.lastConnID, &peer.Frame{Seq: 1, Starts: []task.Order{{Task: task.ID{Job: job}, Run: 1, Spec: "text"}}})
 }
 
-// TestAgentServesSpecToAgent: an agent answers at once if it has the spec, otherwise when the
-// spec arrives, and reports it unknown after specWaitTimeout.
+// TestAgentServesSpecToAgent guards against a late answer to a request for a spec, and against
+// reporting a spec as unknown before specWaitTimeout has elapsed.
 func TestAgentServesSpecToAgent(t *testing.T) {
 	for name, c := range map[string]struct {
 		arrivesAfter time.Duration
@@ -69,14 +69,14 @@
 				}
 				assert.Equal(t, time.Since(began), min(c.arrivesAfter, specWaitTimeout))
 				_, err = peer.ReadFrame(near)
-				assert.Assert(t, err != nil, "the connection is closed after the answer")
+				assert.Assert(t, err != nil, "the connection is still open after the answer")
 				near.Close()
 			})
 		})
 	}
 }
 
-// TestRequestSpecReturnsDialError: the error names why the other agent could not be reached.
+// TestRequestSpecReturnsDialError guards against losing the reason why an agent can't be reached.
 func TestRequestSpecReturnsDialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -84,6 +84,6 @@
 	l.Close()
 	_, known, err := requestSpec("j", addr)
 	assert.Assert(t, !known)
-	var refused *net.OpError
-	assert.Assert(t, errors.As(err, &refused), "%v", err)
+	var opErr *net.OpError
+	assert.Assert(t, errors.As(err, &opErr), "%v", err)
 }
--- a/node/submit_test.go
+++ b/node/submit_test.go
@@ -11,9 +11,9 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestSubmitRejectsJobOfDisconnectedCaller guards against running a job twice: its caller may
+// TestSubmitRefusesJobOfDisconnectedCaller guards against running a job twice: its caller may
 // already have submitted it to another entry.
-func TestSubmitRejectsJobOfDisconnectedCaller(t *testing.T) {
+func TestSubmitRefusesJobOfDisconnectedCaller(t *testing.T) {
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/node/zip_test.go
+++ b/node/zip_test.go
@@ -10,17 +10,17 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// TestDocumentSurvivesForwarding: a document stays the same across peers of different protocol
-// levels, and is compressed for those that support it.
-func TestDocumentSurvivesForwarding(t *testing.T) {
+// TestForwardedDocumentIsUnchanged guards against changes to a document that peers of different
+// protocol levels forward, and against sending it uncompressed to peers that support compression.
+func TestForwardedDocumentIsUnchanged(t *testing.T) {
 	text := bytes.Repeat([]byte(`{"route":"nony24.example"}`), 4000)
 	for _, first := range []peer.Level{peer.LevelBase, peer.LevelNewest} {
 		for _, second := range []peer.Level{peer.LevelBase, peer.LevelNewest} {
 			own := document{plain: text}
 			f, err := own.frame(first)
 			assert.NilError(t, err)
-			passed := documentOf(f)
-			f, err = passed.frame(second)
+			forwarded := documentOf(f)
+			f, err = forwarded.frame(second)
 			assert.NilError(t, err)
 			if second >= peer.LevelRelay {
 				assert.Equal(t, len(f.Document), 0)
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestInvalidDocumentIsRejected: data that is not gzip, or that expands beyond
-// maxDocumentBytes.
+// TestInvalidDocumentIsRejected guards against accepting data that is not gzip, or that expands
+// beyond maxDocumentBytes.
 func TestInvalidDocumentIsRejected(t *testing.T) {
 	d := document{gzipped: []byte("this is not compressed at all")}
 	_, err := d.text()
@@ -52,8 +52,8 @@
 // quarter of it.
 func TestDocumentsUseShareOfLink(t *testing.T) {
 	var p documentPacer
-	const bytes, megabits = 25_000, 2 // 0.1 s at the full rate of the link
-	assert.Assert(t, p.take(0, bytes, megabits))
-	assert.Assert(t, !p.take(p.freeAt-1, bytes, megabits))
+	const size, megabits = 25_000, 2 // 0.1 s at the full rate of the link
+	assert.Assert(t, p.take(0, size, megabits))
+	assert.Assert(t, !p.take(p.freeAt-1, size, megabits))
 	assert.Equal(t, p.freeAt.Milliseconds(), int64(400))
 }
