--- a/node/clock_test.go
+++ b/node/clock_test.go
@@ -32,9 +32,8 @@
 		var p pauseDetector
 		var lock sync.Mutex
 		var checked []bool
-		go runTicks(t.Context(), 20*time.Millisecond, clock, &p, &lock, func(_ time.Duration, checkSilence bool) {
-			checked = append(checked, checkSilence)
-		})
+		go runTicks(t.Context(), 20*time.Millisecond, clock, &p, &lock,
+			func(_ time.Duration, checkSilence bool) { checked = append(checked, checkSilence) })
 		time.Sleep(time.Second)
 		lock.Lock()
 		before := len(checked)
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -33,23 +33,20 @@
 	}
 	return []goldenFrame{
 		{"heartbeat", &stamps},
-		{"entry: hello", frameWith(func(f *Frame) {
-			f.Hello = &Hello{Role: RoleEntry, Name: "edge-mtm-1", Addr: "10.1.0.13:7720"}
-		})},
+		{"entry: hello", frameWith(
+			func(f *Frame) { f.Hello = &Hello{Role: RoleEntry, Name: "edge-mtm-1", Addr: "10.1.0.13:7720"} })},
 		{"agent: introduces itself", frameWith(func(f *Frame) {
 			f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Addr: "10.1.0.30:7720", Introduce: true}
 		})},
 		{"either: asks for the configuration", frameWith(func(f *Frame) { f.AskDocument = true })},
 		{"either: hands over the configuration", frameWith(func(f *Frame) { f.Document = []byte(`{"version":12}`) })},
-		{"either: hands over the configuration, compressed", frameWith(func(f *Frame) {
-			f.DocumentZip = []byte{0x1f, 0x8b}
-		})},
+		{"either: hands over the configuration, compressed", frameWith(
+			func(f *Frame) { f.DocumentZip = []byte{0x1f, 0x8b} })},
 		{"either: data halls are evacuated", frameWith(func(f *Frame) {
 			f.Evacuations = &evacuation.Set{Revision: 71, Halls: []string{"mtm", "sulph"}}
 		})},
-		{"either: no data hall is evacuated any more", frameWith(func(f *Frame) {
-			f.Evacuations = &evacuation.Set{Revision: 90}
-		})},
+		{"either: no data hall is evacuated any more", frameWith(
+			func(f *Frame) { f.Evacuations = &evacuation.Set{Revision: 90} })},
 		{"entry: starts", frameWith(func(f *Frame) {
 			f.Starts = []task.Order{
 				{Task: id, Run: 2, Spec: "60ms", Needs: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1},
@@ -92,9 +89,8 @@
 		})},
 		{"agent: asks another one for a spec", &Frame{AskSpec: id.Job}},
 		{"agent: gives a spec to another one", &Frame{GiveSpec: &GivenSpec{Known: true, Spec: "60ms"}}},
-		{"agent: hello", frameWith(func(f *Frame) {
-			f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Level: LevelWatch}
-		})},
+		{"agent: hello", frameWith(
+			func(f *Frame) { f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Level: LevelWatch} })},
 		{"agent: state", frameWith(func(f *Frame) {
 			f.State = &State{Free: task.Needs{CPU: 3200, MemoryMB: 1024}, Speed: 0.75,
 				Accepting: true, Cleared: true, SeenSeq: 69999}
@@ -110,9 +106,8 @@
 					Reason: code.RunListed, Took: 59 * time.Millisecond, TargetFault: true})
 			}
 		})},
-		{"agent: an offer", frameWith(func(f *Frame) {
-			f.Reservation = &Reservation{ID: 9, Room: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}}
-		})},
+		{"agent: an offer", frameWith(
+			func(f *Frame) { f.Reservation = &Reservation{ID: 9, Room: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}} })},
 	}
 }
 
