--- a/node/configure.go
+++ b/node/configure.go
@@ -140,8 +140,8 @@
 }
 
 // AwaitTable returns the configuration in force. If there is none, it waits for one until
-// firstConfigTimeout after startup or until ctx is done, and then returns nil. Later calls return
-// nil without waiting.
+// firstConfigTimeout after startup or until ctx is done, and returns nil if none has arrived. After
+// firstConfigTimeout it does not wait.
 func (e *Entry) AwaitTable(ctx context.Context) *routing.Table {
 	left := firstConfigTimeout - (e.clock.now() - e.startedAt)
 	if table := e.table.Load(); table != nil || left <= 0 {
--- a/node/reach_test.go
+++ b/node/reach_test.go
@@ -63,8 +63,8 @@
 	assert.Assert(t, e.links["side-0"] != nil && e.links["side-2"] != nil)
 }
 
-// TestStoreWatchRateIsBounded guards against a load on the store that grows with the number of
-// entries, and against long waits after a failed watch.
+// TestStoreWatchRateIsBounded guards against a rate of watches that grows with the number of entries
+// before the wait reaches maxWatchWait, and against long waits after a failed watch.
 func TestStoreWatchRateIsBounded(t *testing.T) {
 	for _, entries := range []int{1, 3, 16, 55, 184, 1000} {
 		e := newEntryWithAgents(t, 0)
