--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -15,8 +15,9 @@
 	"github.com/beaconpoint/beaconpoint/testutil/page"
 )
 
-// names returns the names of a set's metrics, a histogram by its own.
-func names(set *metrics.Set) []string {
+// metricNames returns the names of the metrics in a set. A histogram appears once, under its
+// base name.
+func metricNames(set *metrics.Set) []string {
 	var out bytes.Buffer
 	set.WritePrometheus(&out)
 	found := make(map[string]bool)
@@ -26,9 +27,9 @@
 		if strings.HasSuffix(base, "_sum") || strings.HasSuffix(base, "_count") {
 			continue
 		}
-		if whole, ok := strings.CutSuffix(base, "_bucket"); ok {
+		if histogram, ok := strings.CutSuffix(base, "_bucket"); ok {
 			labels = vmrange.ReplaceAllString(labels, "")
-			name = whole
+			name = histogram
 			if labels != "}" {
 				name += "{" + labels
 			}
@@ -42,22 +43,24 @@
 	return list
 }
 
-// vmrange is the label of a histogram's bucket.
+// vmrange matches the bucket label of a histogram.
 var vmrange = regexp.MustCompile(`,?vmrange="[^"]*"`)
 
-func TestMetricsPageFitsTheCode(t *testing.T) {
+// TestMetricsPageMatchesCode guards against metrics that the page lacks, and against a page that
+// describes others.
+func TestMetricsPageMatchesCode(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, log)
 	e.submitted.UpdateDuration(time.Now())
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, log)
 	a.startSeconds.UpdateDuration(time.Now())
 	a.renewSeconds.UpdateDuration(time.Now())
-	a.renewSecondsBefore.UpdateDuration(time.Now())
+	a.renewSecondsDeprecated.UpdateDuration(time.Now())
 	for _, h := range []map[stage.Stage]*metrics.Histogram{e.stages, a.stages} {
 		for _, one := range h {
 			one.Update(1)
 		}
 	}
-	inCode := append(names(e.metrics), names(a.metrics)...)
+	inCode := append(metricNames(e.metrics), metricNames(a.metrics)...)
 	page.CheckMetrics(t, "../docs/metrics-node.md", inCode)
 }
--- a/node/pause_test.go
+++ b/node/pause_test.go
@@ -7,19 +7,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAProcessThatWasStoppedJudgesNobodyAtOnce: its peers' frames wait to be read.
-func TestAProcessThatWasStoppedJudgesNobodyAtOnce(t *testing.T) {
+// TestSilenceCheckIsSkippedAfterPause guards against closing connections whose frames are still
+// unread after a pause of the process.
+func TestSilenceCheckIsSkippedAfterPause(t *testing.T) {
 	const tick = 20 * time.Millisecond
-	var p pause
+	var p pauseDetector
 	now := time.Hour
-	assert.Assert(t, !p.tick(now), "the first tick follows no other")
+	assert.Assert(t, !p.tick(now), "the first tick checks the silence of peers")
 	for range 10 {
 		now += tick
 		p.tick(now)
 	}
 	assert.Assert(t, p.tick(now+tick))
 	now += 2 * time.Second
-	assert.Assert(t, !p.tick(now), "stopped for 2 s")
+	assert.Assert(t, !p.tick(now), "the tick after a pause of 2 s checks the silence of peers")
 	assert.Assert(t, !p.tick(now+catchUpTime-tick))
 	assert.Assert(t, p.tick(now+catchUpTime))
 }
--- a/node/reach_test.go
+++ b/node/reach_test.go
@@ -13,8 +13,9 @@
 	"github.com/beaconpoint/beaconpoint/settings"
 )
 
-// directoryEntry returns an entry that was told of so many agents, none of which listens.
-func directoryEntry(t *testing.T, agents int) *Entry {
+// newEntryWithAgents returns an entry whose directory has the given number of agents, none of
+// which listens.
+func newEntryWithAgents(t *testing.T, agents int) *Entry {
 	t.Helper()
 	e := NewEntry(settings.DefaultNode(), Directory{}, ConfigSource{}, slog.New(slog.DiscardHandler))
 	for k := range agents {
@@ -23,18 +24,19 @@
 	return e
 }
 
-// adjust lets one tick pass.
-func (e *Entry) adjust(t *testing.T) {
+// tickReach calls adjustReach as a tick does.
+func (e *Entry) tickReach(t *testing.T) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.adjustReach(t.Context(), e.clock.now())
 }
 
-// TestAnEntryOpensABoundedNumberOfLinks, and all of them in a small fleet.
-func TestAnEntryOpensABoundedNumberOfLinks(t *testing.T) {
+// TestEntryLimitsLinks guards against connecting to more than reach.FullMesh agents of a large fleet,
+// or to fewer than all of a small one.
+func TestEntryLimitsLinks(t *testing.T) {
 	for _, agents := range []int{11, reach.FullMesh, 800} {
-		e := directoryEntry(t, agents)
-		e.adjust(t)
+		e := newEntryWithAgents(t, agents)
+		e.tickReach(t)
 		e.mu.Lock()
 		links := len(e.links)
 		e.mu.Unlock()
@@ -43,29 +45,29 @@
 	}
 }
 
-// TestAnAgentThatIsGoneFromTheDirectoryIsDropped, unless this entry reaches it: an entry that could
-// not may have been cut off itself.
-func TestAnAgentThatIsGoneFromTheDirectoryIsDropped(t *testing.T) {
-	e := directoryEntry(t, 3)
-	e.adjust(t)
+// TestOnlyDisconnectedAgentIsDropped guards against dropping a connected agent that another entry has
+// removed from the directory, since that entry may have been cut off itself.
+func TestOnlyDisconnectedAgentIsDropped(t *testing.T) {
+	e := newEntryWithAgents(t, 3)
+	e.tickReach(t)
 	e.mu.Lock()
-	reached := peer.NewConn(nil)
-	e.links["side-0"].conn = reached
+	conn := peer.NewConn(nil)
+	e.links["side-0"].conn = conn
 	e.mu.Unlock()
 	e.applyProcess(peer.RoleAgent, Registration{Name: "side-0"}, true)
 	e.applyProcess(peer.RoleAgent, Registration{Name: "side-1"}, true)
-	e.adjust(t)
+	e.tickReach(t)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	assert.Equal(t, len(e.links), 2)
 	assert.Assert(t, e.links["side-0"] != nil && e.links["side-2"] != nil)
 }
 
-// TestWatchesOfTheStoreDoNotGrowWithTheFleet: all entries together begin a bounded number a second,
-// and one that failed is soon followed by the next.
-func TestWatchesOfTheStoreDoNotGrowWithTheFleet(t *testing.T) {
+// TestStoreWatchRateIsBounded guards against a rate of watches that grows with the number of entries
+// before the wait reaches maxWatchWait, and against long waits after a failed watch.
+func TestStoreWatchRateIsBounded(t *testing.T) {
 	for _, entries := range []int{1, 3, 16, 55, 184, 1000} {
-		e := directoryEntry(t, 0)
+		e := newEntryWithAgents(t, 0)
 		for k := range entries {
 			e.applyProcess(peer.RoleEntry, Registration{Name: fmt.Sprintf("edge-%d", k), Addr: "127.0.0.1:1"}, false)
 		}
@@ -75,45 +77,45 @@
 			least, most = min(least, wait), max(most, wait)
 		}
 		assert.Assert(t, least >= minWatchWait && most <= maxWatchWait)
-		if entries < 4*watchesPerSecond {
+		if entries < 4*watchesPerSecond { // the wait is below maxWatchWait
+			// The longest of 100 random waits is up to 10% below the limit.
 			assert.Assert(t, float64(entries)/most.Seconds() <= 1.1*watchesPerSecond)
 		}
-		if entries > 2*watchesPerSecond {
-			assert.Assert(t, most-least > most/4, "all watches end together")
+		if entries > 2*watchesPerSecond { // the wait is at least twice minWatchWait
+			assert.Assert(t, most-least > most/4, "waits are not spread out")
 		}
 		assert.Equal(t, e.watchWait(1), minWatchWait)
 	}
 }
 
-// TestAnAgentForgetsEntries that have not been connected for long: hosts are replaced each day, and
-// each one would be dialled for good.
-func TestAnAgentForgetsEntries(t *testing.T) {
+// TestAgentForgetsDisconnectedEntries guards against dialing entries on replaced hosts forever.
+func TestAgentForgetsDisconnectedEntries(t *testing.T) {
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
 	var now time.Duration
-	a.clock = newClockOf(func() time.Duration { return now })
-	a.clock.began = 0
+	a.clock = newBootClockFrom(func() time.Duration { return now })
+	a.clock.origin = 0
 	now = time.Second
 	a.addEntries([]Registration{{Name: "edge-1", Addr: "127.0.0.1:1"}})
-	count, _ := a.missing()
-	assert.Equal(t, count, 0) // it has just been heard of
-	now += dialRetry
-	count, due := a.missing()
+	count, _ := a.disconnectedEntries()
+	assert.Equal(t, count, 0) // the entry was just listed
+	now += dialRetryMin
+	count, due := a.disconnectedEntries()
 	assert.Equal(t, count, 1)
 	assert.Equal(t, len(due), 1)
-	a.introduced("edge-1")
-	now += introducedTime / 2
-	_, due = a.missing()
-	assert.Equal(t, len(due), 0, "it knows this agent")
-	now += introducedTime
-	_, due = a.missing()
-	assert.Equal(t, len(due), 1, "it may have restarted")
-	now += forgetTime
-	count, due = a.missing()
+	a.recordIntroduction("edge-1")
+	now += reintroduceInterval / 2
+	_, due = a.disconnectedEntries()
+	assert.Equal(t, len(due), 0, "introduced again before reintroduceInterval")
+	now += reintroduceInterval
+	_, due = a.disconnectedEntries()
+	assert.Equal(t, len(due), 1, "not introduced again after reintroduceInterval")
+	now += forgetAfter
+	count, due = a.disconnectedEntries()
 	assert.Equal(t, count+len(due)+len(a.entries), 0)
 }
 
-// TestAnAgentIntroducesItselfToABoundedNumberOfEntries.
-func TestAnAgentIntroducesItselfToABoundedNumberOfEntries(t *testing.T) {
+// TestAgentLimitsIntroductions guards against introductions to every entry of a large fleet.
+func TestAgentLimitsIntroductions(t *testing.T) {
 	a := NewAgent(settings.DefaultNode(), Directory{}, TargetCalls{}, slog.New(slog.DiscardHandler))
 	var list []Registration
 	for k := range 184 {
--- a/node/retry.go
+++ b/node/retry.go
@@ -9,34 +9,34 @@
 	"github.com/beaconpoint/beaconpoint/event"
 )
 
-// tryTimeouts are how long the tries of a call to the store may take, by turns. A
-// silent store has lost the call that waits, so the next must come soon after it is
-// back; a slow one needs a long try now and then. Before they were bounded so, calls
-// that were lost in a silent store took 1.4 s.
-var tryTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 900 * time.Millisecond}
+// attemptTimeouts are the timeouts of successive attempts of a call to the store, used in rotation.
+// An attempt made while the store is silent is lost, and a short timeout lets the next one start
+// soon after the store is back. The longest one allows a slow store to answer.
+var attemptTimeouts = []time.Duration{250 * time.Millisecond, 500 * time.Millisecond, 900 * time.Millisecond}
 
-// The next try follows firstPause after each failure at least. From the beginning of
-// one try to the next passes twice as long each time, up to storeRetry, so that a
-// store that refuses at once is not pressed. Not measured.
 const (
-	firstPause = 50 * time.Millisecond
-	storeRetry = 500 * time.Millisecond
+	// storeRetryMin is the shortest pause after a failed attempt, and the first interval between
+	// the starts of attempts.
+	storeRetryMin = 50 * time.Millisecond
+	// storeRetryMax is the longest interval between the starts of attempts, up to which the
+	// interval doubles. It limits the load on a store that rejects calls immediately.
+	storeRetryMax = 500 * time.Millisecond
 )
 
-// storeCall is a call to the store that is repeated until it succeeds. It logs when
-// the store is lost and when it is back.
-type storeCall struct {
-	name     string // for logs
+// storeRetrier counts the consecutive failures of a call to the store, on which the timeout of an
+// attempt and the pause after it depend. It logs the first failure and the next success.
+type storeRetrier struct {
+	name     string // of the call, in log lines
 	log      *slog.Logger
-	failures int // in a row
+	failures int // consecutive
 }
 
-// try makes the call once, with extra on top of the time that a try may take. It
-// reports whether it succeeded; after a failure it has paused.
-func (c *storeCall) try(ctx context.Context, extra time.Duration, do func(context.Context) error) bool {
+// attempt makes the call once, with a timeout extended by extra, and reports whether it
+// succeeded. After a failure it waits before it returns.
+func (c *storeRetrier) attempt(ctx context.Context, extra time.Duration, do func(context.Context) error) bool {
 	began := time.Now()
-	bounded, cancel := context.WithTimeout(ctx, extra+tryTimeouts[c.failures%len(tryTimeouts)])
-	err := do(bounded)
+	attemptCtx, cancel := context.WithTimeout(ctx, extra+attemptTimeouts[c.failures%len(attemptTimeouts)])
+	err := do(attemptCtx)
 	cancel()
 	if err == nil {
 		if c.failures > 0 {
@@ -48,15 +48,15 @@
 	if c.failures == 0 && ctx.Err() == nil {
 		c.log.Warn(event.StoreLost, "call", c.name, "why", err.Error())
 	}
-	interval := backoff.Interval(firstPause, storeRetry, c.failures)
-	sleep(ctx, max(firstPause, interval-time.Since(began)))
+	interval := backoff.Interval(storeRetryMin, storeRetryMax, c.failures)
+	sleep(ctx, max(storeRetryMin, interval-time.Since(began)))
 	c.failures++
 	return false
 }
 
-// untilDone repeats a call to the store until it succeeds or the context ends.
-func untilDone(ctx context.Context, log *slog.Logger, name string, do func(context.Context) error) {
-	c := &storeCall{name: name, log: log}
-	for ctx.Err() == nil && !c.try(ctx, 0, do) {
+// retryUntilDone repeats a call to the store until it succeeds or ctx is done.
+func retryUntilDone(ctx context.Context, log *slog.Logger, name string, do func(context.Context) error) {
+	c := &storeRetrier{name: name, log: log}
+	for ctx.Err() == nil && !c.attempt(ctx, 0, do) {
 	}
 }
--- a/node/spec.go
+++ b/node/spec.go
@@ -9,45 +9,46 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// specWait bounds how long an agent waits for a spec that another one asks for: the entry
-// names it as soon as the spec is on its way here. Not measured; a little less than the
-// other one waits.
-const specWait = 120 * time.Millisecond
+// specWaitTimeout is how long an agent that is asked for a spec waits until the spec arrives. An
+// entry names the agent in orders to others as soon as it has sent the spec there. The requesting
+// agent waits twice as long for the answer.
+const specWaitTimeout = 120 * time.Millisecond
 
-// specWaiters are other agents' requests for specs that have not come yet. It is used under
-// its agent's lock.
-type specWaiters map[string][]chan struct{} // by job
+// specWaiters holds the pending requests of other agents for specs that have not arrived, by job:
+// for each request a channel that wake closes. It is guarded by the agent's lock.
+type specWaiters map[string][]chan struct{}
 
-// wait returns a channel that is closed when an order of the job has come.
+// wait returns a channel that is closed when an order of the job arrives.
 func (w *specWaiters) wait(job string) <-chan struct{} {
 	if *w == nil {
 		*w = make(specWaiters)
 	}
-	came := make(chan struct{})
-	(*w)[job] = append((*w)[job], came)
-	return came
+	ready := make(chan struct{})
+	(*w)[job] = append((*w)[job], ready)
+	return ready
 }
 
-// drop forgets the requests for a job's spec.
+// drop removes all pending requests for a job's spec. Those that still wait look for the spec at
+// their own timeout.
 func (w specWaiters) drop(job string) {
 	delete(w, job)
 }
 
-// arrived wakes those that wait for the jobs of a frame's orders.
-func (w specWaiters) arrived(f *peer.Frame) {
+// wake closes the channels of requests for the jobs in a frame's orders.
+func (w specWaiters) wake(f *peer.Frame) {
 	if len(w) == 0 {
 		return
 	}
 	for _, order := range f.Starts {
-		for _, came := range w[order.Task.Job] {
-			close(came)
+		for _, ready := range w[order.Task.Job] {
+			close(ready)
 		}
 		delete(w, order.Task.Job)
 	}
 }
 
-// giveSpec answers another agent that needs a job's spec, once it is here.
-func (a *Agent) giveSpec(c *peer.Conn, job string) {
+// sendSpec answers another agent's request for a job's spec.
+func (a *Agent) sendSpec(c *peer.Conn, job string) {
 	spec, known := a.awaitSpec(job)
 	buf, err := peer.AppendFrame(nil, &peer.Frame{GiveSpec: &peer.GivenSpec{Known: known, Spec: spec}})
 	if err == nil {
@@ -58,7 +59,8 @@
 	}
 }
 
-// awaitSpec returns a job's spec, which may be on its way here.
+// awaitSpec returns a job's spec and whether it is known. If the spec has not arrived yet, awaitSpec
+// waits for it for up to specWaitTimeout.
 func (a *Agent) awaitSpec(job string) (string, bool) {
 	a.mu.Lock()
 	spec, known := a.supervisor.Spec(job)
@@ -66,12 +68,12 @@
 		a.mu.Unlock()
 		return spec, true
 	}
-	came := a.specs.wait(job)
+	ready := a.specs.wait(job)
 	a.mu.Unlock()
-	timer := time.NewTimer(specWait)
+	timer := time.NewTimer(specWaitTimeout)
 	defer timer.Stop()
 	select {
-	case <-came:
+	case <-ready:
 	case <-timer.C:
 	}
 	a.mu.Lock()
@@ -80,9 +82,9 @@
 	return a.supervisor.Spec(job)
 }
 
-// fetchSpec gets a job's spec from the agent at addr.
+// fetchSpec fetches a job's spec from the agent at addr and passes it to the supervisor.
 func (a *Agent) fetchSpec(job, addr string) {
-	spec, known, err := askSpec(job, addr)
+	spec, known, err := requestSpec(job, addr)
 	if err != nil {
 		a.log.Info(event.SpecNotFetched, "job", job, "addr", addr, "error", err.Error())
 	}
@@ -93,9 +95,10 @@
 	a.scheduleFlush(now)
 }
 
-// askSpec asks the agent at addr for a job's spec.
-func askSpec(job, addr string) (spec string, known bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), 2*specWait)
+// requestSpec requests a job's spec from the agent at addr. known is false without an error if the
+// agent does not have the spec or its reply has no GiveSpec.
+func requestSpec(job, addr string) (spec string, known bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), 2*specWaitTimeout)
 	defer cancel()
 	raw, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -106,7 +109,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	if err := raw.SetDeadline(time.Now().Add(2 * specWait)); err != nil {
+	if err := raw.SetDeadline(time.Now().Add(2 * specWaitTimeout)); err != nil {
 		return "", false, err
 	}
 	if _, err := raw.Write(buf); err != nil {
--- a/node/spec_test.go
+++ b/node/spec_test.go
@@ -16,7 +16,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newSpecAgent returns an agent with the connection of an entry.
+// newSpecAgent returns an agent with a connection from an entry.
 func newSpecAgent() *Agent {
 	calls := TargetCalls{
 		Start: func(supervisor.StartCall) supervisor.Reply { return supervisor.Reply{Outcome: supervisor.NoAnswer} },
@@ -29,32 +29,31 @@
 	return a
 }
 
-// bringSpec has the entry send an order with the spec of a job. The agent knows no target
-// and rejects the order; it keeps the spec.
-func bringSpec(a *Agent, job string) {
-	a.receive(a.lastConn, &peer.Frame{Seq: 1, Starts: []task.Order{{Task: task.ID{Job: job}, Run: 1, Spec: "text"}}})
+// deliverSpec delivers an order with the spec of a job. The agent has no target and rejects the
+// order, but keeps the spec.
+func deliverSpec(a *Agent, job string) {
+	a.receive(a.lastConnID, &peer.Frame{Seq: 1, Starts: []task.Order{{Task: task.ID{Job: job}, Run: 1, Spec: "text"}}})
 }
 
-// TestAnAgentAsksAnotherOneForASpec over one connection each: a spec that is there is given
-// at once, one that is on its way when it comes, and of one that does not come the asker is
-// told.
-func TestAnAgentAsksAnotherOneForASpec(t *testing.T) {
+// TestAgentServesSpecToAgent guards against a late answer to a request for a spec, and against
+// reporting a spec as unknown before specWaitTimeout has elapsed.
+func TestAgentServesSpecToAgent(t *testing.T) {
 	for name, c := range map[string]struct {
-		comesAfter time.Duration
-		known      bool
+		arrivesAfter time.Duration
+		known        bool
 	}{
-		"there":         {0, true},
-		"on its way":    {specWait / 2, true},
-		"does not come": {time.Hour, false},
+		"present":      {0, true},
+		"in flight":    {specWaitTimeout / 2, true},
+		"not arriving": {time.Hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := newSpecAgent()
 				near, far := net.Pipe()
 				go a.accept(t.Context(), far)
-				bring := time.AfterFunc(c.comesAfter, func() { bringSpec(a, "j") })
-				defer bring.Stop()
-				if c.comesAfter == 0 {
+				deliver := time.AfterFunc(c.arrivesAfter, func() { deliverSpec(a, "j") })
+				defer deliver.Stop()
+				if c.arrivesAfter == 0 {
 					synctest.Wait()
 				}
 				began := time.Now()
@@ -68,23 +67,23 @@
 				if c.known {
 					assert.Equal(t, f.GiveSpec.Spec, "text")
 				}
-				assert.Equal(t, time.Since(began), min(c.comesAfter, specWait))
+				assert.Equal(t, time.Since(began), min(c.arrivesAfter, specWaitTimeout))
 				_, err = peer.ReadFrame(near)
-				assert.Assert(t, err != nil, "the connection ends")
+				assert.Assert(t, err != nil, "the connection is still open after the answer")
 				near.Close()
 			})
 		})
 	}
 }
 
-// TestAnAgentThatCannotBeAsked: the error says why.
-func TestAnAgentThatCannotBeAsked(t *testing.T) {
+// TestRequestSpecReturnsDialError guards against losing the reason why an agent can't be reached.
+func TestRequestSpecReturnsDialError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := l.Addr().String()
 	l.Close()
-	_, known, err := askSpec("j", addr)
+	_, known, err := requestSpec("j", addr)
 	assert.Assert(t, !known)
-	var refused *net.OpError
-	assert.Assert(t, errors.As(err, &refused), "%v", err)
+	var opErr *net.OpError
+	assert.Assert(t, errors.As(err, &opErr), "%v", err)
 }
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -9,20 +9,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAStoppingEntryServesUntilNobodySendsHere: the balancer asks each second, takes
-// an entry out after two misses, and what it has passed on before that may arrive a
-// while later.
-func TestAStoppingEntryServesUntilNobodySendsHere(t *testing.T) {
+// TestStoppingEntryServesUntilBalancerRemovesIt guards against refusing requests that the load
+// balancer forwards before it removes the entry after two failed readiness checks.
+func TestStoppingEntryServesUntilBalancerRemovesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const missed, underWay = 2 * time.Second, 300 * time.Millisecond
-		ctx, tell := context.WithCancel(t.Context())
-		e := newTestEntry(&store{})
+		const removalTime, forwardTime = 2 * time.Second, 300 * time.Millisecond
+		ctx, cancel := context.WithCancel(t.Context())
+		e := newTestEntry(&fakeStore{})
 		e.settings.Grace = 6 * time.Second
 		var closed time.Duration
 		began := time.Now()
-		tell()
+		cancel()
 		assert.NilError(t, e.stop(ctx, func() { closed = time.Since(began) }, func() {}))
-		assert.Assert(t, closed >= missed+underWay, "closed after %v", closed)
-		assert.Assert(t, closed <= e.settings.Grace/2) // half is left for what runs
+		assert.Assert(t, closed >= removalTime+forwardTime, "closed after %v", closed)
+		assert.Assert(t, closed <= e.settings.Grace/2) // half remains for running jobs
 	})
 }
--- a/peer/array_test.go
+++ b/peer/array_test.go
@@ -13,35 +13,35 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestFramesOfTheVersionBeforeAreUnderstood decodes the bytes that the version before
-// sends for each kind of frame.
-func TestFramesOfTheVersionBeforeAreUnderstood(t *testing.T) {
+// TestDecodeArrayEncodedFrames guards against failing to decode the frames of LevelBase peers
+// during an upgrade.
+func TestDecodeArrayEncodedFrames(t *testing.T) {
 	text, err := os.ReadFile("testdata/frames-array.golden")
 	assert.NilError(t, err)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
-	before := make(map[string][]byte)
+	arrays := make(map[string][]byte)
 	for k := 0; k+1 < len(lines); k += 2 {
-		before[lines[k]], err = hex.DecodeString(lines[k+1])
+		arrays[lines[k]], err = hex.DecodeString(lines[k+1])
 		assert.NilError(t, err)
 	}
 	found := 0
 	for _, g := range goldenFrames() {
-		bytes, ok := before[g.name]
+		bytes, ok := arrays[g.name]
 		if !ok {
-			continue // a kind that the version before does not know
+			continue // not sent at LevelBase
 		}
 		found++
 		f, err := DecodeFrame(bytes[framing.PrefixSize:])
 		assert.NilError(t, err, g.name)
 		assert.DeepEqual(t, f, g.frame)
 	}
-	assert.Equal(t, found, len(before))
+	assert.Equal(t, found, len(arrays))
 }
 
-// TestTheVersionBeforeUnderstandsFrames decodes each kind of frame as the version before
-// does: into its own structs, which lack the new fields.
-func TestTheVersionBeforeUnderstandsFrames(t *testing.T) {
-	for _, g := range append(goldenFrames(), goldenFrame{"whole", whole()}) {
+// TestLevelBasePeerDecodesFrames guards against frames that LevelBase peers can't decode into their
+// structs, which lack the new fields.
+func TestLevelBasePeerDecodesFrames(t *testing.T) {
+	for _, g := range append(goldenFrames(), goldenFrame{"most fields", fullFrame()}) {
 		buf, err := AppendFrame(nil, g.frame)
 		assert.NilError(t, err)
 		var old arrayFrame
@@ -51,7 +51,7 @@
 		assert.Equal(t, old.UsedReservation, g.frame.UsedReservation)
 		assert.Equal(t, len(old.Starts), len(g.frame.Starts))
 		for k, o := range g.frame.Starts {
-			o.SpecKept, o.SpecAt = false, "" // the version before is never sent such an order
+			o.SpecKept, o.SpecAt = false, "" // never sent to LevelBase peers
 			assert.Equal(t, old.Starts[k].order(), o)
 		}
 		assert.DeepEqual(t, old.Ended, g.frame.Ended)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestFramesCanGrow: a field that this version does not know is skipped, in the frame and
-// in a part of it.
-func TestFramesCanGrow(t *testing.T) {
+// TestDecodeFrameSkipsUnknownFields guards against rejecting frames of a later version that
+// have additional fields.
+func TestDecodeFrameSkipsUnknownFields(t *testing.T) {
 	type laterHello struct {
 		Name, Later string
 	}
@@ -74,15 +74,17 @@
 		Hello *laterHello
 		Later []task.Needs
 	}
-	buf, err := framing.Append(nil, maxFrame, framing.Maps, &laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Needs{{CPU: 1}}})
+	buf, err := framing.Append(nil, maxFrameBytes, framing.Maps,
+		&laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Needs{{CPU: 1}}})
 	assert.NilError(t, err)
 	f, err := DecodeFrame(buf[framing.PrefixSize:])
 	assert.NilError(t, err)
 	assert.DeepEqual(t, f, &Frame{Seq: 7, Hello: &Hello{Name: "edge-1"}})
 }
 
-// TestArraysOfAnotherLengthAreRefused: the form of the version before can't grow.
-func TestArraysOfAnotherLengthAreRefused(t *testing.T) {
+// TestDecodeFrameRejectsArrayOfWrongLength guards against decoding arrays into the wrong
+// fields.
+func TestDecodeFrameRejectsArrayOfWrongLength(t *testing.T) {
 	for _, body := range [][]byte{{0x92, 1, 2}, {0x94, 1, 2, 3, 4}} {
 		var needs task.Needs
 		assert.ErrorContains(t, msgpack.Unmarshal(body, &needs), "number of fields")
