--- a/code/code.go
+++ b/code/code.go
@@ -69,7 +69,7 @@
 	ChangeUnknown Code = 506
 )
 
-// Codes for starts refused by an agent (6xx). The task did not run.
+// Codes for starts rejected by an agent (6xx). The task did not run.
 const (
 	AgentNotConfirmed Code = 601
 	NotASeat          Code = 602
@@ -108,7 +108,8 @@
 	RunTargetLeft      Code = 720
 )
 
-// Reasons for decisions of entries and agents (8xx).
+// Reasons for decisions (8xx): of an entry on a job (801-810, 813-815) or on moving a run
+// (811, 812), and of an agent on the health of its target (821-824).
 const (
 	JobAllDone      Code = 801
 	JobAttempts     Code = 802
@@ -133,19 +134,23 @@
 
 // Row describes one code. docs/result-codes.md is generated from the rows.
 type Row struct {
-	Code    Code
-	Name    string
-	Status  int
+	Code Code
+	// Name identifies the code in logs and metrics.
+	Name string
+	// Status is the HTTP status of responses that carry the code. The packages under seats
+	// send it; package platform sends no codes and sets its own statuses.
+	Status int
+	// Meaning is a sentence for docs/result-codes.md. It is not sent to callers.
 	Meaning string
 }
 
-// Lookup returns the row of c and whether c is known.
+// Lookup returns the row of c and whether c is in Table.
 func Lookup(c Code) (Row, bool) {
 	e, ok := byCode[c]
 	return e, ok
 }
 
-// Name returns the name of the code, or "code-" and its number if it is unknown.
+// Name returns the name of the code, or "code-" and its number if it is not in Table.
 func (c Code) Name() string {
 	if e, ok := byCode[c]; ok {
 		return e.Name
@@ -153,7 +158,7 @@
 	return "code-" + strconv.Itoa(int(c))
 }
 
-// Status returns the HTTP status of the code, or 500 if it is unknown.
+// Status returns the HTTP status of the code, or 500 if it is not in Table.
 func (c Code) Status() int {
 	if e, ok := byCode[c]; ok {
 		return e.Status
--- a/event/event.go
+++ b/event/event.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Kind identifies a log event. It is the message of the log line.
+// Kind identifies a log event. The message of a log line is its kind.
 type Kind = string
 
 // Process, configuration and connection events.
@@ -111,7 +111,7 @@
 	{Stopping, false, "The process has received a stop signal and completes the work in progress."},
 	{Stop, false, "The process stops."},
 	{Fault, false, "The process stops because of an error."},
-	{SettingsReloaded, false, "The settings were reloaded after SIGHUP."},
+	{SettingsReloaded, false, "The settings file was read again after SIGHUP; only the log level takes effect."},
 	{SettingsRefused, false, "The reloaded settings are invalid; the previous ones stay in force."},
 	{ConfigTaken, false, "A newer configuration version is in force."},
 	{ConfigRefused, false, "A configuration could not be decoded."},
@@ -134,7 +134,7 @@
 	{AgentForgotten, false, "An agent was unreachable for minutes; its address is removed from the directory."},
 	{AgentTargetEjected, false, "An agent has ejected its target; the runs on it are moved."},
 	{JobAccepted, true, "A job was accepted: its objective, the estimate of its critical path and the caller's estimate of it, the time that the caller waits, and the number of waiting jobs."},
-	{JobRefused, false, "A job was refused before it was accepted."},
+	{JobRefused, false, "A request was refused: no job was created."},
 	{TaskPlaced, true, "A task was sent to an agent: the age of the agent's state, the free capacity that remains on its target, and the time that the job had waited."},
 	{TaskMoved, false, "A run is stopped and retried on another target."},
 	{TaskWaits, true, "A task is queued again, with the outcome of its last run."},
@@ -144,7 +144,7 @@
 	{JobJoined, false, "Another entry already has the job or its result, according to the named home: this entry starts no runs and waits for the result."},
 	{JobYielded, false, "Another entry has the job, according to the home of a lower rank: this entry stops its runs and waits for the result."},
 	{JobCancelPassed, false, "A caller cancelled a job that this entry does not have, and whether a home had a record of the job."},
-	{EntryIsolated, false, "Most agents are silent or lost, so the entry considers itself isolated and starts only jobs that it has claimed; or the isolation has ended."},
+	{EntryIsolated, false, "Most agents are silent or lost, so the entry is isolated and starts only jobs that it has claimed; or, if the attribute isolated is false, the isolation has ended."},
 	{EntryStopped, false, "The process was suspended for so long that its agents consider it lost; it reconnects and claims its jobs again."},
 	{HallSuspected, false, "Several agents of a data hall are silent and none is reachable: the hall is considered lost and its connections are closed."},
 	{HallFound, false, "An agent of a data hall that was considered lost is reachable again; the hall receives work."},
@@ -154,7 +154,7 @@
 	{EntryLost, false, "The agent lost its connection to an entry; the runs of the entry are stopped."},
 	{OwnerLeaseOver, false, "The lease of an entry has expired; its run is stopped."},
 	{TargetIncarnation, false, "A heartbeat arrived from a new incarnation of the target."},
-	{TargetIncarnationOver, false, "A call was rejected by a different incarnation of the target."},
+	{TargetIncarnationOver, false, "A call was rejected by another incarnation of the target than the one addressed."},
 	{HeartbeatHeldUp, false, "A delayed heartbeat arrived: its incarnation is not the one that responds to calls."},
 	{HeartbeatRefused, false, "A heartbeat was invalid, with the error; it is ignored and the previous one stays in force."},
 	{DocumentUnreadable, false, "A configuration could not be compressed or decompressed."},
@@ -170,15 +170,15 @@
 	{TargetHealth, false, "The target was ejected or has recovered."},
 	{TargetLosingReplies, false, "The target did not respond to a call but responds to others; a second renewal is kept in flight."},
 	{RenewalFailed, false, "A renewal of the target's lease failed, first of consecutive failures, with the reason or the error."},
-	{StartRefused, true, "An order was rejected: its needs, the free capacity, and the age of the entry's lease."},
+	{StartRefused, true, "The agent rejected an order: its needs, the free capacity, and the age of the entry's lease."},
 	{StartUnanswered, false, "The target did not respond to a start, with the error; the start may still take effect."},
 	{StartRejected, false, "The target rejected a start."},
 	{RunStopping, false, "A run is being stopped."},
 	{RunEnded, true, "A run has definitely ended, with its duration and estimate."},
 	{StopFailed, false, "The target did not accept a stop, with the reason or the error; the stop is resent until the end of the run is listed."},
-	{ClaimHeld, false, "An entry claims a job that another entry has; it waits for the result or for the job."},
+	{ClaimHeld, false, "An entry claims a job that another entry has; the claiming entry waits for the result or for the job."},
 	{ClaimTakenOver, false, "A job was handed over to an entry that waited for it or claimed it later: the previous owner gave it up and all its runs have ended, or the owner is lost and its runs have definitely ended."},
-	{ClaimHolderSilent, false, "An entry was notified that another one waits for its job and did not respond; it is considered lost."},
+	{ClaimHolderSilent, false, "An entry was notified that another entry waits for its job and did not respond; the notified entry is considered lost."},
 	{UnknownEnd, false, "The target listed an unknown kind of end; the task is started again."},
 }
 
--- a/event/log.go
+++ b/event/log.go
@@ -11,7 +11,8 @@
 
 // Limits of a log.
 const (
-	// maxBacklogBytes limits the lines that have not been written yet.
+	// maxBacklogBytes is the backlog of unwritten lines from which lines are dropped. Lines
+	// that report dropped lines are exempt.
 	maxBacklogBytes = 512 << 10
 	// maxRoutineBacklogBytes is the backlog from which routine lines are dropped.
 	maxRoutineBacklogBytes = 256 << 10
@@ -25,8 +26,9 @@
 const failedWrites Kind = "failed-writes"
 
 // Log writes lines in the background, so that a stalled reader does not block the process.
-// If the backlog is full, lines are dropped, routine ones first, and counted in a
-// lines-dropped line when writing is possible again. Log is safe for concurrent use.
+// Lines are dropped if the backlog is full, routine ones first, or if too many lines of
+// their kind are logged in one second. The numbers of dropped lines are logged with the
+// first line of a later second. Log is safe for concurrent use.
 type Log struct {
 	out  io.Writer
 	wake chan struct{} // signals that the backlog is not empty
--- a/event/log_test.go
+++ b/event/log_test.go
@@ -47,7 +47,7 @@
 		assert.Assert(t, l.Dropped() > 0)
 		assert.Assert(t, len(l.backlog) < maxBacklogBytes)
 		cancel()
-		text, read := make(chan string), make(chan struct{})
+		text, closed := make(chan string), make(chan struct{})
 		go func() {
 			raw, _ := io.ReadAll(reader)
 			text <- string(raw)
@@ -55,10 +55,10 @@
 		go func() {
 			synctest.Wait()
 			writer.Close()
-			close(read)
+			close(closed)
 		}()
 		all := <-text
-		<-read
+		<-closed
 		// Routine lines must be dropped before others.
 		assert.Equal(t, strings.Count(all, `"msg":"job-answered"`), 60)
 		assert.Assert(t, strings.Contains(all, `"msg":"lines-dropped"`))
@@ -78,13 +78,13 @@
 		time.Sleep(time.Second)
 		log.Info(JobAnswered)
 		l.flush()
-		assert.Equal(t, strings.Count(out.String(), TaskMoved), maxLinesPerSecond+1) // one more in the lines-dropped line
+		assert.Equal(t, strings.Count(out.String(), TaskMoved), maxLinesPerSecond+1) // the lines-dropped line also contains the kind
 		assert.Equal(t, strings.Count(out.String(), JobAnswered), 2)
 		assert.Assert(t, strings.Contains(out.String(), `"kind":"task-moved","count":7`))
 	})
 }
 
-// BenchmarkLine measures a written line and one below the log level.
+// BenchmarkLine measures logging a line that is written and a line below the log level.
 func BenchmarkLine(b *testing.B) {
 	lines := func(l *Log, log *slog.Logger) func(*testing.B) {
 		return func(b *testing.B) {
@@ -100,7 +100,7 @@
 	}
 	l := NewLog(io.Discard)
 	b.Run("written", lines(l, l.Logger(slog.LevelInfo)))
-	b.Run("off", lines(l, l.Logger(slog.LevelError)))
+	b.Run("below-level", lines(l, l.Logger(slog.LevelError)))
 }
 
 // brokenWriter fails on the first write.
