--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,6 +1,6 @@
 // Package explain explains the outcome of a job from the logs of all processes. It relies
 // on the kinds in package event and on the attributes set in the log.go files of packages
-// owner and supervisor.
+// owner and supervisor; the attribute kind of an answer is the number of an owner.Kind.
 package explain
 
 import (
@@ -149,8 +149,9 @@
 	return lines.Err()
 }
 
-// filterRelated returns the lines that concern a target, agent or entry of the job and
-// were logged within contextWindow of it.
+// filterRelated returns the lines of others that concern a target, agent or entry of the
+// job and were logged at most contextWindow before the first or after the last line in own,
+// which is sorted by time. It modifies others.
 func filterRelated(others, own []line) []line {
 	names := make(map[string]bool)
 	for _, l := range own {
@@ -211,14 +212,15 @@
 		}
 		return text + "."
 	}
-	if lost := last(event.TaskPlaced); lost != nil {
-		return fmt.Sprintf("%s has no answer: its entry stopped while its tasks were running.", id)
+	if placed := last(event.TaskPlaced); placed != nil {
+		return fmt.Sprintf("%s has no answer in these logs; at least one of its tasks was placed.", id)
 	}
-	return fmt.Sprintf("%s has no answer, and none of its tasks was placed.", id)
+	return fmt.Sprintf("%s has no answer in these logs, and none of its tasks was placed.", id)
 }
 
 // describeCauses lists the most frequent reasons why runs of the job were delayed or did
-// not succeed. It returns an empty string if there are none.
+// not succeed. If there are none, it returns the number of jobs that were waiting when the
+// job was accepted, or an empty string if the logs do not contain it.
 func describeCauses(own, others []line) string {
 	counts := make(map[string]int)
 	var waited float64
@@ -249,7 +251,7 @@
 	}
 	if len(parts) == 0 && waited == 0 {
 		if accepted := firstOfKind(own, event.JobAccepted); accepted != nil {
-			return fmt.Sprintf("no capacity was free; %.0f jobs were waiting when it was accepted", accepted.fields.number("waiting"))
+			return fmt.Sprintf("no cause is logged; %.0f jobs were waiting when it was accepted", accepted.fields.number("waiting"))
 		}
 		return ""
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -27,8 +27,8 @@
 	assert.ErrorIs(t, err, ErrUnknownJob)
 }
 
-// TestJobNamesEvacuationAsCause guards against an explanation that omits evacuations as
-// the cause of a rejected task or a refused job.
+// TestJobNamesEvacuationAsCause guards against an explanation that does not name an
+// evacuation as the cause of a rejected order and a refused job.
 func TestJobNamesEvacuationAsCause(t *testing.T) {
 	entry := []byte(`{"time":"2026-01-01T00:00:01Z","msg":"job-accepted","node":"edge","job":"aa"}
 {"time":"2026-01-01T00:00:01.1Z","msg":"halls-evacuated","node":"edge","halls":["mtm"],"from":"store"}
