--- a/settings/node.go
+++ b/settings/node.go
@@ -26,15 +26,16 @@
 	Role peer.Role `yaml:"role" validate:"required,oneof=entry agent"`
 	// Name is the unique name of the host.
 	Name string `yaml:"name" validate:"required,max=64"`
-	// Hall is the data hall of the host. The key is the platform's term.
+	// Hall is the data hall of the host. Its key, zone, is the platform's term for a hall.
 	Hall string `yaml:"zone" validate:"required,max=64"`
-	// Peers is the address for other processes of the system.
+	// Peers is the address on which the process accepts connections of other processes of
+	// the system.
 	Peers string `yaml:"peers" validate:"required,tcp_addr"`
 	// Store is the address of the platform's key-value store.
 	Store string `yaml:"store" validate:"required,tcp_addr"`
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration `yaml:"grace" validate:"min=1s,max=30m"`
-	// Far is the factor by which a task takes longer if it runs away from its data.
+	// Far is the factor by which a task takes longer outside the rack of its input data.
 	Far float64 `yaml:"far" validate:"min=1,max=100"`
 	// LinkMbps is the bandwidth of the host's link in megabits per second. Zero means
 	// unknown; the link is then assumed to be fast.
@@ -42,22 +43,25 @@
 	// Descriptors is the limit of open file descriptors of the process. Zero means
 	// unknown.
 	Descriptors int `yaml:"descriptors" validate:"min=0"`
-	// Contracts are the platform contracts in force. Term is the optimisation objective,
-	// "worth" or "served"; if empty, the contracts determine it.
+	// Contracts are the platform contracts in force.
 	Contracts []string `yaml:"contracts" validate:"max=100"`
-	Term      string   `yaml:"term" validate:"omitempty,oneof=worth served"`
+	// Term is the optimisation objective of an entry, "worth" or "served". If empty, the
+	// contracts determine it.
+	Term string `yaml:"term" validate:"omitempty,oneof=worth served"`
 	// Metrics is the address on which metrics are served. If empty, they are not served.
 	Metrics string `yaml:"metrics" validate:"omitempty,tcp_addr"`
 	// LogLevel is the minimum log level: debug, info, warn or error.
 	LogLevel string `yaml:"log_level" validate:"oneof=debug info warn error"`
-	// Callers is an entry's address for callers, Readiness the one for readiness checks of
-	// the load balancer.
-	Callers   string `yaml:"callers" validate:"required_if=Role entry,omitempty,tcp_addr"`
+	// Callers is the address on which an entry accepts requests of callers.
+	Callers string `yaml:"callers" validate:"required_if=Role entry,omitempty,tcp_addr"`
+	// Readiness is the address on which an entry accepts readiness checks of the load
+	// balancer.
 	Readiness string `yaml:"readiness" validate:"required_if=Role entry,omitempty,tcp_addr"`
-	// Reports is an agent's address for heartbeats of its target, Target the address of
-	// the target. The key worker is the platform's term for a target.
+	// Reports is the address on which an agent accepts heartbeats of its target.
 	Reports string `yaml:"reports" validate:"required_if=Role agent,omitempty,tcp_addr"`
-	Target  string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
+	// Target is the address of an agent's target. Its key, worker, is the platform's term
+	// for a target.
+	Target string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
 }
 
 // DefaultNode returns the default settings.
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -37,6 +37,7 @@
 	return root, nil
 }
 
+// unknownField matches the decoder's message for an unknown key.
 var unknownField = regexp.MustCompile(`^line (\d+): field (\S+) not found in type \S+$`)
 
 // typeFaults converts decoding errors to faults.
@@ -53,6 +54,7 @@
 	return faults
 }
 
+// linePrefix matches a decoder message that begins with a line number.
 var linePrefix = regexp.MustCompile(`^line (\d+): (.*)$`)
 
 // lineFault converts a decoder message with an optional line prefix to a fault.
@@ -69,7 +71,8 @@
 const minSuggestionPrefix = 3
 
 // suggestion returns a message suffix that suggests a known key with the same prefix, or
-// an empty string.
+// an empty string. The suggested key may equal the unknown one if only one of the given
+// types has it.
 func suggestion(key string, known []reflect.Type) string {
 	for _, t := range known {
 		for k := range t.NumField() {
@@ -110,7 +113,8 @@
 	return faults
 }
 
-// faultText returns the message for a failed validation.
+// faultText returns the message for a failed validation. The limits of strings and lists
+// are lengths.
 func faultText(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
