--- a/cmd/beaconpoint/explain.go
+++ b/cmd/beaconpoint/explain.go
@@ -10,7 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/explain"
 )
 
-// explainCommand explains the outcome of a job from the logs of all processes.
+// explainCommand returns the command that explains the outcome of a job from the logs of
+// all processes.
 func explainCommand() *command {
 	var id string
 	var files []string
--- a/cmd/beaconpoint/main.go
+++ b/cmd/beaconpoint/main.go
@@ -68,7 +68,7 @@
 	return s
 }
 
-// codesCommand prints the content of docs/result-codes.md.
+// codesCommand returns the command that prints the content of docs/result-codes.md.
 func codesCommand() *command {
 	c := &command{sub: newCommand("codes", "prints the table of result codes")}
 	c.run = func(context.Context) int {
@@ -78,7 +78,7 @@
 	return c
 }
 
-// eventsCommand prints the content of docs/log-events.md.
+// eventsCommand returns the command that prints the content of docs/log-events.md.
 func eventsCommand() *command {
 	c := &command{sub: newCommand("events", "prints the table of log events")}
 	c.run = func(context.Context) int {
@@ -103,7 +103,7 @@
 	return exit
 }
 
-// newStderrLogger returns a JSON logger on standard error.
+// newStderrLogger returns a JSON logger on standard error. An invalid level means info.
 func newStderrLogger(level string) *slog.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
--- a/cmd/beaconpoint/node.go
+++ b/cmd/beaconpoint/node.go
@@ -16,7 +16,7 @@
 	"github.com/beaconpoint/beaconpoint/settings"
 )
 
-// nodeCommand runs an entry or agent on the platform.
+// nodeCommand returns the command that runs an entry or agent on the platform.
 func nodeCommand() *command {
 	var path string
 	c := &command{sub: newCommand("node", "runs the entry or agent of one host on the platform")}
@@ -64,7 +64,7 @@
 	return newAgentNode(s, log).Run(ctx)
 }
 
-// newEntryNode returns an entry that is connected to the platform.
+// newEntryNode returns an entry that uses the platform's store and serves callers.
 func newEntryNode(s settings.Node, log *slog.Logger) *node.Entry {
 	store := platform.NewStore(s.Store, log)
 	e := node.NewEntry(s, store.Directory(), store.Source(), log)
@@ -73,7 +73,7 @@
 	return e
 }
 
-// newAgentNode returns an agent that is connected to the platform.
+// newAgentNode returns an agent that uses the platform's store and serves its target.
 func newAgentNode(s settings.Node, log *slog.Logger) *node.Agent {
 	store := platform.NewStore(s.Store, log)
 	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.Target).Calls(), log)
@@ -81,8 +81,8 @@
 	return a
 }
 
-// reload reloads the settings on each SIGHUP until the context is cancelled. Only the log
-// level takes effect immediately; other settings require a restart.
+// reload reads the settings again on each SIGHUP until the context is cancelled. Only the
+// log level takes effect; other settings require a restart.
 func reload(ctx context.Context, path string, level *slog.LevelVar, log *slog.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -102,7 +102,7 @@
 	}
 }
 
-// logLevelOf returns the log level in the settings, or info if it is invalid.
+// logLevelOf returns the log level in the settings, which have been validated.
 func logLevelOf(s settings.Node) slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(s.LogLevel)); err != nil {
--- a/cmd/beaconpoint/seats_operate.go
+++ b/cmd/beaconpoint/seats_operate.go
@@ -23,10 +23,12 @@
 // tokenVariable is the environment variable that holds the bearer token.
 const tokenVariable = "BEACONPOINT_TOKEN"
 
-// rolloutPollInterval and rolloutTimeout bound the wait for a rollout.
+// Limits of the wait for a rollout.
 const (
+	// rolloutPollInterval is the time between two status calls to all entries.
 	rolloutPollInterval = 100 * time.Millisecond
-	rolloutTimeout      = 30 * time.Second
+	// rolloutTimeout limits the wait.
+	rolloutTimeout = 30 * time.Second
 )
 
 // operatorFlags holds the flags that all operator commands share.
@@ -36,6 +38,7 @@
 	output  string
 }
 
+// flags sets the defaults and adds the flags to a command.
 func (o *operatorFlags) flags(s *flaggy.Subcommand) {
 	o.entries, o.output, o.token = defaultOperatorURLs, "text", os.Getenv(tokenVariable)
 	s.String(&o.entries, "e", "entries", "operator base URLs of the entries, comma-separated")
@@ -43,6 +46,7 @@
 	s.String(&o.output, "o", "output", "text or json")
 }
 
+// clients returns a client for each of the given entries.
 func (o *operatorFlags) clients() []*operator.Client {
 	var all []*operator.Client
 	for base := range strings.SplitSeq(o.entries, ",") {
@@ -85,7 +89,7 @@
 func planCommand() *command {
 	var o operatorFlags
 	var file, out string
-	c := &command{sub: newCommand("plan", "prints the changes of an intent and writes the plan to confirm")}
+	c := &command{sub: newCommand("plan", "prints the changes of an intent; with --plan, writes the plan to a file")}
 	o.flags(c.sub)
 	c.sub.String(&file, "f", "file", "the intent, as YAML or JSON")
 	c.sub.String(&out, "p", "plan", "file to write the plan to")
@@ -99,6 +103,7 @@
 	return c
 }
 
+// readIntent reads an intent from a file. Unknown keys are errors.
 func readIntent(file string) (config.Intent, error) {
 	var in config.Intent
 	if file == "" {
@@ -175,7 +180,7 @@
 }
 
 // waitForRollout waits until the given entries and the agents connected to them run the
-// revision.
+// revision. It returns exitUnknown after rolloutTimeout or if the context is cancelled.
 func (o *operatorFlags) waitForRollout(ctx context.Context, revision uint64) int {
 	deadline := time.Now().Add(rolloutTimeout)
 	for {
@@ -187,7 +192,7 @@
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			fmt.Fprintln(os.Stderr)
-			return reportError(exitUnknown, errors.New("the change was accepted, but not all processes confirmed it before the wait ended"))
+			return reportError(exitUnknown, errors.New("the change was accepted, but not every entry reported it in force, for itself and its agents, before the wait ended"))
 		}
 		time.Sleep(rolloutPollInterval)
 	}
--- a/cmd/beaconpoint/seats_roles.go
+++ b/cmd/beaconpoint/seats_roles.go
@@ -17,11 +17,12 @@
 	nodesettings "github.com/beaconpoint/beaconpoint/settings"
 )
 
-// The files seats_*.go hold the commands of the earlier engine (seats/README.md), which the
-// deploy file does not run: processes in this file, caller commands in seats_submit.go,
-// operator commands in seats_operate.go.
+// The files seats_*.go contain the commands of the earlier engine (seats/README.md), which
+// the deploy file does not run: this file those that run processes, seats_submit.go those of
+// callers, seats_operate.go those of operators.
 
-// settingsFlag adds the flag for the settings file, which `node` has, too.
+// settingsFlag adds the flag for the path of the settings file. The command node has the
+// flag, too, for settings of another format.
 func settingsFlag(s *flaggy.Subcommand, path *string) {
 	s.String(path, "s", "settings", "the YAML settings file of the process")
 }
--- a/doc.go
+++ b/doc.go
@@ -1,7 +1,7 @@
 // Package beaconpoint is the root of a dispatcher for sub-second tasks. It contains no
 // code. README.md describes how to run the dispatcher, docs/architecture.md how it works.
 //
-// Deployments run `beaconpoint node`. Its packages, in reading order:
+// Deployments run `beaconpoint node`. The packages of that command, in reading order:
 //
 //	task, routing    data model: jobs, tasks and runs; queues
 //	evacuation       data halls that get no new work
@@ -15,7 +15,9 @@
 //	estimate         estimates of task durations
 //	event, explain   log events; explanation of the outcome of a job
 //	code             result codes
-//	settings, stage, backoff
+//	settings         settings file of a process
+//	stage            stages of a job whose durations are measured
+//	backoff          intervals between retries
 //
 // testutil/fleet simulates the state machines in virtual time. testutil/system runs the
 // system over loopback with the test doubles in standin. The packages under seats are the
--- a/pages_test.go
+++ b/pages_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// walk calls do with each file whose name has the given suffix, except in the journal and
-// in build output.
+// walk calls do with each file whose name has the given suffix, except in the journal, in
+// build output and in the Git directory.
 func walk(t *testing.T, suffix string, do func(path, text string)) {
 	t.Helper()
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -41,14 +41,16 @@
 	walk(t, ".md", func(path, text string) {
 		for _, m := range link.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), m[1]))
-			assert.Check(t, err == nil, "%s links to %s", path, m[1])
+			assert.Check(t, err == nil, "%s links to %s, which does not exist", path, m[1])
 		}
 	})
 }
 
-// Names of tests in pages, and of constants in the first column of tables.
+// Patterns of names in pages.
 var (
-	testName     = regexp.MustCompile("`(Test[A-Za-z]+)`")
+	// testName matches the name of a test.
+	testName = regexp.MustCompile("`(Test[A-Za-z]+)`")
+	// constantName matches the name of a constant in the first column of a table.
 	constantName = regexp.MustCompile("`([a-zA-Z]+)`")
 )
 
@@ -62,7 +64,7 @@
 		raw, err := os.ReadFile(page)
 		assert.NilError(t, err)
 		for _, m := range testName.FindAllStringSubmatch(string(raw), -1) {
-			assert.Check(t, strings.Contains(all, "func "+m[1]+"("), "%s names %s", page, m[1])
+			assert.Check(t, strings.Contains(all, "func "+m[1]+"("), "%s names %s, which is not defined in the code", page, m[1])
 		}
 	}
 	raw, err := os.ReadFile("docs/decisions.md")
@@ -73,8 +75,9 @@
 		}
 		first, _, _ := strings.Cut(line[1:], "|")
 		for _, m := range constantName.FindAllStringSubmatch(first, -1) {
+			// A constant, variable or function of this name, or a settings key.
 			defined := regexp.MustCompile(`(?m)(^\s*|const |func .*)` + m[1] + `\b.*(=|\{)|yaml:"` + m[1] + `"`)
-			assert.Check(t, defined.MatchString(all), "docs/decisions.md names %s", m[1])
+			assert.Check(t, defined.MatchString(all), "docs/decisions.md names %s, which is not defined in the code", m[1])
 		}
 	}
 }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,4 +1,4 @@
-// Package store is a test double for the platform's metadata store: keys with revisions,
+// Package store is a test double for the platform's key-value store: keys with revisions,
 // transactions and watches over HTTP, with fault injection. Leases are not implemented.
 package store
 
@@ -17,16 +17,16 @@
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
-	Made     uint64 `json:"made,omitempty"`
+	Made     uint64 `json:"made,omitempty"` // revision at which the key was created
 	Lease    uint64 `json:"lease,omitempty"`
 	Gone     bool   `json:"gone,omitempty"`
-	At       uint64 `json:"at,omitempty"`
+	At       uint64 `json:"at,omitempty"` // revision of the store
 }
 
 // Faults configures injected faults.
 type Faults struct {
-	// Down rejects every call with status 503. Silent leaves every call without a response
-	// until its caller disconnects.
+	// Down rejects every call with status 503, and Silent leaves every call without a
+	// response until its caller disconnects.
 	Down, Silent bool
 	// LoseAnswers is the number of further writes that are committed without a response.
 	LoseAnswers int
@@ -63,7 +63,7 @@
 	return s
 }
 
-// SetFaults replaces the injected faults.
+// SetFaults replaces the injected faults. It has no effect on watches that already wait.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +71,7 @@
 	s.notifyWatches()
 }
 
-// Put writes a key, as an operator does.
+// Put writes a key without preconditions.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	s.notifyWatches()
 }
 
-// Remove removes a key, as an operator does.
+// Remove removes a key without preconditions.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +140,7 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// notifyWatches wakes all watches. The caller holds s.mu.
+// notifyWatches wakes all watches, which then look for changes. The caller holds s.mu.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -239,6 +239,8 @@
 	}
 }
 
+// precondition requires a key to have a revision. Revision 0 means that the key must not
+// exist.
 type precondition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"revision"`
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -1,6 +1,6 @@
 // Package target is a test double for a target of the platform. It starts, stops and lists
-// runs over HTTP, and ends them as lapsed if its lease expires. The spec of a task is its
-// duration.
+// runs over HTTP. Runs that end after the lease has expired are listed as lapsed. The spec
+// of a task is its duration.
 package target
 
 import (
@@ -72,7 +72,7 @@
 	t.notifyWaiters()
 }
 
-// SetFailing makes all runs started from now on fail.
+// SetFailing sets whether runs that are started from now on fail.
 func (t *Target) SetFailing(failing bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,7 +94,7 @@
 	return append([]string(nil), t.duplicates...)
 }
 
-// Report sends a heartbeat to the agent at addr.
+// Report sends a heartbeat with the given sequence number to the agent at addr.
 func (t *Target) Report(addr string, seq int) error {
 	t.mu.Lock()
 	state := "ready"
@@ -129,12 +129,12 @@
 	t.mux.ServeHTTP(rw, r)
 }
 
-// id returns the instance ID of the current incarnation.
+// id returns the instance ID of the current incarnation. The caller holds t.mu.
 func (t *Target) id() string {
 	return fmt.Sprintf("i-%p-%d", t, t.incarnations)
 }
 
-// clock returns the reading of the target's clock in milliseconds.
+// clock returns the reading of the target's clock in milliseconds. The caller holds t.mu.
 func (t *Target) clock() int64 {
 	return time.Since(t.startedAt).Milliseconds() + 1000
 }
@@ -147,8 +147,8 @@
 	t.changed = make(chan struct{})
 }
 
-// order is the union of the request bodies.
-type order struct {
+// requestBody is the union of the bodies of starts, stops and renewals.
+type requestBody struct {
 	Task     string `json:"task"`
 	Run      int    `json:"run"`
 	Spec     string `json:"spec"`
@@ -158,24 +158,25 @@
 	Wait     int64  `json:"wait_ms"`
 }
 
-// decodeOrder decodes a request and checks its fencing token. It returns with t.mu held.
-func (t *Target) decodeOrder(rw http.ResponseWriter, r *http.Request) (order, bool) {
-	var o order
-	err := json.NewDecoder(r.Body).Decode(&o)
+// decodeBody decodes a request and checks its fencing token. If it returns false, it has
+// written the response. It returns with t.mu held.
+func (t *Target) decodeBody(rw http.ResponseWriter, r *http.Request) (requestBody, bool) {
+	var body requestBody
+	err := json.NewDecoder(r.Body).Decode(&body)
 	t.mu.Lock()
 	switch {
 	case err != nil:
 		rw.WriteHeader(http.StatusBadRequest)
-		return o, false
-	case o.Token < t.token:
+		return body, false
+	case body.Token < t.token:
 		t.reply(rw, http.StatusConflict, map[string]any{"reason": "fence"})
-		return o, false
+		return body, false
 	}
-	t.token = o.Token
-	return o, true
+	t.token = body.Token
+	return body, true
 }
 
-// reply writes a response that includes the clock reading.
+// reply writes a response that includes the clock reading. The caller holds t.mu.
 func (t *Target) reply(rw http.ResponseWriter, status int, body map[string]any) {
 	body["clock_ms"] = t.clock()
 	rw.Header().Set("Content-Type", "application/json")
@@ -183,49 +184,51 @@
 	_ = json.NewEncoder(rw).Encode(body) // the caller may have disconnected
 }
 
-// handleStart starts a run unless it is already active, too late or superseded.
+// handleStart starts a run. A start of an active run is accepted without effect; one that
+// is too late or superseded is rejected.
 func (t *Target) handleStart(rw http.ResponseWriter, r *http.Request) {
-	o, ok := t.decodeOrder(rw, r)
+	body, ok := t.decodeBody(rw, r)
 	defer t.mu.Unlock()
-	switch active := t.runs[o.Task]; {
+	switch active := t.runs[body.Task]; {
 	case !ok:
-	case active != nil && active.number == o.Run:
+	case active != nil && active.number == body.Run:
 		t.reply(rw, http.StatusOK, map[string]any{})
-	case o.Deadline < t.clock():
+	case body.Deadline < t.clock():
 		t.reply(rw, http.StatusConflict, map[string]any{"reason": "late"})
-	case o.Run <= t.highestRun[o.Task]:
+	case body.Run <= t.highestRun[body.Task]:
 		t.reply(rw, http.StatusConflict, map[string]any{"reason": "old"})
 	default:
-		t.startRun(o)
+		t.startRun(body)
 		t.reply(rw, http.StatusOK, map[string]any{})
 	}
 }
 
-// startRun starts a run that ends after the duration in its spec.
-func (t *Target) startRun(o order) {
-	t.deadline = max(t.deadline, o.Deadline)
-	if t.runs[o.Task] != nil {
-		t.duplicates = append(t.duplicates, o.Task)
+// startRun starts a run that ends after the duration in its spec. The caller holds t.mu.
+func (t *Target) startRun(body requestBody) {
+	t.deadline = max(t.deadline, body.Deadline)
+	if t.runs[body.Task] != nil {
+		t.duplicates = append(t.duplicates, body.Task)
 	}
-	t.starts = append(t.starts, o.Task)
+	t.starts = append(t.starts, body.Task)
 	end := "done"
 	if t.failing {
 		end = "failed"
 	}
-	duration, err := time.ParseDuration(o.Spec)
+	duration, err := time.ParseDuration(body.Spec)
 	if err != nil {
 		duration, end = 0, "failed"
 	}
-	started := &run{name: o.Task, number: o.Run, incarnation: t.incarnations}
+	started := &run{name: body.Task, number: body.Run, incarnation: t.incarnations}
 	started.timer = time.AfterFunc(duration, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		t.finishRun(started, end)
 	})
-	t.runs[o.Task] = started
+	t.runs[body.Task] = started
 }
 
-// finishRun lists the end of a run. The caller holds t.mu.
+// finishRun ends a run and lists its end, unless the run has already ended. The caller
+// holds t.mu.
 func (t *Target) finishRun(r *run, end string) {
 	if t.runs[r.name] != r || r.incarnation != t.incarnations {
 		return
@@ -243,13 +246,13 @@
 
 // handleStop ends a run, or prevents a later start of it.
 func (t *Target) handleStop(rw http.ResponseWriter, r *http.Request) {
-	o, ok := t.decodeOrder(rw, r)
+	body, ok := t.decodeBody(rw, r)
 	defer t.mu.Unlock()
 	if !ok {
 		return
 	}
-	t.highestRun[o.Task] = max(t.highestRun[o.Task], o.Run)
-	if active := t.runs[o.Task]; active != nil && active.number == o.Run {
+	t.highestRun[body.Task] = max(t.highestRun[body.Task], body.Run)
+	if active := t.runs[body.Task]; active != nil && active.number == body.Run {
 		t.finishRun(active, "stopped")
 	}
 	t.reply(rw, http.StatusOK, map[string]any{})
@@ -258,17 +261,17 @@
 // handleRenew renews the lease and returns the run lists, if necessary after waiting for a
 // run to end.
 func (t *Target) handleRenew(rw http.ResponseWriter, r *http.Request) {
-	o, ok := t.decodeOrder(rw, r)
+	body, ok := t.decodeBody(rw, r)
 	defer t.mu.Unlock()
 	if !ok {
 		return
 	}
-	t.deadline = max(t.deadline, o.Deadline)
-	for len(t.ended) > 0 && t.ended[0][0].(uint64) <= o.LastSeen {
+	t.deadline = max(t.deadline, body.Deadline)
+	for len(t.ended) > 0 && t.ended[0][0].(uint64) <= body.LastSeen {
 		t.ended = t.ended[1:]
 	}
-	if len(t.ended) == 0 && o.Wait > 0 {
-		t.waitForEnd(r, time.Duration(o.Wait)*time.Millisecond)
+	if len(t.ended) == 0 && body.Wait > 0 {
+		t.waitForEnd(r, time.Duration(body.Wait)*time.Millisecond)
 	}
 	running := [][]any{}
 	for _, active := range t.runs {
@@ -277,8 +280,8 @@
 	t.reply(rw, http.StatusOK, map[string]any{"running": running, "ended": append([][]any{}, t.ended...)})
 }
 
-// waitForEnd waits until a run ends, the time is over, or the caller disconnects. It
-// releases t.mu while waiting.
+// waitForEnd waits until a run ends, d has passed, or the caller disconnects. It releases
+// t.mu while waiting.
 func (t *Target) waitForEnd(r *http.Request, d time.Duration) {
 	changed := t.changed
 	t.mu.Unlock()
