--- a/cmd/beaconpoint/golden_test.go
+++ b/cmd/beaconpoint/golden_test.go
@@ -46,10 +46,14 @@
 	var out strings.Builder
 	fmt.Fprintln(&out, exitOK, exitFailed, exitUsage, exitRefused, exitConflict, exitUnknown, exitUnreachable)
 	for _, args := range [][]string{
-		{"version"}, {"node", "--settings", "absent.yaml"}, {"node", "--settings", "bad-node.yaml"}, {"entry", "--settings", "absent.yaml"}, {"entry"},
-		{"check", "--settings", "good-node.yaml"}, {"check", "--settings", "good-entry.yaml"}, {"agent", "--settings", "good-entry.yaml"},
-		{"submit", "--entry", "http://127.0.0.1:1"}, {"submit", "--payload", "{"}, {"plan"}, {"plan", "--file", "bad-node.yaml"},
-		{"show", "--entries", "http://127.0.0.1:1"}, {"explain", "0000000000000001"}, {"explain", "--log", "absent.log", "x"},
+		{"version"}, {"node", "--settings", "absent.yaml"}, {"node", "--settings", "bad-node.yaml"},
+		{"entry", "--settings", "absent.yaml"}, {"entry"},
+		{"check", "--settings", "good-node.yaml"}, {"check", "--settings", "good-entry.yaml"},
+		{"agent", "--settings", "good-entry.yaml"},
+		{"submit", "--entry", "http://127.0.0.1:1"}, {"submit", "--payload", "{"}, {"plan"},
+		{"plan", "--file", "bad-node.yaml"},
+		{"show", "--entries", "http://127.0.0.1:1"}, {"explain", "0000000000000001"},
+		{"explain", "--log", "absent.log", "x"},
 	} {
 		exit, text := run(t, args...)
 		text, _, _ = strings.Cut(text, "\n")
--- a/cmd/beaconpoint/seats_operate.go
+++ b/cmd/beaconpoint/seats_operate.go
@@ -192,7 +192,8 @@
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			fmt.Fprintln(os.Stderr)
-			return reportError(exitUnknown, errors.New("the change was accepted, but not every entry reported it in force, for itself and its agents, before the wait ended"))
+			return reportError(exitUnknown, errors.New(
+				"the change was accepted, but not all entries and agents reported it in force before the wait ended"))
 		}
 		time.Sleep(rolloutPollInterval)
 	}
@@ -284,8 +285,10 @@
 				continue
 			}
 			all[base] = s
-			fmt.Fprintf(&text, "%s standing %v settled %v; roster %d with %d seats, %d agents (%d open); configuration %d, agents %d; %d tasks wait, %d run\n",
-				s.Seat, s.Standing, s.Settled, s.Roster, len(s.Seats), len(s.Agents), s.Open, s.Config, s.AgentConfig, s.Waiting, s.Running)
+			fmt.Fprintf(&text,
+				"%s standing %v settled %v; roster %d with %d seats, %d agents (%d open); configuration %d, agents %d; %d tasks wait, %d run\n",
+				s.Seat, s.Standing, s.Settled, s.Roster, len(s.Seats), len(s.Agents), s.Open,
+				s.Config, s.AgentConfig, s.Waiting, s.Running)
 		}
 		o.print(all, text.String())
 		return exit
--- a/cmd/beaconpoint/seats_roles.go
+++ b/cmd/beaconpoint/seats_roles.go
@@ -43,7 +43,9 @@
 }
 
 // roleCommand returns a command that runs a process with settings of the given role.
-func roleCommand(role wire.Role, description string, build func(settings.Settings, *slog.Logger) (runner, error)) *command {
+func roleCommand(
+	role wire.Role, description string, build func(settings.Settings, *slog.Logger) (runner, error),
+) *command {
 	var path string
 	c := &command{sub: newCommand(string(role), description)}
 	settingsFlag(c.sub, &path)
--- a/event/log_test.go
+++ b/event/log_test.go
@@ -78,7 +78,8 @@
 		time.Sleep(time.Second)
 		log.Info(JobAnswered)
 		l.flush()
-		assert.Equal(t, strings.Count(out.String(), TaskMoved), maxLinesPerSecond+1) // the lines-dropped line also contains the kind
+		// The lines-dropped line contains the kind, too.
+		assert.Equal(t, strings.Count(out.String(), TaskMoved), maxLinesPerSecond+1)
 		assert.Equal(t, strings.Count(out.String(), JobAnswered), 2)
 		assert.Assert(t, strings.Contains(out.String(), `"kind":"task-moved","count":7`))
 	})
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -251,7 +251,8 @@
 	}
 	if len(parts) == 0 && waited == 0 {
 		if accepted := firstOfKind(own, event.JobAccepted); accepted != nil {
-			return fmt.Sprintf("no cause is logged; %.0f jobs were waiting when it was accepted", accepted.fields.number("waiting"))
+			return fmt.Sprintf("no cause is logged; %.0f jobs were waiting when it was accepted",
+				accepted.fields.number("waiting"))
 		}
 		return ""
 	}
--- a/pages_test.go
+++ b/pages_test.go
@@ -64,7 +64,8 @@
 		raw, err := os.ReadFile(page)
 		assert.NilError(t, err)
 		for _, m := range testName.FindAllStringSubmatch(string(raw), -1) {
-			assert.Check(t, strings.Contains(all, "func "+m[1]+"("), "%s names %s, which is not defined in the code", page, m[1])
+			assert.Check(t, strings.Contains(all, "func "+m[1]+"("),
+				"%s names %s, which is not defined in the code", page, m[1])
 		}
 	}
 	raw, err := os.ReadFile("docs/decisions.md")
@@ -77,7 +78,8 @@
 		for _, m := range constantName.FindAllStringSubmatch(first, -1) {
 			// A constant, variable or function of this name, or a settings key.
 			defined := regexp.MustCompile(`(?m)(^\s*|const |func .*)` + m[1] + `\b.*(=|\{)|yaml:"` + m[1] + `"`)
-			assert.Check(t, defined.MatchString(all), "docs/decisions.md names %s, which is not defined in the code", m[1])
+			assert.Check(t, defined.MatchString(all),
+				"docs/decisions.md names %s, which is not defined in the code", m[1])
 		}
 	}
 }
--- a/settings/node_test.go
+++ b/settings/node_test.go
@@ -18,7 +18,9 @@
 	raw, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	values := map[string]string{"node_name": "edge-a-1", "zone": "a", "ip": "10.1.0.13", "port_range.0": "7720",
-		"platform.address": "10.2.0.7:8169", "bounds.grace_s": "6", "bounds.far_factor": "1.5", "limits.link_mbps": "25.0", "limits.max_fds": "4100", "contracts|json": `["base","pressure"]`, "listen.front": "10.1.0.13:8161",
+		"platform.address": "10.2.0.7:8169", "bounds.grace_s": "6", "bounds.far_factor": "1.5",
+		"limits.link_mbps": "25.0", "limits.max_fds": "4100", "contracts|json": `["base","pressure"]`,
+		"listen.front": "10.1.0.13:8161",
 		"listen.ready": "10.1.0.13:8167", "listen.control": "10.1.0.13:8166", "app": "10.1.0.13:8165"}
 	return regexp.MustCompile(`\{\{([^}]+)\}\}`).ReplaceAllFunc(raw, func(placeholder []byte) []byte {
 		value, ok := values[strings.Trim(string(placeholder), "{}")]
@@ -42,10 +44,13 @@
 }
 
 func TestNodeFaultsReportLines(t *testing.T) {
-	_, err := ParseNode([]byte("role: entry\nname: e\nzone: z\npeers: nowhere\nstore: 127.0.0.1:1\ncaller: 127.0.0.1:2\n"))
+	_, err := ParseNode([]byte(
+		"role: entry\nname: e\nzone: z\npeers: nowhere\nstore: 127.0.0.1:1\ncaller: 127.0.0.1:2\n"))
 	assert.Error(t, err, `line 6: unknown key "caller"; did you mean "callers"?`)
-	_, err = ParseNode([]byte("role: agent\nname: e\nzone: z\npeers: nowhere\nstore: 127.0.0.1:1\nworker: 127.0.0.1:2\n"))
-	assert.Error(t, err, "reports is not set, and an agent needs it\nline 4: peers is \"nowhere\", not an address such as 127.0.0.1:7400")
+	_, err = ParseNode([]byte(
+		"role: agent\nname: e\nzone: z\npeers: nowhere\nstore: 127.0.0.1:1\nworker: 127.0.0.1:2\n"))
+	assert.Error(t, err,
+		"reports is not set, and an agent needs it\nline 4: peers is \"nowhere\", not an address such as 127.0.0.1:7400")
 	_, err = ParseNode(nil)
 	assert.Error(t, err, "the file is empty")
 }
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -101,15 +101,17 @@
 	if t.draining {
 		state = "draining"
 	}
-	body, err := json.Marshal(map[string]any{"service": t.service, "address": "127.0.0.1:1", "zone": t.Hall, "version": "v1",
-		"slots": 8, "state": state, "capacity": map[string]int{"cpu": t.cpu, "mem_mb": 4096}, "labels": []string{"a"},
+	body, err := json.Marshal(map[string]any{"service": t.service, "address": "127.0.0.1:1", "zone": t.Hall,
+		"version": "v1",
+		"slots":   8, "state": state, "capacity": map[string]int{"cpu": t.cpu, "mem_mb": 4096}, "labels": []string{"a"},
 		"clock_ms": t.clock(), "seq": seq})
 	id := t.id()
 	t.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	resp, err := http.Post("http://"+addr+"/beaconpoint/instances/"+id+"/heartbeat", "application/json", bytes.NewReader(body))
+	resp, err := http.Post("http://"+addr+"/beaconpoint/instances/"+id+"/heartbeat", "application/json",
+		bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
