--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -9,119 +9,119 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// attempts is how many failed runs of a task fail its job.
+// attempts is the number of failed runs of a task that fail its job.
 const attempts = 3
 
-// faultTime is how long after its beginning a fault may be felt.
-const faultTime = 5000 * time.Millisecond
+// faultEffectTime is how long after its start a fault may affect jobs.
+const faultEffectTime = 5000 * time.Millisecond
 
-// callerLatency is how long what a caller sends takes to its entry.
+// callerLatency is the one-way delay between a caller and its entry.
 const callerLatency = 3 * time.Millisecond
 
-// client is the caller of one job. Where its connection breaks or no answer comes in
-// time it submits the job again, through any entry.
+// client is the caller of one job. It submits the job again, at any entry, if its connection
+// breaks or no answer arrives in time.
 type client struct {
-	w       *World
-	spec    task.Job
-	calm    bool // submitted after the faults
-	tries   int
-	refused int // tries that were refused
-	// strays are copies of its submission that were taken by another entry, refusedStrays
-	// those that were refused there.
-	strays, refusedStrays int
-	returns               int  // tries after a refusal
-	sends                 int  // submissions
-	away                  bool // refused and not back yet, so that it waits for no answer
-	answered              bool
-	crashing              bool // its tasks crash each target that starts them
-	// crashed counts the targets that crashed under a task, afterThree its starts after three.
-	crashed, afterThree map[task.ID]int
-	started             bool // a run of it has begun on a target
-	done                map[task.ID]bool
-	failed              map[task.ID]int // failed runs
-	entry               *entryProcess
-	incarnation         int
-	waiter              *uint64       // of the last submission; zero before the entry has read it
-	leftAt              time.Duration // when it left for good; zero: it did not
-	again               bool          // a task of it began that had ended well
-	// Of a workload's job: its class, how long a task and each of its tasks
-	// really take on a target of speed 1, what it is worth, and when it was
-	// first sent.
-	class   int
-	work    time.Duration
-	lengths []time.Duration
-	worth   float64
-	sentAt  time.Duration
-	earned  float64 // share of the worth
+	w            *World
+	spec         task.Job
+	afterFaults  bool // submitted after the faults
+	tries        int
+	refusedTries int
+	// duplicates counts copies of the submission that another entry received, refusedDuplicates
+	// those that it refused.
+	duplicates, refusedDuplicates int
+	retries                       int // after a refusal
+	submissions                   int
+	waitingToRetry                bool // between a refusal and the retry
+	answered                      bool
+	crashesTargets                bool // its tasks crash each target that starts them
+	// targetCrashes counts the target crashes caused by each task, startsAfterLimit the starts
+	// of a task after crashLimit crashes.
+	targetCrashes, startsAfterLimit map[task.ID]int
+	started                         bool // a run has started on a target
+	done                            map[task.ID]bool
+	failedRuns                      map[task.ID]int // by task
+	entry                           *entryProcess
+	incarnation                     int
+	waiter                          *uint64       // of the last submission; zero until the entry has processed it
+	abandonedAt                     time.Duration // zero if not abandoned
+	startedAgain                    bool          // a task started again after it had completed
+	// Fields of workload jobs: the class, the duration of a typical task and of each task on a
+	// target of speed 1, the worth, and when the job was first sent.
+	class          int
+	taskWork       time.Duration
+	taskWorks      []time.Duration
+	worth          float64
+	sentAt         time.Duration
+	earnedFraction float64 // fraction of the worth
 }
 
-// arrivals has jobs come until the length is over.
-func (w *World) arrivals() {
+// scheduleJobs schedules the arrivals of random jobs for the configured length.
+func (w *World) scheduleJobs() {
 	end := w.now() + w.cfg.Length
 	var next func()
 	next = func() {
 		if w.now() > end {
 			return
 		}
-		w.submit(w.now() > end-w.cfg.Calm+faultTime)
-		w.after(w.upTo(2*w.cfg.Interval), next)
+		w.submitRandomJob(w.now() > end-w.cfg.Calm+faultEffectTime)
+		w.after(w.randomUpTo(2*w.cfg.Interval), next)
 	}
 	w.after(300*time.Millisecond, next)
 }
 
-// submit has a caller submit a random job; calm says that it comes after the faults.
-func (w *World) submit(calm bool) {
+// submitRandomJob submits a random job. afterFaults says whether it arrives after the faults.
+func (w *World) submitRandomJob(afterFaults bool) {
 	w.Counts.Jobs++
 	id := fmt.Sprintf("%016x", w.Counts.Jobs)
-	count := 1 + w.rng.IntN(4)
+	count := 1 + w.faultRand.IntN(4)
 	guess := w.cfg.Guess
-	if w.rng.IntN(3) == 0 {
+	if w.faultRand.IntN(3) == 0 {
 		guess = w.cfg.LongGuess
 	}
-	guess = guess/2 + w.upTo(guess)
-	c := &client{w: w, calm: calm, done: make(map[task.ID]bool), failed: make(map[task.ID]int)}
+	guess = guess/2 + w.randomUpTo(guess)
+	c := &client{w: w, afterFaults: afterFaults, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int)}
 	c.spec = task.Job{
 		ID: id, Queue: "q", Service: service, Spec: w.specOf(id), Attempts: attempts,
-		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.Patience, Priority: w.rng.IntN(3),
-		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64}, Estimate: guess}},
+		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.Patience, Priority: w.faultRand.IntN(3),
+		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.faultRand.IntN(1000), MemoryMB: 64}, Estimate: guess}},
 	}
-	if w.rng.IntN(4) == 0 {
+	if w.faultRand.IntN(4) == 0 {
 		c.spec.Steps = append(c.spec.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
 	}
-	w.alwaysFails[id] = w.rng.IntN(30) == 0 && !calm
+	w.alwaysFails[id] = w.faultRand.IntN(30) == 0 && !afterFaults
 	w.jobs[id] = c
-	if calm {
+	if afterFaults {
 		w.Counts.Calm++
 	}
 	c.send()
-	if w.cfg.Leaving > 0 && w.rng.Float64() < w.cfg.Leaving {
-		w.after(w.upTo(guess), c.leaveForGood)
+	if w.cfg.Leaving > 0 && w.faultRand.Float64() < w.cfg.Leaving {
+		w.after(w.randomUpTo(guess), c.abandon)
 	}
 }
 
-// leaveForGood has the caller leave and not come back.
-func (c *client) leaveForGood() {
+// abandon makes the caller disconnect without submitting the job again.
+func (c *client) abandon() {
 	if c.answered || c.entry == nil {
 		return
 	}
 	c.answered = true
-	c.leftAt = c.w.now()
-	if c.calm {
+	c.abandonedAt = c.w.now()
+	if c.afterFaults {
 		c.w.Counts.Calm--
 	}
-	c.w.after(callerLatency, c.leave) // what it has sent arrives first
+	c.w.after(callerLatency, c.disconnect) // after the submission has arrived
 }
 
-// send submits the job at an entry that is up.
+// send submits the job to a random entry.
 func (c *client) send() {
 	w := c.w
-	if c.tries >= 4+c.returns || c.answered {
+	if c.tries >= 4+c.retries || c.answered {
 		return
 	}
 	c.tries++
-	c.sends++
-	c.away = false
-	e := w.entries[w.rng.IntN(len(w.entries))]
+	c.submissions++
+	c.waitingToRetry = false
+	e := w.entries[w.faultRand.IntN(len(w.entries))]
 	if e.dead {
 		c.resend()
 		return
@@ -130,82 +130,82 @@
 	tries, waiter := c.tries, new(uint64)
 	c.waiter = waiter
 	w.after(callerLatency, func() {
-		e.do(c.incarnation, func() {
+		e.execute(c.incarnation, func() {
 			if c.tries != tries {
-				return // the client has gone on meanwhile
+				return // superseded by a later try
 			}
 			*waiter = e.owner.Submit(e.clock(), c.spec, func(a owner.Answer) {
-				if c.calm && a.Kind == owner.Refused && !w.roomFor(c.spec) {
+				if c.afterFaults && a.Kind == owner.Refused && !w.hasRoomFor(c.spec) {
 					w.Counts.CalmFull++
 				}
-				w.after(callerLatency, func() { c.answer(tries, a) })
+				w.after(callerLatency, func() { c.handleAnswer(tries, a) })
 			})
 			e.clients[c.spec.ID] = c
 		})
 	})
 	if w.cfg.Strays > 0 {
-		c.stray()
+		c.sendDuplicate()
 	}
-	sends := c.sends
+	sends := c.submissions
 	w.after(c.spec.CallerTimeout, func() {
-		if c.tries == tries && c.sends == sends && !c.answered && !c.away {
-			c.leave()
+		if c.tries == tries && c.submissions == sends && !c.answered && !c.waitingToRetry {
+			c.disconnect()
 			c.resend()
 		}
 	})
 }
 
-// stray lets a copy of the submission reach another entry, now and then: within 10 ms, as where
-// the caller found its connection broken and tried elsewhere at once, or seconds later. Nobody
-// waits for its answer, which that entry notices within 40 ms.
-func (c *client) stray() {
+// sendDuplicate sends, with probability Config.Strays, a copy of the submission to another
+// entry: either within 10 ms, as a caller does that finds its connection broken, or seconds
+// later. No caller waits for the answer; that entry cancels the copy within 40 ms.
+func (c *client) sendDuplicate() {
 	const (
-		besideTime = 10 * time.Millisecond
-		lateTime   = 4 * time.Second
-		noticed    = 40 * time.Millisecond
+		maxImmediateDelay = 10 * time.Millisecond
+		maxLateDelay      = 4 * time.Second
+		maxCancelDelay    = 40 * time.Millisecond
 	)
 	w := c.w
-	if w.rng.Float64() >= w.cfg.Strays {
+	if w.faultRand.Float64() >= w.cfg.Strays {
 		return
 	}
-	within := besideTime
-	if w.rng.IntN(2) == 0 {
-		within = lateTime
+	maxDelay := maxImmediateDelay
+	if w.faultRand.IntN(2) == 0 {
+		maxDelay = maxLateDelay
 	}
-	e := w.entries[w.rng.IntN(len(w.entries))]
-	after, stays := w.upTo(within), w.upTo(noticed)
-	w.after(callerLatency+after, func() {
+	e := w.entries[w.faultRand.IntN(len(w.entries))]
+	delay, cancelDelay := w.randomUpTo(maxDelay), w.randomUpTo(maxCancelDelay)
+	w.after(callerLatency+delay, func() {
 		if e.dead || e == c.entry {
 			return
 		}
 		w.Counts.Strays++
-		c.strays++
+		c.duplicates++
 		incarnation := e.incarnation
-		e.do(incarnation, func() {
+		e.execute(incarnation, func() {
 			waiter := e.owner.Submit(e.clock(), c.spec, func(a owner.Answer) {
 				if a.Kind == owner.Refused {
-					c.refusedStrays++
+					c.refusedDuplicates++
 				}
 			})
-			w.after(stays, func() { e.do(incarnation, func() { e.owner.Cancel(e.clock(), c.spec.ID, waiter) }) })
+			w.after(cancelDelay, func() { e.execute(incarnation, func() { e.owner.Cancel(e.clock(), c.spec.ID, waiter) }) })
 		})
 	})
 }
 
-// leave breaks the connection.
-func (c *client) leave() {
+// disconnect breaks the connection to the entry.
+func (c *client) disconnect() {
 	e, incarnation, id, waiter := c.entry, c.incarnation, c.spec.ID, c.waiter
 	delete(e.clients, id)
-	// An entry that is frozen reads the submission first.
-	e.do(incarnation, func() { e.owner.Cancel(e.clock(), id, *waiter) })
+	// A frozen entry processes the submission first.
+	e.execute(incarnation, func() { e.owner.Cancel(e.clock(), id, *waiter) })
 }
 
-// resend sends the job again in a while.
+// resend submits the job again after resendDelay.
 func (c *client) resend() {
 	c.w.Counts.Resent++
 	tries := c.tries
-	c.tries++ // no answer of the try before counts any more
-	c.w.after(resendAfter, func() {
+	c.tries++ // makes answers to the previous try stale
+	c.w.after(resendDelay, func() {
 		if c.tries == tries+1 {
 			c.tries = tries
 			c.send()
@@ -213,9 +213,9 @@
 	})
 }
 
-// answer handles the answer to a try, if that try still counts.
-func (c *client) answer(tries int, a owner.Answer) {
-	if c.tries != tries || c.answered {
+// handleAnswer handles the answer to a try unless a later try has superseded it.
+func (c *client) handleAnswer(try int, a owner.Answer) {
+	if c.tries != try || c.answered {
 		return
 	}
 	c.answered = true
@@ -223,94 +223,93 @@
 	switch a.Kind {
 	case owner.Completed:
 		w.Counts.Completed++
-		w.Returned.completed(c, w.now()-c.sentAt)
-		c.earn()
-		if c.calm {
+		w.Returned.recordCompleted(c, w.now()-c.sentAt)
+		c.recordEarnings()
+		if c.afterFaults {
 			w.Counts.CalmCompleted++
 		}
 		for k, s := range c.spec.Steps {
 			for n := range s.Count {
 				if id := (task.ID{Job: c.spec.ID, Step: k, Index: n}); !c.done[id] {
-					w.breaks(TrueCompletion, "completed, but %s has not ended so", id)
+					w.recordViolation(TrueCompletion, "job answered as completed, but task %s is not", id)
 				}
 			}
 		}
 	case owner.Failed:
 		w.Counts.Failed++
 		if a.Why == code.JobCrashes {
-			if !c.crashing {
+			if !c.crashesTargets {
 				w.Crashes.InnocentFailed++
 			}
 			return
 		}
-		c.checkFailed()
+		c.checkFailureCause()
 	case owner.GivenUp:
 		w.Counts.GivenUp++
-		c.unserved()
+		c.recordUnserved()
 	case owner.Refused:
 		w.Counts.Refused++
-		c.refused++
-		c.unserved()
-		c.comeBack(a.Retry)
+		c.refusedTries++
+		c.recordUnserved()
+		c.retryAfterRefusal(a.Retry)
 	}
 }
 
-// Returns is what became of the callers of a workload that come back when refused.
+// Returns holds the results of callers that retry refused jobs.
 type Returns struct {
-	Refused, Gone int // answers, and callers that lost patience
-	// Served is how many jobs were completed, Taken how long their callers waited for
-	// it in all, since they sent them first.
+	Refused, Gone int // refusals, and callers that gave up
+	// Served is the number of completed jobs, Taken the total time from their first submission
+	// to completion.
 	Served int
 	Taken  time.Duration
 }
 
-// completed records a completed job.
-func (r *Returns) completed(c *client, took time.Duration) {
-	if c.work > 0 {
+func (r *Returns) recordCompleted(c *client, took time.Duration) {
+	if c.taskWork > 0 {
 		r.Served++
 		r.Taken += took
 	}
 }
 
-// comeBack has a refused caller submit its job again after the time that it was given,
-// unless it has lost patience by then.
-func (c *client) comeBack(after time.Duration) {
+// retryAfterRefusal submits a refused job again after the delay given in the refusal, unless
+// that exceeds Config.ComeBack.
+func (c *client) retryAfterRefusal(delay time.Duration) {
 	w := c.w
-	if w.cfg.ComeBack == 0 || c.work == 0 {
+	if w.cfg.ComeBack == 0 || c.taskWork == 0 {
 		return
 	}
 	w.Returned.Refused++
-	if w.now()+after-c.sentAt > w.cfg.ComeBack {
+	if w.now()+delay-c.sentAt > w.cfg.ComeBack {
 		w.Returned.Gone++
 		return
 	}
 	c.answered = false
-	c.away = true
-	c.returns++
+	c.waitingToRetry = true
+	c.retries++
 	tries := c.tries
-	w.after(after, func() {
+	w.after(delay, func() {
 		if c.tries == tries {
 			c.send()
 		}
 	})
 }
 
-// checkFailed checks that a task of a failed job has failed as often as it may.
-func (c *client) checkFailed() {
-	for _, n := range c.failed {
+// checkFailureCause checks that some task of a failed job has used up its attempts.
+func (c *client) checkFailureCause() {
+	for _, n := range c.failedRuns {
 		if n >= attempts {
 			return
 		}
 	}
-	c.w.breaks(FailedWithCause, "%s is shown as failed without cause", c.spec.ID)
+	c.w.recordViolation(FailedWithCause, "%s answered as failed although no task used up its attempts", c.spec.ID)
 }
 
-// checkOrder checks that the steps a task depends on were done when it began.
-func (c *client) checkOrder(id task.ID) {
+// checkStepOrder checks that the steps a task depends on were complete when it started.
+func (c *client) checkStepOrder(id task.ID) {
 	for _, step := range c.spec.Steps[id.Step].DependsOn {
 		for n := range c.spec.Steps[step].Count {
 			if earlier := (task.ID{Job: id.Job, Step: step, Index: n}); !c.done[earlier] {
-				c.w.breaks(StepsInOrder, "%s began before %s had ended", id, earlier)
+				c.w.recordViolation(StepsInOrder, "%s started before %s had completed", id, earlier)
 			}
 		}
 	}
--- a/testutil/fleet/drawn_test.go
+++ b/testutil/fleet/drawn_test.go
@@ -14,23 +14,23 @@
 const (
 	// ejectedBound is for how long all sound targets of a scene may be ejected
 	// together: a few probes of some targets.
-	ejectedBound = 6 * time.Second
+	maxSoundEjected = 6 * time.Second
 	// refusedBound is the share of jobs that may be refused while at least a fifth of
 	// the targets' room stands free on average.
-	refusedBound = 0.01
+	maxRefusedShare = 0.01
 	// servedBound is the share of the jobs that must be completed.
-	servedBound = 0.98
+	minCompletedShare = 0.98
 )
 
 // TestDrawnShapes plays workloads with shapes drawn from all that a deployment may have,
 // at loads that the targets can bear, and without a trouble: hardly a target is ejected
 // and hardly a job refused.
-func TestDrawnShapes(t *testing.T) {
+func TestRandomShapesWithinCapacityAreServed(t *testing.T) {
 	const scenes = 48
 	for n := range uint64(scenes) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			scene := drawnScene(n)
+			scene := randomScene(n)
 			w := scene.New(n)
 			w.Run()
 			var total Credit
@@ -42,34 +42,34 @@
 			completed := float64(stats.Completed) / float64(total.Jobs)
 			t.Logf("%s: earned %.3f, completed %.3f, refused %.3f, ejected %s", scene.Name, total.Share(), completed, refused, w.SoundEjected)
 			assert.Equal(t, w.Broken, "")
-			assert.Check(t, w.SoundEjected <= ejectedBound)
-			assert.Check(t, refused <= refusedBound)
-			assert.Check(t, completed >= servedBound)
+			assert.Check(t, w.SoundEjected <= maxSoundEjected)
+			assert.Check(t, refused <= maxRefusedShare)
+			assert.Check(t, completed >= minCompletedShare)
 		})
 	}
 }
 
 // drawnScene draws a scene.
-func drawnScene(n uint64) Scene {
+func randomScene(n uint64) Scene {
 	r := rand.New(rand.NewPCG(n, 13))
-	between := func(least, most float64) float64 { return least + r.Float64()*(most-least) }
+	uniform := func(lo, hi float64) float64 { return lo + r.Float64()*(hi-lo) }
 	// A factor is drawn evenly by its logarithm.
-	factor := func(least, most float64) float64 { return math.Exp(between(math.Log(least), math.Log(most))) }
-	drawn := Shape{
+	logUniform := func(lo, hi float64) float64 { return math.Exp(uniform(math.Log(lo), math.Log(hi))) }
+	shape := Shape{
 		WorkSpread: 0.4, CountSpread: 0.4, Slack: 60 * time.Millisecond,
-		GuessError: between(0.1, 1.2), GuessBias: factor(0.5, 2), TaskSpread: between(0, 0.5), Stretch: between(1.2, 3),
+		GuessError: uniform(0.1, 1.2), GuessBias: logUniform(0.5, 2), TaskSpread: uniform(0, 0.5), Stretch: uniform(1.2, 3),
 	}
-	work := factor(1.0/6, 2)
+	work := logUniform(1.0/6, 2)
 	priorities := r.Perm(3)
-	s := small("", between(0.4, 0.75), nil).
-		shaped("", func(s *Shape) { *s = drawn }).
-		with("", func(c []Class) {
+	s := smallScene("", uniform(0.4, 0.75), nil).
+		withShape("", func(s *Shape) { *s = shape }).
+		withClasses("", func(c []Class) {
 			scaleWork(c, work)
 			setPriorities(c, priorities...)
 		})
-	s.Name = fmt.Sprintf("guesses off by %.2f and %.2f times, tasks by %.2f, work %.2f times, stretch %.2f, load %.2f", drawn.GuessError, drawn.GuessBias, drawn.TaskSpread, work, drawn.Stretch, s.Load)
+	s.Name = fmt.Sprintf("guesses off by %.2f and %.2f times, tasks by %.2f, work %.2f times, stretch %.2f, load %.2f", shape.GuessError, shape.GuessBias, shape.TaskSpread, work, shape.Stretch, s.Load)
 	for range 3 {
-		s.Speeds = append(s.Speeds, factor(0.7, 1.4))
+		s.Speeds = append(s.Speeds, logUniform(0.7, 1.4))
 	}
 	return s
 }
--- a/testutil/fleet/experiment/main.go
+++ b/testutil/fleet/experiment/main.go
@@ -1,13 +1,13 @@
-// Command experiment plays scenes of the emulator (package fleet) with the code as it
-// is and with constants changed, and says what each change is worth:
+// Command experiment plays scenes of the fleet simulation (package fleet) with changed
+// constants and prints the effect of each change:
 //
 //	go run ./testutil/fleet/experiment -scenes 'burst|uneven' -seeds 8 \
 //		-set owner.loadWeight=0 -set "owner.startedAdvance=0;owner.sizeDelay=0"
 //
-// Each -set is one variant: a list of constants of this module and the values they get.
-// The variant is built with the constants replaced (go build -overlay), so that the
-// code needs no switches. All variants play the same seeds; a difference below twice
-// its standard error is none.
+// Each -set defines one variant: a list of constants of this module with their new values.
+// Variants are built with the constants replaced (go build -overlay), so that the code needs no
+// switches. All variants play the same seeds. Differences below twice their standard error are
+// not significant.
 package main
 
 import (
@@ -29,27 +29,26 @@
 	seeds := 8
 	var sets []string
 	flaggy.SetName("experiment")
-	flaggy.SetDescription("plays scenes of the emulator with constants changed")
-	flaggy.String(&scenes, "s", "scenes", "regular expression of the scenes' names")
-	flaggy.Int(&seeds, "n", "seeds", "seeds of each scene")
+	flaggy.SetDescription("plays scenes of the fleet simulation with changed constants")
+	flaggy.String(&scenes, "s", "scenes", "regular expression that selects scenes by name")
+	flaggy.Int(&seeds, "n", "seeds", "number of seeds per scene")
 	flaggy.StringSlice(&sets, "c", "set", "a variant: PACKAGE.CONSTANT=VALUE;...")
-	flaggy.String(&play, "p", "play", "play this scene and print its results, one line a seed (used by the command itself)")
+	flaggy.String(&play, "p", "play", "play this scene and print one line of results per seed (used by the command itself)")
 	flaggy.Parse()
 	if play != "" {
 		playScene(play, seeds)
 		return
 	}
-	if err := compare(scenes, seeds, sets); err != nil {
+	if err := runExperiment(scenes, seeds, sets); err != nil {
 		fmt.Fprintln(os.Stderr, "experiment:", err)
 		os.Exit(1)
 	}
 }
 
-// playScene plays a scene with each seed and prints the results.
 func playScene(name string, seeds int) {
 	scene, found := fleet.SceneNamed(name)
 	if !found {
-		fmt.Fprintln(os.Stderr, "experiment: no scene", name)
+		fmt.Fprintln(os.Stderr, "experiment: unknown scene", name)
 		os.Exit(1)
 	}
 	for seed := 1; seed <= seeds; seed++ {
@@ -57,9 +56,9 @@
 	}
 }
 
-// compare builds the variants, plays them and prints the tables.
-func compare(pattern string, seeds int, sets []string) error {
-	wanted, err := regexp.Compile(pattern)
+// runExperiment builds the variants, plays them and prints the tables.
+func runExperiment(pattern string, seeds int, sets []string) error {
+	selected, err := regexp.Compile(pattern)
 	if err != nil {
 		return err
 	}
@@ -68,49 +67,48 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	variants := []*variant{{name: "as it is"}}
+	variants := []*variant{{name: "baseline"}}
 	for _, s := range sets {
 		variants = append(variants, &variant{name: s, changes: strings.Split(s, ";")})
 	}
 	for k, v := range variants {
 		if err := v.build(context.Background(), dir, k); err != nil {
-			return fmt.Errorf("%s: %w", v.name, err)
+			return fmt.Errorf("building variant %q: %w", v.name, err)
 		}
 	}
 	var names []string
 	for _, s := range fleet.Scenes() {
-		if wanted.MatchString(s.Name) {
+		if selected.MatchString(s.Name) {
 			names = append(names, s.Name)
 		}
 	}
 	playAll(variants, names, seeds)
 	for _, v := range variants {
-		v.print(os.Stdout, variants[0], names)
+		v.printTable(os.Stdout, variants[0], names)
 	}
 	return nil
 }
 
-// playAll plays all scenes of all variants, as many at once as there are processors
-// to spare.
+// playAll plays all scenes of all variants in parallel, leaving one processor free.
 func playAll(variants []*variant, names []string, seeds int) {
-	var wait sync.WaitGroup
-	var lock sync.Mutex
+	var wg sync.WaitGroup
+	var mu sync.Mutex
 	slots := make(chan struct{}, max(1, runtime.NumCPU()-1))
 	for _, name := range names {
 		for _, v := range variants {
-			wait.Go(func() {
+			wg.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
 				results, err := v.play(context.Background(), name, seeds)
-				lock.Lock()
-				defer lock.Unlock()
+				mu.Lock()
+				defer mu.Unlock()
 				if err != nil {
-					fmt.Fprintf(os.Stderr, "experiment: %s, %s: %v\n", v.name, name, err)
+					fmt.Fprintf(os.Stderr, "experiment: variant %q, scene %q: %v\n", v.name, name, err)
 					return
 				}
 				v.results[name] = results
 			})
 		}
 	}
-	wait.Wait()
+	wg.Wait()
 }
--- a/testutil/fleet/experiment/result.go
+++ b/testutil/fleet/experiment/result.go
@@ -9,24 +9,24 @@
 	"github.com/beaconpoint/beaconpoint/testutil/fleet"
 )
 
-// result is how one seed of a scene was played.
+// result is the outcome of a scene with one seed.
 type result struct {
-	Earned   float64 `json:"earned"`   // share of what was owed
-	Worst    float64 `json:"worst"`    // share of the worst class or size
-	Bound    float64 `json:"bound"`    // share that a clairvoyant scheduler earns
+	Earned   float64 `json:"earned"`   // share of the worth owed
+	Worst    float64 `json:"worst"`    // lowest share of any class or job size
+	Bound    float64 `json:"bound"`    // share earned by a clairvoyant scheduler
 	Refused  float64 `json:"refused"`  // share of the jobs
-	Held     float64 `json:"held"`     // worth refused late, share of what was owed
-	Moved    float64 `json:"moved"`    // runs stopped to run elsewhere, share of the starts
-	Rejected float64 `json:"rejected"` // orders rejected, share of the starts
-	Ejected  float64 `json:"ejected"`  // seconds for which sound targets were ejected
-	Again    float64 `json:"again"`    // refusals of callers that come back, each job
-	Wait     float64 `json:"wait"`     // seconds until a job was completed, on average
-	Served   float64 `json:"served"`   // share of the jobs that were completed at all
-	Frames   float64 `json:"frames"`   // between entries and agents, each run
-	Broken   string  `json:"broken"`   // how a promise was broken
+	Held     float64 `json:"held"`     // worth refused late, as a share of the worth owed
+	Moved    float64 `json:"moved"`    // runs moved to another target, as a share of the starts
+	Rejected float64 `json:"rejected"` // rejected start orders, as a share of the starts
+	Ejected  float64 `json:"ejected"`  // seconds for which healthy targets were ejected
+	Again    float64 `json:"again"`    // refusals of callers that retry, per job
+	Wait     float64 `json:"wait"`     // mean seconds until a job completed
+	Served   float64 `json:"served"`   // share of the jobs that completed
+	Frames   float64 `json:"frames"`   // between entries and agents, per run
+	Broken   string  `json:"broken"`   // first violation of an invariant
 }
 
-// resultOf plays a scene with a seed.
+// resultOf plays a scene with a seed and returns the result as JSON.
 func resultOf(s fleet.Scene, seed uint64) string {
 	w := s.New(seed)
 	w.Run()
@@ -56,34 +56,34 @@
 	return string(line)
 }
 
-// mean returns the mean of a figure over the seeds.
-func mean(results []result, figure func(result) float64) float64 {
+// mean returns the mean of a metric over the seeds.
+func mean(results []result, metric func(result) float64) float64 {
 	sum := 0.0
 	for _, r := range results {
-		sum += figure(r)
+		sum += metric(r)
 	}
 	return sum / float64(len(results))
 }
 
-// difference returns the mean of the paired differences of a figure, and its standard
+// meanDifference returns the mean of the paired differences of a metric, and its standard
 // error.
-func difference(base, head []result, figure func(result) float64) (value, standardError float64) {
+func meanDifference(base, head []result, metric func(result) float64) (value, standardError float64) {
 	n := float64(len(base))
 	for k := range base {
-		value += (figure(head[k]) - figure(base[k])) / n
+		value += (metric(head[k]) - metric(base[k])) / n
 	}
 	squares := 0.0
 	for k := range base {
-		d := figure(head[k]) - figure(base[k]) - value
+		d := metric(head[k]) - metric(base[k]) - value
 		squares += d * d
 	}
 	return value, math.Sqrt(squares / max(1, n-1) / n)
 }
 
-// barWidth is the width of a drawn bar, in characters.
+// barWidth is in characters.
 const barWidth = 20
 
-// bar draws a share between one half and one.
+// bar draws a share between 0.5 and 1 as a bar.
 func bar(share float64) string {
 	filled := min(barWidth, max(0, int(math.Round((share-0.5)*2*barWidth))))
 	line := make([]byte, barWidth)
@@ -96,8 +96,8 @@
 	return string(line)
 }
 
-// print prints the variant's table beside the base.
-func (v *variant) print(out io.Writer, base *variant, names []string) {
+// printTable prints the results of the variant and their differences from base.
+func (v *variant) printTable(out io.Writer, base *variant, names []string) {
 	fmt.Fprintf(out, "\n%s\n%-44s %6s %6s %6s %7s %6s %6s %7s %7s %6s", v.name,
 		"scene", "earned", "worst", "bound", "refused", "held", "moved", "rejected", "ejected", "frames")
 	if v != base {
@@ -119,7 +119,7 @@
 	}
 }
 
-// printRow prints the means of one scene, and the differences from the base.
+// printRow prints the means of one scene and, if compared is set, the differences from base.
 func printRow(out io.Writer, name string, base, head []result, compared bool) {
 	fmt.Fprintf(out, "%-44s %6.3f %6.3f %6.3f %7.3f %6.3f %6.3f %7.3f %7.2f %6.2f", name,
 		mean(head, earned), mean(head, worst), mean(head, func(r result) float64 { return r.Bound }),
@@ -127,8 +127,8 @@
 		mean(head, func(r result) float64 { return r.Moved }), mean(head, func(r result) float64 { return r.Rejected }),
 		mean(head, func(r result) float64 { return r.Ejected }), mean(head, func(r result) float64 { return r.Frames }))
 	if compared {
-		e, se := difference(base, head, earned)
-		w, sw := difference(base, head, worst)
+		e, se := meanDifference(base, head, earned)
+		w, sw := meanDifference(base, head, worst)
 		fmt.Fprintf(out, "  %+8.4f %7.4f %+8.4f %7.4f", e, se, w, sw)
 	} else {
 		fmt.Fprintf(out, "  %s", bar(mean(head, earned)))
--- a/testutil/fleet/experiment/variant.go
+++ b/testutil/fleet/experiment/variant.go
@@ -16,33 +16,33 @@
 	"strings"
 )
 
-// module is the path of this module; variants change constants of its packages.
+// module is the path of this module. Variants change constants of its packages.
 const module = "github.com/beaconpoint/beaconpoint"
 
-// variant is the emulator with some constants changed.
+// variant is a build of the command with changed constants.
 type variant struct {
 	name    string
 	changes []string // "PACKAGE.CONSTANT=VALUE"
 	binary  string
-	results map[string][]result // by scene, one a seed
+	results map[string][]result // by scene, one per seed
 }
 
-// build builds the variant in the directory.
-func (v *variant) build(ctx context.Context, dir string, number int) error {
+// build builds the variant in dir.
+func (v *variant) build(ctx context.Context, dir string, index int) error {
 	v.results = make(map[string][]result)
-	v.binary = filepath.Join(dir, "variant-"+strconv.Itoa(number))
+	v.binary = filepath.Join(dir, "variant-"+strconv.Itoa(index))
 	overlay := make(map[string]string)
 	for _, c := range v.changes {
-		if err := replaceConstant(c, dir, number, overlay); err != nil {
+		if err := replaceConstant(c, dir, index, overlay); err != nil {
 			return err
 		}
 	}
-	list, err := json.Marshal(map[string]any{"Replace": overlay})
+	overlayJSON, err := json.Marshal(map[string]any{"Replace": overlay})
 	if err != nil {
 		return err
 	}
 	file := v.binary + ".json"
-	if err := os.WriteFile(file, list, 0o600); err != nil {
+	if err := os.WriteFile(file, overlayJSON, 0o600); err != nil {
 		return err
 	}
 	out, err := exec.CommandContext(ctx, "go", "build", "-overlay", file, "-o", v.binary, module+"/testutil/fleet/experiment").CombinedOutput()
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// replaceConstant adds a copy of the file that declares a constant to the overlay, with
-// another value in it.
-func replaceConstant(change, dir string, number int, overlay map[string]string) error {
+// replaceConstant adds to the overlay a copy of the file that declares a constant, with the
+// value replaced.
+func replaceConstant(change, dir string, variantIndex int, overlay map[string]string) error {
 	name, value, found := strings.Cut(change, "=")
 	folder, constant, dotted := strings.Cut(name, ".")
 	if !found || !dotted {
-		return fmt.Errorf("%q is not PACKAGE.CONSTANT=VALUE", change)
+		return fmt.Errorf("change %q does not have the form PACKAGE.CONSTANT=VALUE", change)
 	}
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	if err != nil {
@@ -77,20 +77,20 @@
 		if err != nil {
 			return err
 		}
-		from, to := valueOf(text, constant)
+		from, to := constantValueRange(text, constant)
 		if to == 0 {
 			continue
 		}
-		copied := filepath.Join(dir, fmt.Sprintf("%d-%s-%s", number, filepath.Base(folder), filepath.Base(file)))
+		copied := filepath.Join(dir, fmt.Sprintf("%d-%s-%s", variantIndex, filepath.Base(folder), filepath.Base(file)))
 		overlay[path] = copied
 		return os.WriteFile(copied, []byte(string(text[:from])+value+string(text[to:])), 0o600)
 	}
-	return fmt.Errorf("no constant %s in %s", constant, folder)
+	return fmt.Errorf("constant %s is not declared in folder %s", constant, folder)
 }
 
-// valueOf returns where the value of a constant stands in a source, zeros where it is
-// not declared there.
-func valueOf(text []byte, constant string) (from, to int) {
+// constantValueRange returns the byte offsets of a constant's value in a source file, or zeros
+// if the constant is not declared there.
+func constantValueRange(text []byte, constant string) (from, to int) {
 	files := token.NewFileSet()
 	parsed, err := parser.ParseFile(files, "", text, parser.SkipObjectResolution)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return from, to
 }
 
-// play plays a scene and reads the results.
+// play plays a scene in a subprocess and parses the results.
 func (v *variant) play(ctx context.Context, scene string, seeds int) ([]result, error) {
 	out, err := exec.CommandContext(ctx, v.binary, "-play", scene, "-seeds", strconv.Itoa(seeds)).Output()
 	if err != nil {
--- a/testutil/fleet/fault.go
+++ b/testutil/fleet/fault.go
@@ -8,7 +8,8 @@
 // Kind is a kind of fault.
 type Kind int
 
-// Kinds of faults.
+// Kinds of faults. Those before randomKinds are drawn at random; the others occur only where
+// Config.Kinds names them.
 const (
 	KillEntry Kind = iota
 	KillAgent
@@ -26,57 +27,54 @@
 	ResetClients
 	HoldHeartbeat
 	SilenceConnections
-	kinds
-	// LoseHall and CutHall strike only where they are asked for: a data hall of the targets
-	// loses power, or one entry can't reach it.
+	randomKinds
+	// LoseHall cuts the power of a data hall; CutHall disconnects one entry from a data hall.
 	LoseHall
 	CutHall
-	// RestartTarget strikes only where it is asked for: a target ends and begins again under
-	// its id.
+	// RestartTarget restarts a target under the same id.
 	RestartTarget
-	// SuspendEntry, SuspendAgent and ShrinkRoom strike only where they are asked for: a host
-	// is suspended for seconds, or a target's room shrinks for a while.
+	// SuspendEntry and SuspendAgent suspend a host for seconds; ShrinkRoom reduces the capacity
+	// of a target for a while.
 	SuspendEntry
 	SuspendAgent
 	ShrinkRoom
-	// Partition strikes only where it is asked for: a hall with its entries is cut from the
-	// others; callers reach both sides.
+	// Partition disconnects a hall and its entries from the others. Callers reach both sides.
 	Partition
 )
 
-// fault begins a random fault, which lasts up to 3.2 s.
-func (w *World) fault() {
-	kind := Kind(w.rng.IntN(int(kinds)))
+// injectFault starts a random fault that lasts up to 3.2 s.
+func (w *World) injectFault() {
+	kind := Kind(w.faultRand.IntN(int(randomKinds)))
 	if len(w.cfg.Kinds) > 0 {
-		kind = w.cfg.Kinds[w.rng.IntN(len(w.cfg.Kinds))]
+		kind = w.cfg.Kinds[w.faultRand.IntN(len(w.cfg.Kinds))]
 	}
-	e := w.entries[w.rng.IntN(len(w.entries))]
-	a := w.agents[w.rng.IntN(len(w.agents))]
-	dark := w.rng.IntN(2) == 0
-	lasts := 200*time.Millisecond + w.upTo(3*time.Second)
+	e := w.entries[w.faultRand.IntN(len(w.entries))]
+	a := w.agents[w.faultRand.IntN(len(w.agents))]
+	powerLoss := w.faultRand.IntN(2) == 0
+	duration := 200*time.Millisecond + w.randomUpTo(3*time.Second)
 	switch kind {
 	case KillEntry:
-		e.kill(dark)
+		e.kill(powerLoss)
 	case KillAgent:
-		a.kill(dark)
+		a.kill(powerLoss)
 	case FreezeEntry:
-		e.freeze(lasts)
+		e.freeze(duration)
 	case FreezeAgent:
-		a.freeze(lasts)
+		a.freeze(duration)
 	case CutAgent:
-		w.cutOff(a, nil, lasts)
+		w.isolate(a, nil, duration)
 	case CutEntry:
-		w.cutOff(nil, e, lasts)
+		w.isolate(nil, e, duration)
 	case LoseAnswers:
-		w.behave(a, Behaviour{Lost: 0.3}, lasts)
+		w.setBehaviour(a, Behaviour{Lost: 0.3}, duration)
 	case DelayOrders:
-		w.behave(a, Behaviour{Late: 0.3}, lasts)
+		w.setBehaviour(a, Behaviour{Late: 0.3}, duration)
 	case FailRuns:
-		w.behave(a, Behaviour{Failing: 1}, lasts)
+		w.setBehaviour(a, Behaviour{Failing: 1}, duration)
 	case SlowTarget:
-		w.behave(a, Behaviour{Slow: 6}, lasts)
+		w.setBehaviour(a, Behaviour{Slow: 6}, duration)
 	case HangTarget:
-		w.behave(a, Behaviour{Hanging: true}, lasts)
+		w.setBehaviour(a, Behaviour{Hanging: true}, duration)
 	case CrashTarget:
 		w.crash(a)
 	case DrainTarget:
@@ -84,44 +82,43 @@
 	case ResetClients:
 		w.resetClients(e)
 	case HoldHeartbeat:
-		w.holdHeartbeat(a, lasts)
+		w.delayHeartbeat(a, duration)
 	case SilenceConnections:
 		w.silenceConnections(a, e)
 	case LoseHall:
-		w.loseHall(a.target.hall)
+		w.powerOffHall(a.target.hall)
 	case RestartTarget:
 		if a.target.up {
 			a.target.keepsID = true
 			w.crash(a)
 		}
 	case SuspendEntry:
-		e.suspend(suspendTime + lasts)
+		e.suspend(minSuspension + duration)
 	case SuspendAgent:
-		a.suspend(suspendTime + lasts)
+		a.suspend(minSuspension + duration)
 	case ShrinkRoom:
-		w.shrinkRoom(a, lasts)
+		w.shrinkRoom(a, duration)
 	case Partition:
-		w.partition(a.target.hall, lasts)
+		w.partition(a.target.hall, duration)
 	case CutHall:
-		w.cutHall(e, a.target.hall, lasts)
+		w.disconnectHall(e, a.target.hall, duration)
 	}
 }
 
-// suspendTime is for how long a host is suspended at the least: longer than every lease and
-// ClearTime.
-const suspendTime = 1500 * time.Millisecond
+// minSuspension is the shortest suspension of a host. It exceeds every lease and ClearTime.
+const minSuspension = 1500 * time.Millisecond
 
-// shrinkRoom has a target's room shrink for a while, as its next heartbeat says.
-func (w *World) shrinkRoom(a *agentProcess, lasts time.Duration) {
+// shrinkRoom reduces a target's capacity for a while. Its next heartbeat reports the change.
+func (w *World) shrinkRoom(a *agentProcess, duration time.Duration) {
 	t := a.target
-	t.capacity.CPU = w.cfg.CPU / (2 + w.rng.IntN(3))
+	t.capacity.CPU = w.cfg.CPU / (2 + w.faultRand.IntN(3))
 	t.shrunkAt = w.now()
-	w.after(lasts, func() { t.capacity.CPU = w.cfg.CPU })
+	w.after(duration, func() { t.capacity.CPU = w.cfg.CPU })
 }
 
-// loseHall has all hosts of a hall lose power: agents and targets end in the dark, and begin
-// again within 1.5 s.
-func (w *World) loseHall(hall string) {
+// powerOffHall cuts the power of all hosts in a hall: agents and targets stop without closing
+// connections. Agents restart within 1.02 s, targets within BackAfter plus 1 s.
+func (w *World) powerOffHall(hall string) {
 	for _, a := range w.agents {
 		if a.target.hall == hall {
 			a.kill(true)
@@ -130,95 +127,96 @@
 	}
 }
 
-// cutHall cuts an entry off from a hall.
-func (w *World) cutHall(e *entryProcess, hall string, lasts time.Duration) {
+// disconnectHall drops all traffic between an entry and a hall.
+func (w *World) disconnectHall(e *entryProcess, hall string, duration time.Duration) {
 	for _, l := range w.links {
 		if l.e == e && l.a.target.hall == hall {
-			l.cut = max(l.cut, w.now()+lasts)
-			l.a.disturb(lasts)
+			l.cutUntil = max(l.cutUntil, w.now()+duration)
+			l.a.recordFault(duration)
 		}
 	}
 }
 
-// partition cuts a hall with its entries from the others. Entries stand in the halls by turns, as
-// targets do.
-func (w *World) partition(hall string, lasts time.Duration) {
+// partition drops all traffic between a hall with its entries and the others. Entries are
+// assigned to halls round robin, as targets are.
+func (w *World) partition(hall string, duration time.Duration) {
 	for _, l := range w.links {
 		entryInside := hallName(slices.Index(w.entries, l.e)%w.cfg.Halls) == hall
 		if entryInside != (l.a.target.hall == hall) {
-			l.cut = max(l.cut, w.now()+lasts)
-			l.a.disturb(lasts)
-			l.e.disturb(lasts)
+			l.cutUntil = max(l.cutUntil, w.now()+duration)
+			l.a.recordFault(duration)
+			l.e.recordFault(duration)
 		}
 	}
 }
 
-// holdHeartbeat holds up a heartbeat of a target that crashes: it arrives a while after
-// the next incarnation has reported itself.
-func (w *World) holdHeartbeat(a *agentProcess, lasts time.Duration) {
+// delayHeartbeat crashes a target and delivers one of its heartbeats after the next incarnation
+// has sent its first.
+func (w *World) delayHeartbeat(a *agentProcess, duration time.Duration) {
 	if !a.target.up {
 		return
 	}
-	a.seq++
-	held := a.target.report(a.seq)
+	a.heartbeatSeq++
+	delayed := a.target.heartbeat(a.heartbeatSeq)
 	w.crash(a)
-	w.after(reportEvery+lasts, func() { a.do(a.incarnation, func() { a.supervisor.Heartbeat(a.clock(), held) }) })
+	w.after(heartbeatInterval+duration, func() { a.execute(a.incarnation, func() { a.supervisor.Heartbeat(a.clock(), delayed) }) })
 }
 
-// silenceConnections has the open connections of an agent or of an entry go silent for
-// good, in one direction or both. New ones work.
+// silenceConnections drops all later frames on the open connections of an agent or an entry, in
+// one or both directions, without closing them. New connections work.
 func (w *World) silenceConnections(a *agentProcess, e *entryProcess) {
-	toAgents, toEntries := w.rng.IntN(3) > 0, w.rng.IntN(3) > 0
-	ofAgent := w.rng.IntN(2) == 0
+	toAgents, toEntries := w.faultRand.IntN(3) > 0, w.faultRand.IntN(3) > 0
+	byAgent := w.faultRand.IntN(2) == 0
 	for _, l := range w.links {
-		if l.a == a && ofAgent || l.e == e && !ofAgent {
-			l.silentToA = l.silentToA || toAgents
-			l.silentToE = l.silentToE || toEntries
-			l.a.disturb(0)
+		if l.a == a && byAgent || l.e == e && !byAgent {
+			l.silentToAgent = l.silentToAgent || toAgents
+			l.silentToEntry = l.silentToEntry || toEntries
+			l.a.recordFault(0)
 		}
 	}
 }
 
-// cutOff cuts an agent or an entry off from all others.
-func (w *World) cutOff(a *agentProcess, e *entryProcess, lasts time.Duration) {
+// isolate drops all traffic of an agent or an entry for the given duration.
+func (w *World) isolate(a *agentProcess, e *entryProcess, duration time.Duration) {
 	for _, l := range w.links {
 		if l.a == a || l.e == e {
-			l.cut = max(l.cut, w.now()+lasts)
-			l.a.disturb(lasts)
+			l.cutUntil = max(l.cutUntil, w.now()+duration)
+			l.a.recordFault(duration)
 		}
 	}
 }
 
-// behave changes how a target behaves for a while.
-func (w *World) behave(a *agentProcess, m Behaviour, lasts time.Duration) {
-	a.target.behaviour = m
-	w.after(lasts, func() {
-		if a.target.behaviour == m {
+// setBehaviour changes the behaviour of a target for the given duration.
+func (w *World) setBehaviour(a *agentProcess, behaviour Behaviour, duration time.Duration) {
+	a.target.behaviour = behaviour
+	w.after(duration, func() {
+		if a.target.behaviour == behaviour {
 			a.target.behaviour = Behaviour{}
 		}
 	})
 }
 
-// crash ends a target's incarnation; another begins in a while.
+// crash ends a target's incarnation and schedules the next one.
 func (w *World) crash(a *agentProcess) {
 	if !a.target.up {
 		return
 	}
 	a.target.crash()
-	w.after(w.cfg.BackAfter+w.upTo(time.Second), a.target.begin)
+	w.after(w.cfg.BackAfter+w.randomUpTo(time.Second), a.target.startIncarnation)
 }
 
-// crashUnder crashes a target soon after the start of a run that does so to each target.
-func (w *World) crashUnder(e *emulatedTarget, r *emulatedRun) {
-	incarnations := e.incarnations
-	w.after(time.Duration(w.poison.Int64N(int64(10*time.Millisecond))), func() {
-		if e.incarnations != incarnations || r.over {
+// crashSoonAfterStart crashes a target within 10 ms of the start of a run whose job crashes
+// targets.
+func (w *World) crashSoonAfterStart(e *emulatedTarget, r *emulatedRun) {
+	incarnation := e.incarnation
+	w.after(time.Duration(w.crashRand.Int64N(int64(10*time.Millisecond))), func() {
+		if e.incarnation != incarnation || r.ended {
 			return
 		}
 		w.Crashes.Targets++
-		w.jobs[r.order.Task.Job].crashed[r.order.Task]++
-		for _, o := range e.runs {
-			if c := w.jobs[o.order.Task.Job]; c != nil && !c.crashing {
+		w.jobs[r.order.Task.Job].targetCrashes[r.order.Task]++
+		for _, other := range e.runs {
+			if job := w.jobs[other.order.Task.Job]; job != nil && !job.crashesTargets {
 				w.Crashes.InnocentRuns++
 			}
 		}
@@ -230,24 +228,24 @@
 	})
 }
 
-// drain has a target report that it drains, and end after a while.
+// drain makes a target report that it is draining, and stops it after drainGrace.
 func (w *World) drain(a *agentProcess) {
-	a.do(a.incarnation, func() {
-		if !a.target.up || a.target.draining > 0 {
+	a.execute(a.incarnation, func() {
+		if !a.target.up || a.target.drainingSince > 0 {
 			return
 		}
-		a.target.draining = w.now()
-		a.seq++
-		a.supervisor.Heartbeat(a.clock(), a.target.report(a.seq))
-		w.after(drainTime+w.upTo(time.Second), func() { w.crash(a) })
+		a.target.drainingSince = w.now()
+		a.heartbeatSeq++
+		a.supervisor.Heartbeat(a.clock(), a.target.heartbeat(a.heartbeatSeq))
+		w.after(drainGrace+w.randomUpTo(time.Second), func() { w.crash(a) })
 	})
 }
 
-// resetClients breaks the connections of half of an entry's callers.
+// resetClients breaks the connections of about half of an entry's callers.
 func (w *World) resetClients(e *entryProcess) {
 	for _, c := range e.sortedClients() {
-		if w.rng.IntN(2) == 0 {
-			c.leave()
+		if w.faultRand.IntN(2) == 0 {
+			c.disconnect()
 			c.resend()
 		}
 	}
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -9,105 +9,108 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// watchInterval is how often a silent connection is looked at.
-const watchInterval = 200 * time.Millisecond
+// silenceCheckInterval is how often open connections are checked for silence.
+const silenceCheckInterval = 200 * time.Millisecond
 
-// link is the path between an entry and an agent, with at most one connection.
+// link is the network path between an entry and an agent. It has at most one connection.
 type link struct {
-	w       *World
-	e       *entryProcess
-	a       *agentProcess
-	id      supervisor.ConnID // of the present connection
-	openE   bool              // as the entry sees it
-	openA   bool              // as the agent sees it
-	dialing bool
-	cut     time.Duration // until when nothing passes
-	toE     time.Duration // when the last frame to the entry arrives
-	toA     time.Duration
-	echoE   peer.Echo // the agent's latest stamp, at the entry
-	echoA   time.Duration
-	sentAt  time.Duration
-	seq     uint64
-	// silentToA and silentToE say that nothing passes any more in that direction of the
-	// present connection.
-	silentToA, silentToE bool
+	w                  *World
+	e                  *entryProcess
+	a                  *agentProcess
+	id                 supervisor.ConnID // of the current connection
+	openAtEntry        bool              // connection state at the entry
+	openAtAgent        bool              // connection state at the agent
+	dialing            bool
+	cutUntil           time.Duration // no traffic passes before this time
+	lastArrivalAtEntry time.Duration // of the last frame
+	lastArrivalAtAgent time.Duration
+	echoAtEntry        peer.Echo // the agent's latest stamp, as received by the entry
+	echoAtAgent        time.Duration
+	sentAt             time.Duration
+	lastSeq            uint64
+	// silentToAgent and silentToEntry drop all frames in that direction of the current
+	// connection.
+	silentToAgent, silentToEntry bool
 }
 
-// pair names an entry and an agent.
-type pair struct{ entry, agent string }
+// linkKey identifies a link by the names of its entry and agent.
+type linkKey struct{ entry, agent string }
 
-// level returns what both sides understand.
-func (l *link) level() peer.Level {
-	if l.e.old() || l.a.old() {
+// commonLevel returns the highest protocol level that both sides support.
+func (l *link) commonLevel() peer.Level {
+	if l.e.previousVersion() || l.a.previousVersion() {
 		return peer.LevelBase
 	}
 	return peer.LevelNewest
 }
 
-// arrival returns when something sent now arrives, after what was sent before.
-func (l *link) arrival(last *time.Duration) time.Duration {
-	at := max(l.w.now(), l.cut) + latency + l.w.upTo(latency)
-	*last = max(at, *last)
-	return *last - l.w.now()
+// arrivalDelay returns the delay until a frame sent now arrives. Frames arrive in the order in
+// which they were sent.
+func (l *link) arrivalDelay(lastArrival *time.Duration) time.Duration {
+	at := max(l.w.now(), l.cutUntil) + minLatency + l.w.randomUpTo(minLatency)
+	*lastArrival = max(at, *lastArrival)
+	return *lastArrival - l.w.now()
 }
 
-// arrivalOf returns when a frame to the agent arrives: it waits for the entry's link.
-func (l *link) arrivalOf(f *peer.Frame) time.Duration {
-	l.toA = max(l.toA, l.e.transmit(f))
-	return l.arrival(&l.toA)
+// frameArrivalDelay returns the arrival delay of a frame to the agent, including the
+// transmission on the entry's link.
+func (l *link) frameArrivalDelay(f *peer.Frame) time.Duration {
+	l.lastArrivalAtAgent = max(l.lastArrivalAtAgent, l.e.transmit(f))
+	return l.arrivalDelay(&l.lastArrivalAtAgent)
 }
 
-// transmit returns when a frame that is sent now has left the entry's link.
+// transmit returns when the entry's link has finished sending a frame that is queued now.
 func (e *entryProcess) transmit(f *peer.Frame) time.Duration {
 	const (
-		packet      = 60 // bytes of headers
-		byteSeconds = 8 / 1e6
+		headerBytes     = 60
+		megabitsPerByte = 8 / 1e6
 	)
 	if e.w.cfg.LinkMbps == 0 {
 		return e.w.now()
 	}
 	buf, err := peer.AppendFrame(nil, f)
 	if err != nil {
-		panic(err) // a frame of the emulator is never too large
+		panic(err) // frames of the simulation are never too large
 	}
-	takes := float64(len(buf)+packet) * byteSeconds / e.w.cfg.LinkMbps
-	e.linkFree = max(e.w.now(), e.linkFree) + time.Duration(takes*float64(time.Second))
-	return e.linkFree
+	seconds := float64(len(buf)+headerBytes) * megabitsPerByte / e.w.cfg.LinkMbps
+	e.linkFreeAt = max(e.w.now(), e.linkFreeAt) + time.Duration(seconds*float64(time.Second))
+	return e.linkFreeAt
 }
 
-// fetchSpec asks an agent for a job's spec, which may be on its way there.
+// fetchSpec fetches a job's spec from an agent. The spec may still be in transit to that agent,
+// so it is polled until a timeout.
 func (w *World) fetchSpec(job, agent string, answer func(spec string, known bool)) {
-	const waits = 120 * time.Millisecond
+	const timeout = 120 * time.Millisecond
 	k := slices.IndexFunc(w.agents, func(a *agentProcess) bool { return a.name == agent })
 	from := w.agents[k]
-	until := w.now() + waits
-	var look func()
-	look = func() {
+	deadline := w.now() + timeout
+	var poll func()
+	poll = func() {
 		spec, known := "", false
-		if !from.dead && w.now() >= from.frozen {
+		if !from.dead && w.now() >= from.frozenUntil {
 			spec, known = from.supervisor.Spec(job)
 		}
-		if known || w.now() >= until {
-			w.after(latency, func() { answer(spec, known) })
+		if known || w.now() >= deadline {
+			w.after(minLatency, func() { answer(spec, known) })
 			return
 		}
-		w.after(latency, look)
+		w.after(minLatency, poll)
 	}
-	w.after(2*latency, look) // a connection is made first
+	w.after(2*minLatency, poll) // time to open a connection
 }
 
-// dial has the entry connect, and keeps trying.
+// dial connects the entry to the agent and retries until it succeeds.
 func (l *link) dial() {
-	if l.openE || l.dialing {
+	if l.openAtEntry || l.dialing {
 		return
 	}
 	l.dialing = true
-	l.w.after(redial, func() {
+	l.w.after(redialDelay, func() {
 		l.dialing = false
 		if !l.wanted() {
 			return
 		}
-		if l.e.dead || l.a.dead || l.w.now() < l.cut || l.w.now() < l.a.frozen {
+		if l.e.dead || l.a.dead || l.w.now() < l.cutUntil || l.w.now() < l.a.frozenUntil {
 			l.e.reach.SetLost(l.a.name, true)
 			l.dial()
 			return
@@ -116,18 +119,18 @@
 	})
 }
 
-// connect opens a connection: the entry sees it at once, the agent when the first frame
-// arrives.
+// connect opens a connection. It is open at the entry at once, at the agent when the first
+// frame arrives.
 func (l *link) connect() {
 	w := l.w
-	w.conns++
-	id := supervisor.ConnID(w.conns)
-	incarnationE, incarnationA := l.e.incarnation, l.a.incarnation
-	l.openE = true
-	l.echoE, l.echoA, l.seq = peer.Echo{}, 0, 0
-	l.silentToA, l.silentToE = false, false
-	l.e.do(incarnationE, func() {
-		if !l.openE {
+	w.lastConn++
+	id := supervisor.ConnID(w.lastConn)
+	entryIncarnation, agentIncarnation := l.e.incarnation, l.a.incarnation
+	l.openAtEntry = true
+	l.echoAtEntry, l.echoAtAgent, l.lastSeq = peer.Echo{}, 0, 0
+	l.silentToAgent, l.silentToEntry = false, false
+	l.e.execute(entryIncarnation, func() {
+		if !l.openAtEntry {
 			return
 		}
 		l.sentAt = l.e.clock()
@@ -135,161 +138,162 @@
 		l.e.reach.SetLost(l.a.name, false)
 		l.e.owner.Connected(l.sentAt, l.a.name)
 	})
-	w.after(l.arrival(&l.toA), func() {
-		l.a.do(incarnationA, func() {
+	w.after(l.arrivalDelay(&l.lastArrivalAtAgent), func() {
+		l.a.execute(agentIncarnation, func() {
 			l.id = id
-			l.openA = true
-			l.a.supervisor.Connected(l.a.clock(), id, peer.Hello{Name: l.e.name, Level: l.level(), Boot: uint64(incarnationE)})
-			l.watchA(id, incarnationA)
+			l.openAtAgent = true
+			l.a.supervisor.Connected(l.a.clock(), id, peer.Hello{Name: l.e.name, Level: l.commonLevel(), Boot: uint64(entryIncarnation)})
+			l.watchAtAgent(id, agentIncarnation)
 		})
 	})
-	l.watchE(id, incarnationE)
+	l.watchAtEntry(id, entryIncarnation)
 }
 
-// watchE closes the connection at the entry when the agent is silent.
-func (l *link) watchE(id supervisor.ConnID, incarnation int) {
-	l.w.after(watchInterval, func() {
-		l.e.do(incarnation, func() {
-			if !l.openE {
+// watchAtEntry closes the connection at the entry if the agent is silent for too long.
+func (l *link) watchAtEntry(id supervisor.ConnID, incarnation int) {
+	l.w.after(silenceCheckInterval, func() {
+		l.e.execute(incarnation, func() {
+			if !l.openAtEntry {
 				return
 			}
 			if !l.w.cfg.Lasting && l.e.owner.SilentTooLong(l.e.clock(), l.a.name) {
-				l.closeE()
-				l.tellA(id)
+				l.closeAtEntry()
+				l.notifyAgentClosed(id)
 				return
 			}
-			l.watchE(id, incarnation)
+			l.watchAtEntry(id, incarnation)
 		})
 	})
 }
 
-// watchA closes the connection at the agent when the entry is silent.
-func (l *link) watchA(id supervisor.ConnID, incarnation int) {
-	l.w.after(watchInterval, func() {
-		l.a.do(incarnation, func() {
-			if l.id != id || !l.openA {
+// watchAtAgent closes the connection at the agent if the entry is silent for too long.
+func (l *link) watchAtAgent(id supervisor.ConnID, incarnation int) {
+	l.w.after(silenceCheckInterval, func() {
+		l.a.execute(incarnation, func() {
+			if l.id != id || !l.openAtAgent {
 				return
 			}
 			if !l.w.cfg.Lasting && l.a.supervisor.SilentTooLong(l.a.clock(), id) {
-				l.closeA(id)
+				l.closeAtAgent(id)
 				return
 			}
-			l.watchA(id, incarnation)
+			l.watchAtAgent(id, incarnation)
 		})
 	})
 }
 
-// wanted reports whether the entry should be connected to the agent.
 func (l *link) wanted() bool {
 	return l.w.cfg.Agents <= reach.FullMesh || l.e.reach.Wanted(l.a.name)
 }
 
-// release ends a connection that serves nothing.
+// release closes a connection that the entry no longer needs.
 func (l *link) release() {
-	l.openE = false
+	l.openAtEntry = false
 	l.e.owner.Release(l.a.name)
-	l.tellA(l.id)
+	l.notifyAgentClosed(l.id)
 }
 
-// tellA has the agent hear that the entry has closed a connection.
-func (l *link) tellA(id supervisor.ConnID) {
-	if l.silentToA {
+// notifyAgentClosed delivers the close of a connection by the entry to the agent.
+func (l *link) notifyAgentClosed(id supervisor.ConnID) {
+	if l.silentToAgent {
 		return
 	}
-	l.w.after(l.arrival(&l.toA), func() { l.a.do(l.a.incarnation, func() { l.closeA(id) }) })
+	l.w.after(l.arrivalDelay(&l.lastArrivalAtAgent), func() { l.a.execute(l.a.incarnation, func() { l.closeAtAgent(id) }) })
 }
 
-// closeE closes the connection at the entry, which dials again.
-func (l *link) closeE() {
-	if !l.openE {
+// closeAtEntry closes the connection at the entry and dials again.
+func (l *link) closeAtEntry() {
+	if !l.openAtEntry {
 		return
 	}
-	l.openE = false
+	l.openAtEntry = false
 	l.e.reach.SetLost(l.a.name, true)
 	l.e.owner.Disconnected(l.e.clock(), l.sentAt, l.a.name)
 	l.dial()
 }
 
-// closeA closes the connection at the agent, if it is that one.
-func (l *link) closeA(id supervisor.ConnID) {
-	if l.id != id || !l.openA {
+// closeAtAgent closes the connection at the agent if its ID is id.
+func (l *link) closeAtAgent(id supervisor.ConnID) {
+	if l.id != id || !l.openAtAgent {
 		return
 	}
-	l.openA = false
+	l.openAtAgent = false
 	l.a.supervisor.Disconnected(l.a.clock(), id)
 }
 
-// broken ends the connection because the process of an incarnation has ended; the other
-// one is zero. The other side hears of it unless it happened in the dark.
-func (l *link) broken(incarnationE, incarnationA int, dark bool) {
+// processEnded ends the connection after one of its processes has ended. Only the incarnation
+// of that process is non-zero. The close is delivered to the other side unless the host lost
+// power.
+func (l *link) processEnded(entryIncarnation, agentIncarnation int, powerLoss bool) {
 	id := l.id
-	if incarnationE > 0 {
-		l.openE = false
+	if entryIncarnation > 0 {
+		l.openAtEntry = false
 		l.dial()
-		if !dark {
-			l.tellA(id)
+		if !powerLoss {
+			l.notifyAgentClosed(id)
 		}
 		return
 	}
-	l.openA = false
-	if !dark && !l.silentToE {
-		l.w.after(l.arrival(&l.toE), func() { l.e.do(l.e.incarnation, l.closeE) })
+	l.openAtAgent = false
+	if !powerLoss && !l.silentToEntry {
+		l.w.after(l.arrivalDelay(&l.lastArrivalAtEntry), func() { l.e.execute(l.e.incarnation, l.closeAtEntry) })
 	}
 }
 
-// fromEntry sends a frame to the agent.
-func (l *link) fromEntry(f *peer.Frame) uint64 {
-	if !l.openE {
+// sendToAgent sends a frame to the agent and returns its sequence number, or zero if there is
+// no connection.
+func (l *link) sendToAgent(f *peer.Frame) uint64 {
+	if !l.openAtEntry {
 		return 0
 	}
-	l.seq++
+	l.lastSeq++
 	l.sentAt = l.e.clock()
 	sent := *f
-	sent.Seq, sent.Stamp, sent.Echo = l.seq, l.sentAt, l.echoE.At(l.e.tickedAt)
-	if l.level() < peer.LevelWatch {
-		sent.Evacuations = nil // the version before skips it
+	sent.Seq, sent.Stamp, sent.Echo = l.lastSeq, l.sentAt, l.echoAtEntry.At(l.e.lastTick)
+	if l.commonLevel() < peer.LevelWatch {
+		sent.Evacuations = nil // unknown to the previous version
 	}
-	l.w.sent(l.e.name, &sent)
+	l.w.recordFrame(l.e.name, &sent)
 	incarnation := l.a.incarnation
-	conn := l.w.conns
-	if l.silentToA {
-		return l.seq
+	conn := l.w.lastConn
+	if l.silentToAgent {
+		return l.lastSeq
 	}
-	l.w.after(l.arrivalOf(&sent), func() {
-		l.a.do(incarnation, func() {
-			if !l.openA || uint64(l.id) > conn {
+	l.w.after(l.frameArrivalDelay(&sent), func() {
+		l.a.execute(incarnation, func() {
+			if !l.openAtAgent || uint64(l.id) > conn {
 				return
 			}
-			l.echoA = max(l.echoA, sent.Stamp)
+			l.echoAtAgent = max(l.echoAtAgent, sent.Stamp)
 			l.a.supervisor.Receive(l.a.clock(), l.id, &sent)
 			l.a.scheduleFlush()
 		})
 	})
-	return l.seq
+	return l.lastSeq
 }
 
-// fromAgent sends a frame to the entry.
-func (l *link) fromAgent(f *peer.Frame) {
-	if !l.openA {
+// sendToEntry sends a frame to the entry.
+func (l *link) sendToEntry(f *peer.Frame) {
+	if !l.openAtAgent {
 		return
 	}
 	sent := *f
-	sent.Stamp, sent.Echo = l.a.clock(), l.echoA
-	if l.level() < peer.LevelWatch {
-		sent.Hello = nil // the version before neither says its level nor looks at it
+	sent.Stamp, sent.Echo = l.a.clock(), l.echoAtAgent
+	if l.commonLevel() < peer.LevelWatch {
+		sent.Hello = nil // unknown to the previous version
 		sent.Evacuations = nil
 	}
-	l.w.sent(l.a.name, &sent)
+	l.w.recordFrame(l.a.name, &sent)
 	incarnation, id := l.e.incarnation, l.id
-	if l.silentToE {
+	if l.silentToEntry {
 		return
 	}
-	l.w.after(l.arrival(&l.toE), func() {
-		l.e.do(incarnation, func() {
-			if !l.openE || l.id != id {
+	l.w.after(l.arrivalDelay(&l.lastArrivalAtEntry), func() {
+		l.e.execute(incarnation, func() {
+			if !l.openAtEntry || l.id != id {
 				return
 			}
-			l.echoE.Observe(l.e.clock(), sent.Stamp)
+			l.echoAtEntry.Observe(l.e.clock(), sent.Stamp)
 			l.e.owner.Receive(l.e.clock(), l.a.name, &sent)
 		})
 	})
--- a/testutil/fleet/operator.go
+++ b/testutil/fleet/operator.go
@@ -8,134 +8,134 @@
 	"github.com/beaconpoint/beaconpoint/evacuation"
 )
 
-// Times of evacuations, as the platform's pages have them.
+// Delays of evacuations, as the platform's documentation defines them.
 const (
-	// evacuateTime is how long after the store's answer a target in an evacuated hall may
-	// be given work.
-	evacuateTime = 5 * time.Second
-	// contactTime is how long a process must have been undisturbed to count as in touch.
-	contactTime = 4 * time.Second
-	// storeTime is the most that the store takes to tell an entry of a change.
-	storeTime = 20 * time.Millisecond
+	// maxEvacuationDelay is how long after the store's answer targets in an evacuated hall may
+	// still be given work.
+	maxEvacuationDelay = 5 * time.Second
+	// faultFreeTime is how long an agent must have been free of faults for starts to be
+	// checked.
+	faultFreeTime = 4 * time.Second
+	// maxStoreDelay is the longest delay until the store notifies an entry of a change.
+	maxStoreDelay = 20 * time.Millisecond
 )
 
-// operator has data halls evacuated and takes it back. Entries hear of it from the store,
-// unless they are deaf; those of the version before never do.
+// operator starts and ends evacuations of data halls. The store notifies the entries, except
+// those that can't reach it and those of the previous version.
 type operator struct {
-	w    *World
-	luck *rand.Rand // of its own, so that histories without evacuations stay as they are
-	set  evacuation.Set
-	// hears is the entry that can always reach the store.
-	hears int
-	// since is when each evacuated hall's request was answered.
-	since map[string]time.Duration
-	// startedAfter are the times from the requests to the starts that came after them.
-	startedAfter []time.Duration
+	w   *World
+	rng *rand.Rand // separate, so that histories without evacuations do not change
+	set evacuation.Set
+	// storeReader is the index of the entry that can always reach the store.
+	storeReader int
+	// requestedAt is when the store answered the evacuation request, by hall.
+	requestedAt map[string]time.Duration
+	// startDelays are the delays from evacuation requests to later starts in the hall.
+	startDelays []time.Duration
 }
 
-// newOperator returns the operator of a world, who makes so many random requests.
+// newOperator returns an operator that makes Config.Evacuations random requests.
 func newOperator(w *World) *operator {
-	o := &operator{w: w, luck: rand.New(rand.NewPCG(w.cfg.Seed, 17)), since: make(map[string]time.Duration)}
+	o := &operator{w: w, rng: rand.New(rand.NewPCG(w.cfg.Seed, 17)), requestedAt: make(map[string]time.Duration)}
 	if w.cfg.Halls == 0 {
 		return o
 	}
 	o.set.Revision = 1
-	o.hears = o.luck.IntN(w.cfg.Entries)
+	o.storeReader = o.rng.IntN(w.cfg.Entries)
 	for range w.cfg.Evacuations {
-		w.after(time.Duration(o.luck.Int64N(int64(w.cfg.Length-w.cfg.Calm))), o.evacuateSome)
+		w.after(time.Duration(o.rng.Int64N(int64(w.cfg.Length-w.cfg.Calm))), o.evacuateRandomHall)
 	}
 	return o
 }
 
-// hallName returns the name of a hall.
 func hallName(k int) string {
 	return fmt.Sprintf("hall-%d", k)
 }
 
-// evacuateSome has a random hall evacuated for up to 6 s, while some of the entries can't
-// hear of it from the store.
-func (o *operator) evacuateSome() {
+// evacuateRandomHall evacuates a random hall for up to 6 s. Some of the entries can't reach the
+// store meanwhile.
+func (o *operator) evacuateRandomHall() {
 	for k, e := range o.w.entries {
-		if k != o.hears && !o.w.entries[o.hears].old() && o.luck.IntN(2) == 0 {
-			e.deafUntil = max(e.deafUntil, o.w.now()+time.Duration(o.luck.Int64N(int64(8*time.Second))))
+		if k != o.storeReader && !o.w.entries[o.storeReader].previousVersion() && o.rng.IntN(2) == 0 {
+			e.storeUnreachableUntil = max(e.storeUnreachableUntil, o.w.now()+time.Duration(o.rng.Int64N(int64(8*time.Second))))
 		}
 	}
-	hall := hallName(o.luck.IntN(o.w.cfg.Halls))
-	lasts := 500*time.Millisecond + time.Duration(o.luck.Int64N(int64(5500*time.Millisecond)))
-	o.evacuateCold(hall, lasts, o.luck.IntN(2) == 0)
+	hall := hallName(o.rng.IntN(o.w.cfg.Halls))
+	duration := 500*time.Millisecond + time.Duration(o.rng.Int64N(int64(5500*time.Millisecond)))
+	o.evacuateCold(hall, duration, o.rng.IntN(2) == 0)
 }
 
-// evacuate has a hall evacuated for a while.
-func (o *operator) evacuate(hall string, lasts time.Duration) {
-	o.evacuateCold(hall, lasts, false)
+// evacuate evacuates a hall for the given duration.
+func (o *operator) evacuate(hall string, duration time.Duration) {
+	o.evacuateCold(hall, duration, false)
 }
 
-// evacuateCold is evacuate for a hall whose targets are cold afterwards, if cold says so.
-func (o *operator) evacuateCold(hall string, lasts time.Duration, cold bool) {
+// evacuateCold is like evacuate; if cold is set, the targets of the hall are cold afterwards.
+func (o *operator) evacuateCold(hall string, duration time.Duration, cold bool) {
 	if o.set.Has(hall) {
 		return
 	}
-	o.since[hall] = o.w.now()
-	o.change(hall, true)
-	o.w.after(lasts, func() {
+	o.requestedAt[hall] = o.w.now()
+	o.update(hall, true)
+	o.w.after(duration, func() {
 		if cold {
-			o.chill(hall)
+			o.markCold(hall)
 		}
-		o.takeBack(hall)
+		o.endEvacuation(hall)
 	})
 }
 
-// takeBack ends the evacuation of a hall.
-func (o *operator) takeBack(hall string) {
-	delete(o.since, hall)
-	o.change(hall, false)
+func (o *operator) endEvacuation(hall string) {
+	delete(o.requestedAt, hall)
+	o.update(hall, false)
 }
 
-// chill has a hall's targets be cold from now on, and say so.
-func (o *operator) chill(hall string) {
+// markCold makes the targets of a hall cold and sends heartbeats that report it.
+func (o *operator) markCold(hall string) {
 	for _, a := range o.w.agents {
 		if a.target.hall == hall && a.target.up {
 			a.target.coldUntil = o.w.now() + coldTime
-			a.seq++
-			r := a.target.report(a.seq)
-			a.do(a.incarnation, func() { a.supervisor.Heartbeat(a.clock(), r) })
+			a.heartbeatSeq++
+			r := a.target.heartbeat(a.heartbeatSeq)
+			a.execute(a.incarnation, func() { a.supervisor.Heartbeat(a.clock(), r) })
 		}
 	}
 }
 
-// change writes a change into the store, which tells the entries.
-func (o *operator) change(hall string, evacuated bool) {
+// update writes a change to the store and notifies the entries.
+func (o *operator) update(hall string, evacuated bool) {
 	o.set = o.set.With(o.set.Revision+1, hall, evacuated)
 	for _, e := range o.w.entries {
-		o.tell(e)
+		o.notify(e)
 	}
 }
 
-// tell has an entry hear what is in the store now, or when it is not deaf any more.
-func (o *operator) tell(e *entryProcess) {
-	if o.set.Revision == 0 || e.old() {
+// notify delivers the current evacuations to an entry, as soon as it can reach the store.
+func (o *operator) notify(e *entryProcess) {
+	if o.set.Revision == 0 || e.previousVersion() {
 		return
 	}
 	incarnation, set := e.incarnation, o.set
-	wait := time.Duration(o.luck.Int64N(int64(storeTime)))
-	if e.deafUntil > o.w.now() {
-		o.w.after(e.deafUntil-o.w.now()+wait, func() { o.tell(e) })
+	delay := time.Duration(o.rng.Int64N(int64(maxStoreDelay)))
+	if e.storeUnreachableUntil > o.w.now() {
+		o.w.after(e.storeUnreachableUntil-o.w.now()+delay, func() { o.notify(e) })
 		return
 	}
-	o.w.after(wait, func() {
-		e.do(incarnation, func() { e.owner.Evacuate(e.clock(), set, "store") })
+	o.w.after(delay, func() {
+		e.execute(incarnation, func() { e.owner.Evacuate(e.clock(), set, "store") })
 	})
 }
 
-// checkStart checks a start on a target in a hall that may be evacuated.
-func (o *operator) checkStart(a *agentProcess, name string) {
-	since, evacuated := o.since[a.target.hall]
-	if !evacuated || a.old() {
+// checkRunStart checks that a run does not start in a hall that has been evacuated for too
+// long.
+func (o *operator) checkRunStart(a *agentProcess, name string) {
+	requestedAt, evacuated := o.requestedAt[a.target.hall]
+	if !evacuated || a.previousVersion() {
 		return
 	}
-	late := o.w.now() - since
-	o.startedAfter = append(o.startedAfter, late)
-	if late > evacuateTime && o.w.now()-a.disturbedUntil > contactTime {
-		o.w.breaks(Evacuated, "%s starts in %s, evacuated since %s", name, a.target.hall, late)
+	delay := o.w.now() - requestedAt
+	o.startDelays = append(o.startDelays, delay)
+	if delay > maxEvacuationDelay && o.w.now()-a.faultUntil > faultFreeTime {
+		o.w.recordViolation(Evacuated, "%s started in %s, %s after the evacuation", name, a.target.hall, delay)
 	}
 }
--- a/testutil/fleet/operator_test.go
+++ b/testutil/fleet/operator_test.go
@@ -12,7 +12,7 @@
 
 // inHalls changes a world into one with two targets in each of three halls, four
 // evacuations, and callers of whom some leave.
-func inHalls(c *Config) {
+func threeHalls(c *Config) {
 	c.Halls, c.Agents, c.Entries = 3, 6, 3
 	c.Evacuations = 4
 	c.Leaving = 0.15
@@ -21,22 +21,22 @@
 
 // TestHistoriesWithEvacuations plays evacuations, one or several at once, among all other
 // troubles, while some entries can't reach the store.
-func TestHistoriesWithEvacuations(t *testing.T) {
-	playHistories(t, 6000, 200, inHalls)
-	playHistories(t, 6300, 40, func(c *Config) { inHalls(c); c.OldEntries = 1 })
-	playHistories(t, 6400, 40, func(c *Config) { inHalls(c); c.OldAgents = 2 })
+func TestEvacuationsKeepInvariants(t *testing.T) {
+	playHistories(t, 6000, 200, threeHalls)
+	playHistories(t, 6300, 40, func(c *Config) { threeHalls(c); c.OldEntries = 1 })
+	playHistories(t, 6400, 40, func(c *Config) { threeHalls(c); c.OldAgents = 2 })
 	playHistories(t, 6500, 60, func(c *Config) {
-		inHalls(c)
+		threeHalls(c)
 		c.Kinds, c.Faults = []Kind{KillEntry, KillAgent, CutEntry, CutAgent, SilenceConnections}, 12
 	})
 }
 
 // TestAgentsRefuseInEvacuatedHalls takes the agents' refusal out: entries of the version
 // before, which hear of no evacuation, have runs started there.
-func TestAgentsRefuseInEvacuatedHalls(t *testing.T) {
+func TestAcceptingStartsInEvacuatedHallIsDetected(t *testing.T) {
 	for seed := range uint64(100) {
 		cfg := DefaultConfig(seed)
-		inHalls(&cfg)
+		threeHalls(&cfg)
 		cfg.OldEntries, cfg.Rules.RefuseEvacuated = 1, false
 		w := New(cfg)
 		w.Run()
@@ -57,31 +57,31 @@
 
 // TestAnEvacuationIsInForceAtOnce: 20 ms after the store's answer at the latest entries have
 // heard of it, and what is under way to agents then takes a few more.
-func TestAnEvacuationIsInForceAtOnce(t *testing.T) {
-	var late []time.Duration
+func TestEvacuationStopsStartsPromptly(t *testing.T) {
+	var delays []time.Duration
 	for seed := range uint64(4) {
 		w := evacuationWorld(1+seed, 12, 40)
 		w.At(4*time.Second, func() { w.operator.evacuate(hallName(1), 3*time.Second) })
 		w.Run()
 		assert.Equal(t, w.Broken, "")
-		late = append(late, w.operator.startedAfter...)
+		delays = append(delays, w.operator.startDelays...)
 	}
-	assert.Assert(t, len(late) > 0)
-	assert.Assert(t, slices.Max(late) < 30*time.Millisecond, "%s", slices.Max(late))
+	assert.Assert(t, len(delays) > 0)
+	assert.Assert(t, slices.Max(delays) < 30*time.Millisecond, "%s", slices.Max(delays))
 }
 
 // TestAnEvacuationReachesWhomTheStoreDoesNot: one entry hears of it and dies soon after; the
 // others can't reach the store for as long as it lasts. Agents hand the news on.
-func TestAnEvacuationReachesWhomTheStoreDoesNot(t *testing.T) {
+func TestEvacuationReachesEntriesCutFromStore(t *testing.T) {
 	w := evacuationWorld(2, 4, 12)
 	w.At(4*time.Second, func() {
 		for _, e := range w.entries[1:] {
-			e.deafUntil = w.now() + 8*time.Second
+			e.storeUnreachableUntil = w.now() + 8*time.Second
 		}
 		w.operator.evacuate(hallName(1), 6*time.Second)
 	})
 	w.At(4*time.Second+150*time.Millisecond, func() {
-		w.entries[0].deafUntil = w.now() + 8*time.Second
+		w.entries[0].storeUnreachableUntil = w.now() + 8*time.Second
 		w.entries[0].kill(false)
 	})
 	w.At(7*time.Second, func() {
@@ -91,11 +91,11 @@
 	})
 	w.Run()
 	assert.Equal(t, w.Broken, "")
-	assert.Assert(t, slices.Max(w.operator.startedAfter) < 200*time.Millisecond, "%s", slices.Max(w.operator.startedAfter))
+	assert.Assert(t, slices.Max(w.operator.startDelays) < 200*time.Millisecond, "%s", slices.Max(w.operator.startDelays))
 }
 
 // TestWithAllHallsEvacuatedJobsAreRefusedAtOnce: and served again when they are taken back.
-func TestWithAllHallsEvacuatedJobsAreRefusedAtOnce(t *testing.T) {
+func TestJobsAreRefusedWhileAllHallsAreEvacuated(t *testing.T) {
 	w := evacuationWorld(3, 3, 12)
 	var before, during, after Counts
 	w.At(4*time.Second, func() {
@@ -117,17 +117,17 @@
 // seconds later and loses stops, leave, and the entry be removed; the agent is replaced, where
 // asked for, by one whose calls arrive. It returns when the job began on the target, or zero,
 // and for how long it was at work.
-func lateStart(t *testing.T, rules supervisor.Rules, replaceAgent bool) (began, atWork time.Duration) {
+func delayedStart(t *testing.T, rules supervisor.Rules, replaceAgent bool) (startedAt, busyFor time.Duration) {
 	cfg := DefaultConfig(1)
 	cfg.Entries, cfg.Agents, cfg.Faults, cfg.Rules = 1, 1, 0, rules
 	cfg.Length, cfg.Interval, cfg.Guess, cfg.LongGuess = 12*time.Second, time.Hour, 3*time.Second, 3*time.Second
 	w := New(cfg)
 	a := w.agents[0]
-	a.target.startsLateBy = 5 * time.Second
+	a.target.startDelay = 5 * time.Second
 	w.At(600*time.Millisecond, func() { // the job came at 300 ms
 		assert.Equal(t, len(w.jobs), 1)
 		for _, c := range w.jobs {
-			c.leaveForGood()
+			c.abandon()
 		}
 	})
 	w.At(2*time.Second, func() {
@@ -136,45 +136,45 @@
 	})
 	if replaceAgent {
 		w.At(3*time.Second, func() {
-			a.target.startsLateBy = 0
+			a.target.startDelay = 0
 			a.kill(true)
 		})
 	}
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		if len(a.target.runs) > 0 {
-			if began == 0 {
-				began = w.now()
+			if startedAt == 0 {
+				startedAt = w.now()
 			}
-			atWork += time.Millisecond
+			busyFor += time.Millisecond
 		}
-		w.after(time.Millisecond, look)
+		w.after(time.Millisecond, poll)
 	}
-	w.after(0, look)
+	w.after(0, poll)
 	w.Run()
-	return began, atWork
+	return startedAt, busyFor
 }
 
 // TestAnOrderThatIsCarriedOutAfterItsCallerHasLeft: its start's own deadline has passed, so
 // that the target refuses it; and a new agent's fencing token is higher. Without the deadline
 // and the token it begins, and the new agent stops what it did not order. Without any of them
 // it runs on.
-func TestAnOrderThatIsCarriedOutAfterItsCallerHasLeft(t *testing.T) {
-	const stopped = 320 * time.Millisecond // the longest wait of a renewal, the stop, two calls
+func TestDelayedStartOfAbandonedJobDoesNotRun(t *testing.T) {
+	const maxStopDelay = 320 * time.Millisecond // the longest wait of a renewal, the stop, two calls
 	rules := supervisor.DefaultRules()
 	for _, replaced := range []bool{false, true} {
-		began, _ := lateStart(t, rules, replaced)
-		assert.Equal(t, began, time.Duration(0))
+		startedAt, _ := delayedStart(t, rules, replaced)
+		assert.Equal(t, startedAt, time.Duration(0))
 	}
 	rules.TargetLease = time.Hour
-	began, atWork := lateStart(t, rules, false)
-	assert.Assert(t, began > 0 && atWork > 3*stopped, "%s %s", began, atWork)
-	began, _ = lateStart(t, rules, true)
-	assert.Equal(t, began, time.Duration(0))
+	startedAt, busyFor := delayedStart(t, rules, false)
+	assert.Assert(t, startedAt > 0 && busyFor > 3*maxStopDelay, "%s %s", startedAt, busyFor)
+	startedAt, _ = delayedStart(t, rules, true)
+	assert.Equal(t, startedAt, time.Duration(0))
 	rules.FencingTokens = false
-	began, atWork = lateStart(t, rules, true)
-	assert.Assert(t, began > 0 && atWork < stopped, "%s %s", began, atWork)
+	startedAt, busyFor = delayedStart(t, rules, true)
+	assert.Assert(t, startedAt > 0 && busyFor < maxStopDelay, "%s %s", startedAt, busyFor)
 	rules.StopUnknown = false
-	began, atWork = lateStart(t, rules, true)
-	assert.Assert(t, began > 0 && atWork > 3*stopped, "%s %s", began, atWork)
+	startedAt, busyFor = delayedStart(t, rules, true)
+	assert.Assert(t, startedAt > 0 && busyFor > 3*maxStopDelay, "%s %s", startedAt, busyFor)
 }
--- a/testutil/fleet/outage_test.go
+++ b/testutil/fleet/outage_test.go
@@ -9,60 +9,60 @@
 
 // TestHistoriesOfLostHalls plays halls that lose power, or that one entry can't reach, among
 // other troubles, with copies of submissions at other entries.
-func TestHistoriesOfLostHalls(t *testing.T) {
+func TestLostHallsKeepInvariants(t *testing.T) {
 	playHistories(t, 12000, 100, func(c *Config) {
-		inHalls(c)
+		threeHalls(c)
 		c.Agents, c.Strays, c.Evacuations = 12, 0.3, 0
 		c.Kinds, c.Faults = []Kind{LoseHall, CutHall, KillEntry, FreezeAgent, LoseAnswers}, 8
 	})
 }
 
 // lostHall returns a busy world of three halls, one of which loses power after 4 s.
-func lostHall(seed uint64, load float64) *World {
+func lostHallWorld(seed uint64, load float64) *World {
 	cfg := PolicyConfig(seed, 6, 24, Tracking(24, load))
 	cfg.Halls = 3
 	w := New(cfg)
-	w.At(4*time.Second, func() { w.loseHall(hallName(1)) })
+	w.At(4*time.Second, func() { w.powerOffHall(hallName(1)) })
 	return w
 }
 
 // suspected returns how often entries took a hall for lost, and silent agents found otherwise.
-func suspected(w *World) (halls uint64) {
+func suspectedHalls(w *World) (count uint64) {
 	for _, e := range w.entries {
-		halls += e.owner.Stats().HallsSuspected
+		count += e.owner.Stats().HallsSuspected
 	}
-	return halls
+	return count
 }
 
 // TestALostHallIsNoticed by each entry, once.
-func TestALostHallIsNoticed(t *testing.T) {
-	w := lostHall(1, 0.6)
-	noticed := 0
+func TestEachEntrySuspectsLostHallOnce(t *testing.T) {
+	w := lostHallWorld(1, 0.6)
+	suspecting := 0
 	w.At(4*time.Second+300*time.Millisecond, func() {
 		for _, e := range w.entries {
-			noticed += e.owner.HallsSuspected()
+			suspecting += e.owner.HallsSuspected()
 		}
 	})
 	w.Run()
 	assert.Equal(t, w.Broken, "")
-	assert.Equal(t, noticed, 6)
-	assert.Equal(t, suspected(w), uint64(6))
+	assert.Equal(t, suspecting, 6)
+	assert.Equal(t, suspectedHalls(w), uint64(6))
 }
 
 // TestSoundHallsAreNotSuspected: a tenth of the agents is frozen, each entry is cut off from
 // everybody in turn, agents are replaced one after the other, or nothing happens at all.
 func TestSoundHallsAreNotSuspected(t *testing.T) {
-	for name, trouble := range map[string]func(*World){
+	for name, inject := range map[string]func(*World){
 		"none": func(*World) {},
 		"frozen agents": func(w *World) {
 			for k := range 3 {
-				w.agents[k].frozen = w.now() + time.Second // one in each hall
-				w.agents[k+3].frozen = w.now() + time.Second
+				w.agents[k].frozenUntil = w.now() + time.Second // one in each hall
+				w.agents[k+3].frozenUntil = w.now() + time.Second
 			}
 		},
 		"cut off entries": func(w *World) {
 			for k, e := range w.entries {
-				w.after(time.Duration(k)*time.Second, func() { w.cutOff(nil, e, 700*time.Millisecond) })
+				w.after(time.Duration(k)*time.Second, func() { w.isolate(nil, e, 700*time.Millisecond) })
 			}
 		},
 		"agents replaced": func(w *World) {
@@ -77,10 +77,10 @@
 				cfg := PolicyConfig(seed+1, 6, 24, Tracking(24, 0.6))
 				cfg.Halls = 3
 				w := New(cfg)
-				w.At(4*time.Second, func() { trouble(w) })
+				w.At(4*time.Second, func() { inject(w) })
 				w.Run()
 				assert.Equal(t, w.Broken, "")
-				assert.Equal(t, suspected(w), uint64(0))
+				assert.Equal(t, suspectedHalls(w), uint64(0))
 			}
 		})
 	}
--- a/testutil/fleet/partition_test.go
+++ b/testutil/fleet/partition_test.go
@@ -13,26 +13,26 @@
 // seconds, while a quarter of the load comes on both sides. Its targets are sound and callers
 // reach its entries: it serves the jobs of which it reaches a home that others choose, too, which
 // is two of its three; a third of its third waits and is refused.
-func TestAHallThatIsCutServesOn(t *testing.T) {
+func TestPartitionedHallKeepsServing(t *testing.T) {
 	cfg := PolicyConfig(1, 6, 24, Tracking(24, 0.25))
 	cfg.Halls = 3
 	w := New(cfg)
-	var before, in owner.Stats
+	var before, during owner.Stats
 	w.At(4*time.Second, func() { w.partition(hallName(1), 4*time.Second) })
 	w.At(4500*time.Millisecond, func() { before = w.Stats() })
-	w.At(8*time.Second, func() { in = w.Stats() })
+	w.At(8*time.Second, func() { during = w.Stats() })
 	w.Run()
 	assert.Equal(t, w.Broken, "")
-	refused, submitted := in.Refused-before.Refused, in.Submitted-before.Submitted
-	completed := in.Completed - before.Completed
-	t.Logf("in the cut: %d submitted, %d completed, %d refused, %d given up", submitted, completed, refused, in.GivenUp-before.GivenUp)
+	refused, submitted := during.Refused-before.Refused, during.Submitted-before.Submitted
+	completed := during.Completed - before.Completed
+	t.Logf("in the cut: %d submitted, %d completed, %d refused, %d given up", submitted, completed, refused, during.GivenUp-before.GivenUp)
 	assert.Assert(t, refused*9 <= submitted, "%d of %d refused while targets were idle", refused, submitted)
 	assert.Assert(t, completed*9 >= submitted*8, "%d of %d completed", completed, submitted)
 }
 
 // TestHistoriesOfPartitions plays histories in which halls are cut from each other, and callers
 // whose connections broke submit their jobs again on the other side.
-func TestHistoriesOfPartitions(t *testing.T) {
+func TestPartitionsKeepInvariants(t *testing.T) {
 	playHistories(t, 14000, 160, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{Partition, ResetClients, KillEntry, CutAgent}, 12
 		c.Entries, c.Agents, c.Halls = 3, 9, 3
--- a/testutil/fleet/policy_test.go
+++ b/testutil/fleet/policy_test.go
@@ -10,19 +10,19 @@
 )
 
 // bounds is what a scene's jobs earn at the least.
-type bounds struct {
+type sceneBounds struct {
 	scene string
 	seeds int
 	// least is the least share of what is owed that must be earned, in all and
 	// by the worst class; rejected the largest share of orders turned down.
-	least, worst, rejected float64
+	minEarned, minWorstClass, maxRejected float64
 }
 
 // TestWhatJobsEarn plays a workload under load and troubles. The bounds lie a
 // little below what was measured; docs/measurements/policy-platform.md says which
 // mechanisms are noticed when they are taken out, and which is not.
-func TestWhatJobsEarn(t *testing.T) {
-	for _, b := range []bounds{
+func TestScenesEarnMinimumShare(t *testing.T) {
+	for _, b := range []sceneBounds{
 		{"half load", 8, 0.985, 0.97, 0.02},
 		{"high load", 8, 0.96, 0.94, 0.02},
 		{"high load, large", 3, 0.98, 0.96, 0.02},
@@ -57,7 +57,7 @@
 }
 
 // play plays the scene with each seed and looks at the sums.
-func (b bounds) play(t *testing.T) {
+func (b sceneBounds) play(t *testing.T) {
 	var (
 		wait   sync.WaitGroup
 		lock   sync.Mutex
@@ -67,7 +67,7 @@
 	)
 	scene, found := SceneNamed(b.scene)
 	assert.Assert(t, found)
-	by := make([]Credit, len(Tracking(scene.Agents, scene.Load)))
+	classes := make([]Credit, len(Tracking(scene.Agents, scene.Load)))
 	for seed := range uint64(b.seeds) {
 		wait.Go(func() {
 			w := scene.New(seed + 1)
@@ -78,29 +78,29 @@
 			stats = addStats(stats, w.Stats())
 			frames += w.Frames
 			for k, c := range w.Credits {
-				by[k] = by[k].Plus(c)
+				classes[k] = classes[k].Plus(c)
 				total = total.Plus(c)
 			}
 		})
 	}
 	wait.Wait()
 	worst := total.Share()
-	for _, c := range by {
+	for _, c := range classes {
 		worst = min(worst, c.Share())
 	}
 	rejected := float64(stats.Rejected) / float64(stats.Starts)
 	t.Logf("earned %.3f, worst class %.3f, held %.3f; of %d jobs %d in aim, %d late, %d refused, %d given up; %.3f of orders turned down, %.1f frames a run",
 		total.Share(), worst, total.Held/total.Owed, total.Jobs, total.InAim, total.Late, stats.Refused, stats.GivenUp, rejected,
 		float64(frames)/float64(stats.Starts-stats.Rejected))
-	assert.Check(t, total.Share() >= b.least)
-	assert.Check(t, worst >= b.worst)
-	assert.Check(t, rejected <= b.rejected)
+	assert.Check(t, total.Share() >= b.minEarned)
+	assert.Check(t, worst >= b.minWorstClass)
+	assert.Check(t, rejected <= b.maxRejected)
 }
 
 // TestCallersThatComeBack plays a burst in which refused callers come back when they are
 // asked to. Asked to come back after a second each, 0.267 refusals a job were counted and
 // 0.831 earned; one after the other 0.147 and 0.878.
-func TestCallersThatComeBack(t *testing.T) {
+func TestRetriesAfterRefusalAreServed(t *testing.T) {
 	scene, found := SceneNamed("burst, callers come back")
 	assert.Assert(t, found)
 	var total Credit
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -14,89 +14,87 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// process is what entries and agents have in common: incarnations, and freezes during
-// which all that comes waits.
+// process is the common part of entries and agents: incarnations, and freezes that delay all
+// events.
 type process struct {
 	w           *World
 	name        string
 	incarnation int
 	dead        bool
-	frozen      time.Duration // until when
-	// lag is how far the process's clock is behind the world's: one that does not count
-	// suspensions falls behind.
-	lag time.Duration
-	// disturbedUntil is until when a fault struck the process or its links.
-	disturbedUntil time.Duration
+	frozenUntil time.Duration
+	// clockLag is how far the process's clock is behind virtual time. It grows if the clock
+	// stops during suspensions.
+	clockLag time.Duration
+	// faultUntil is the end of the last fault of the process or its links.
+	faultUntil time.Duration
 }
 
-// disturb records a fault that lasts so long.
-func (p *process) disturb(lasts time.Duration) {
-	p.disturbedUntil = max(p.disturbedUntil, p.w.now()+lasts)
+// recordFault records a fault of the given duration.
+func (p *process) recordFault(duration time.Duration) {
+	p.faultUntil = max(p.faultUntil, p.w.now()+duration)
 }
 
-// clock returns the time as the process reckons it.
+// clock returns the time on the process's clock.
 func (p *process) clock() time.Duration {
-	return p.w.now() - p.lag
+	return p.w.now() - p.clockLag
 }
 
-// freeze stops the process for a while.
-func (p *process) freeze(lasts time.Duration) {
-	p.frozen = p.w.now() + lasts
-	p.disturb(lasts)
+// freeze stops the process for the given duration.
+func (p *process) freeze(duration time.Duration) {
+	p.frozenUntil = p.w.now() + duration
+	p.recordFault(duration)
 }
 
-// suspend stops the process with its host: its clock counts the time, unless the clocks of the
-// processes are such as do not.
-func (p *process) suspend(lasts time.Duration) {
-	p.freeze(lasts)
+// suspend freezes the process with its host. With Config.ClocksStop its clock stops, too.
+func (p *process) suspend(duration time.Duration) {
+	p.freeze(duration)
 	if p.w.cfg.ClocksStop {
-		p.lag += lasts
+		p.clockLag += duration
 	}
 }
 
-// do lets the process handle something, now or when it is thawed, unless its
-// incarnation is over by then.
-func (p *process) do(incarnation int, handle func()) {
+// execute calls f now, or when the process is no longer frozen. It does nothing if the
+// incarnation has ended by then.
+func (p *process) execute(incarnation int, f func()) {
 	switch {
 	case p.dead || p.incarnation != incarnation:
-	case p.w.now() < p.frozen:
-		p.w.after(p.frozen-p.w.now(), func() { p.do(incarnation, handle) })
+	case p.w.now() < p.frozenUntil:
+		p.w.after(p.frozenUntil-p.w.now(), func() { p.execute(incarnation, f) })
 	default:
-		handle()
+		f()
 	}
 }
 
 // entryProcess is an entry with its callers.
 type entryProcess struct {
 	process
-	owner    *owner.Owner
-	reach    *reach.Set
-	clients  map[string]*client
-	tickedAt time.Duration // when the last tick was
-	linkFree time.Duration // when its link has sent all that is queued
-	// deafUntil is until when it can't reach the store.
-	deafUntil time.Duration
+	owner                 *owner.Owner
+	reach                 *reach.Set
+	clients               map[string]*client
+	lastTick              time.Duration
+	linkFreeAt            time.Duration // when its link has sent all queued frames
+	storeUnreachableUntil time.Duration
 }
 
-// old reports whether the entry is of the version before.
-func (e *entryProcess) old() bool {
+// previousVersion reports whether the entry runs the previous version.
+func (e *entryProcess) previousVersion() bool {
 	return slices.Index(e.w.entries, e) < e.w.cfg.OldEntries
 }
 
 // newEntry returns entry k in its first incarnation.
 func (w *World) newEntry(k int) *entryProcess {
 	e := &entryProcess{process: process{w: w, name: fmt.Sprintf("edge-%d", k)}}
-	e.begin()
+	e.startIncarnation()
 	return e
 }
 
-// begin begins an incarnation that knows nothing.
-func (e *entryProcess) begin() {
+// startIncarnation starts an incarnation with empty state.
+func (e *entryProcess) startIncarnation() {
 	e.incarnation++
 	e.dead = false
 	e.clients = make(map[string]*client)
 	if e.owner != nil {
-		e.w.ended = addStats(e.w.ended, e.owner.Stats())
+		e.w.pastStats = addStats(e.w.pastStats, e.owner.Stats())
 	}
 	e.owner = owner.NewOwner(e.w.cfg.Log.With("node", e.name))
 	e.owner.ClearTime = e.w.cfg.Clear
@@ -113,14 +111,14 @@
 	e.owner.IsOwn = e.reach.Own
 	e.owner.Addr = func(agent string) string { return agent }
 	e.owner.SetLink(e.w.cfg.LinkMbps)
-	e.owner.Random = e.w.choice.IntN
-	e.owner.Send = func(agent string, f *peer.Frame) uint64 { return e.w.linkOf[pair{e.name, agent}].fromEntry(f) }
+	e.owner.Random = e.w.ownerRand.IntN
+	e.owner.Send = func(agent string, f *peer.Frame) uint64 { return e.w.linkOf[linkKey{e.name, agent}].sendToAgent(f) }
 	incarnation := e.incarnation
 	var tick func()
 	tick = func() {
-		e.do(incarnation, func() {
+		e.execute(incarnation, func() {
 			now := e.clock()
-			e.tickedAt = now
+			e.lastTick = now
 			e.owner.Tick(now)
 			e.adjustReach(now)
 			e.owner.Heartbeats(now)
@@ -128,11 +126,11 @@
 		})
 	}
 	tick()
-	e.w.operator.tell(e)
+	e.w.operator.notify(e)
 }
 
-// adjustReach connects to the agents that are wanted and ends the connections that serve nothing,
-// as node.Entry does.
+// adjustReach opens connections to wanted agents and releases unneeded ones, as node.Entry
+// does.
 func (e *entryProcess) adjustReach(now time.Duration) {
 	if e.owner.TakeMissingLabel() {
 		e.reach.Widen(now)
@@ -149,50 +147,49 @@
 		return // links dial by themselves
 	}
 	for k := range e.w.cfg.Agents {
-		l := e.w.linkOf[pair{e.name, agentName(k)}]
+		l := e.w.linkOf[linkKey{e.name, agentName(k)}]
 		switch {
 		case l == nil:
 		case changed && e.reach.Wanted(l.a.name):
 			l.dial()
-		case l.openE && !e.reach.Wanted(l.a.name) && e.owner.Releasable(l.a.name):
+		case l.openAtEntry && !e.reach.Wanted(l.a.name) && e.owner.Releasable(l.a.name):
 			l.release()
 		}
 	}
 }
 
-// kill ends the incarnation; another begins in a while. In the dark nobody is told:
-// connections are not closed, as when a host loses power.
-func (e *entryProcess) kill(dark bool) {
+// kill ends the incarnation and schedules the next one. After a power loss connections are not
+// closed.
+func (e *entryProcess) kill(powerLoss bool) {
 	if e.dead {
 		return
 	}
 	e.dead = true
-	e.disturb(restartAfter + time.Second)
+	e.recordFault(minRestartDelay + time.Second)
 	for _, l := range e.w.links {
 		if l.e == e {
-			l.broken(l.e.incarnation, 0, dark)
+			l.processEnded(l.e.incarnation, 0, powerLoss)
 		}
 	}
 	for _, c := range e.sortedClients() {
-		if !dark {
+		if !powerLoss {
 			c.resend()
 		}
 	}
-	e.w.after(restartAfter+e.w.upTo(time.Second), e.begin)
+	e.w.after(minRestartDelay+e.w.randomUpTo(time.Second), e.startIncarnation)
 }
 
-// agentProcess is an agent with the target beside it.
+// agentProcess is an agent and its target.
 type agentProcess struct {
 	process
-	supervisor     *supervisor.Supervisor
-	flushing       bool
-	renewingBeside bool // a second hold is kept under way
-	target         *emulatedTarget
-	links          []*link
-	seq            uint64
+	supervisor    *supervisor.Supervisor
+	flushing      bool
+	secondRenewal bool // a second concurrent renewal is in progress
+	target        *emulatedTarget
+	links         []*link
+	heartbeatSeq  uint64
 }
 
-// agentName returns the name of agent k.
 func agentName(k int) string {
 	return fmt.Sprintf("side-%d", k)
 }
@@ -207,31 +204,31 @@
 	if len(w.cfg.Speeds) > 0 {
 		a.target.speed = w.cfg.Speeds[k%len(w.cfg.Speeds)]
 	}
-	a.begin()
-	a.report()
+	a.startIncarnation()
+	a.sendHeartbeats()
 	return a
 }
 
-// old reports whether the agent is of the version before.
-func (a *agentProcess) old() bool {
+// previousVersion reports whether the agent runs the previous version.
+func (a *agentProcess) previousVersion() bool {
 	return slices.Index(a.w.agents, a) < a.w.cfg.OldAgents
 }
 
-// report has the target send its heartbeats for good.
-func (a *agentProcess) report() {
+// sendHeartbeats delivers the target's heartbeats every heartbeatInterval.
+func (a *agentProcess) sendHeartbeats() {
 	if a.target.up {
-		a.seq++
-		r := a.target.report(a.seq)
-		a.do(a.incarnation, func() { a.supervisor.Heartbeat(a.clock(), r) })
+		a.heartbeatSeq++
+		r := a.target.heartbeat(a.heartbeatSeq)
+		a.execute(a.incarnation, func() { a.supervisor.Heartbeat(a.clock(), r) })
 	}
-	a.w.after(reportEvery, a.report)
+	a.w.after(heartbeatInterval, a.sendHeartbeats)
 }
 
-// begin begins an incarnation that knows nothing; the target runs on.
-func (a *agentProcess) begin() {
+// startIncarnation starts an incarnation with empty state. The target keeps running.
+func (a *agentProcess) startIncarnation() {
 	a.incarnation++
 	a.dead = false
-	a.renewingBeside = false
+	a.secondRenewal = false
 	incarnation := a.incarnation
 	s := supervisor.NewSupervisor(a.w.cfg.Log.With("node", a.name))
 	s.Rules = a.w.cfg.Rules
@@ -239,31 +236,31 @@
 	s.Send = func(id supervisor.ConnID, f *peer.Frame) {
 		for _, l := range a.links {
 			if l.id == id {
-				l.fromAgent(f)
+				l.sendToEntry(f)
 			}
 		}
 	}
 	s.Start = func(c supervisor.StartCall) {
-		a.w.after(supervisor.StartRetry+time.Millisecond, func() { a.do(incarnation, func() { s.Tick(a.clock()) }) })
-		if late := a.target.startsLateBy; late > 0 {
-			a.w.after(late, func() { a.target.start(c) })
+		a.w.after(supervisor.StartRetry+time.Millisecond, func() { a.execute(incarnation, func() { s.Tick(a.clock()) }) })
+		if delay := a.target.startDelay; delay > 0 {
+			a.w.after(delay, func() { a.target.start(c) })
 			return
 		}
 		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.start(c) }, func(r supervisor.Reply) {
-			a.do(incarnation, func() { s.StartAnswered(a.clock(), c, r); a.scheduleFlush() })
+			a.execute(incarnation, func() { s.StartAnswered(a.clock(), c, r); a.scheduleFlush() })
 		})
 	}
 	s.FetchSpec = func(job, addr string) {
 		a.w.fetchSpec(job, addr, func(spec string, known bool) {
-			a.do(incarnation, func() { s.SpecFetched(a.clock(), job, spec, known); a.scheduleFlush() })
+			a.execute(incarnation, func() { s.SpecFetched(a.clock(), job, spec, known); a.scheduleFlush() })
 		})
 	}
 	s.Stop = func(c supervisor.StopCall) {
-		if a.target.startsLateBy > 0 {
+		if a.target.startDelay > 0 {
 			return
 		}
 		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.stop(c) }, func(r supervisor.Reply) {
-			a.do(incarnation, func() { s.StopAnswered(a.clock(), c, r) })
+			a.execute(incarnation, func() { s.StopAnswered(a.clock(), c, r) })
 		})
 	}
 	a.renew(incarnation)
@@ -272,7 +269,7 @@
 
 // tick drives the supervisor, as node.Agent does.
 func (a *agentProcess) tick(incarnation int) {
-	a.do(incarnation, func() {
+	a.execute(incarnation, func() {
 		now := a.clock()
 		a.supervisor.Tick(now)
 		a.supervisor.Heartbeats(now)
@@ -284,12 +281,12 @@
 	})
 }
 
-// scheduleFlush has a changed state sent when it is due, and a second renewal begun
-// where replies get lost.
+// scheduleFlush schedules the sending of pending state changes. It also starts a second renewal
+// while replies get lost.
 func (a *agentProcess) scheduleFlush() {
-	if !a.renewingBeside && a.supervisor.LosingReplies(a.clock()) {
-		a.renewingBeside = true
-		a.renewBeside(a.incarnation)
+	if !a.secondRenewal && a.supervisor.LosingReplies(a.clock()) {
+		a.secondRenewal = true
+		a.renewSecond(a.incarnation)
 	}
 	wait, ok := a.supervisor.Pending(a.clock())
 	if !ok || a.flushing {
@@ -299,39 +296,39 @@
 	incarnation := a.incarnation
 	a.w.after(wait+time.Millisecond, func() {
 		a.flushing = false
-		a.do(incarnation, func() {
+		a.execute(incarnation, func() {
 			a.supervisor.Flush(a.clock())
 			a.scheduleFlush()
 		})
 	})
 }
 
-// renew keeps the target's lease.
+// renew keeps renewing the target's lease.
 func (a *agentProcess) renew(incarnation int) {
 	a.renewOnce(incarnation, func(wait time.Duration) { a.w.after(wait, func() { a.renew(incarnation) }) })
 }
 
-// renewBeside keeps a second renewal under way while replies get lost.
-func (a *agentProcess) renewBeside(incarnation int) {
+// renewSecond keeps a second renewal in progress while replies get lost.
+func (a *agentProcess) renewSecond(incarnation int) {
 	a.renewOnce(incarnation, func(wait time.Duration) {
 		if !a.supervisor.LosingReplies(a.clock()) {
-			a.renewingBeside = false
+			a.secondRenewal = false
 			return
 		}
-		a.w.after(wait, func() { a.renewBeside(incarnation) })
+		a.w.after(wait, func() { a.renewSecond(incarnation) })
 	})
 }
 
-// renewOnce makes one renewal and calls next with the pause after it.
+// renewOnce makes one renewal and calls next with the delay until the following one.
 func (a *agentProcess) renewOnce(incarnation int, next func(wait time.Duration)) {
-	a.do(incarnation, func() {
+	a.execute(incarnation, func() {
 		c, ok := a.supervisor.NextRenewal(a.clock())
 		if !ok {
 			next(supervisor.TickInterval)
 			return
 		}
 		a.target.renew(c, func(r supervisor.Reply, lists *supervisor.RunLists) {
-			a.do(incarnation, func() {
+			a.execute(incarnation, func() {
 				a.supervisor.RenewalAnswered(a.clock(), c, r, lists)
 				a.scheduleFlush()
 				next(max(time.Millisecond, a.supervisor.RenewalBackoff()))
@@ -340,23 +337,23 @@
 	})
 }
 
-// kill ends the incarnation, as that of an entry.
-func (a *agentProcess) kill(dark bool) {
+// kill ends the incarnation and schedules the next one. After a power loss connections are not
+// closed.
+func (a *agentProcess) kill(powerLoss bool) {
 	if a.dead {
 		return
 	}
 	a.dead = true
-	a.disturb(restartAfter + time.Second)
+	a.recordFault(minRestartDelay + time.Second)
 	for _, l := range a.w.links {
 		if l.a == a {
-			l.broken(0, l.a.incarnation, dark)
+			l.processEnded(0, l.a.incarnation, powerLoss)
 		}
 	}
-	a.w.after(restartAfter+a.w.upTo(time.Second), a.begin)
+	a.w.after(minRestartDelay+a.w.randomUpTo(time.Second), a.startIncarnation)
 }
 
-// sortedClients returns the entry's callers in the order of their jobs, so that
-// a seed plays the same each time.
+// sortedClients returns the entry's callers by job ID, for a deterministic order.
 func (e *entryProcess) sortedClients() []*client {
 	return slices.SortedFunc(maps.Values(e.clients), func(a, b *client) int { return strings.Compare(a.spec.ID, b.spec.ID) })
 }
--- a/testutil/fleet/promise.go
+++ b/testutil/fleet/promise.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Promise is something that must hold in every history. docs/guarantees.md says which
-// rule of the users each stands for.
+// Promise is an invariant that must hold in every history. docs/guarantees.md maps each to the
+// customers' requirement.
 type Promise string
 
-// Promises.
+// Invariants.
 const (
 	OneRun          Promise = "a task has one run at a time"
 	WithinRoom      Promise = "a target gets no more than its room"
@@ -23,11 +23,11 @@
 	Recovery        Promise = "jobs are completed after the faults"
 )
 
-// breaks records the first promise that is broken, and how.
-func (w *World) breaks(p Promise, format string, args ...any) {
+// recordViolation records a violation of an invariant, unless one was recorded before.
+func (w *World) recordViolation(p Promise, format string, args ...any) {
 	if w.Broken != "" {
 		return
 	}
 	w.BrokenPromise = p
-	w.Broken = fmt.Sprintf("%.4f s: not true that %s: ", w.now().Seconds(), p) + fmt.Sprintf(format, args...)
+	w.Broken = fmt.Sprintf("%.4f s: invariant violated: %s: ", w.now().Seconds(), p) + fmt.Sprintf(format, args...)
 }
--- a/testutil/fleet/recovery_bench_test.go
+++ b/testutil/fleet/recovery_bench_test.go
@@ -10,33 +10,33 @@
 // that the first run began on a target that was not under way before, and after how long nine
 // tenths of the usual number of jobs were completed within 200 ms. Processes are back after 20
 // to 1,020 ms.
-func recovery(entries, agents int) (firstStart, fullRate time.Duration) {
+func measureRecovery(entries, agents int) (firstStart, fullRate time.Duration) {
 	const span = 200 * time.Millisecond
 	w := New(PolicyConfig(1, entries, agents, Tracking(agents, 0.6)))
 	var killed time.Duration
-	starts, usual, completed := 0, 0, 0
+	starts, usualRate, completed := 0, 0, 0
 	w.At(2*time.Second, func() { completed = w.Counts.Completed })
 	w.At(4*time.Second, func() {
-		usual = (w.Counts.Completed - completed) / int(2*time.Second/span)
+		usualRate = (w.Counts.Completed - completed) / int(2*time.Second/span)
 		killed = w.now()
 		w.KillAll()
 	})
-	w.At(4*time.Second+restartAfter, func() { starts = w.Counts.Starts })
-	var look func()
+	w.At(4*time.Second+minRestartDelay, func() { starts = w.Counts.Starts })
+	var poll func()
 	before := 0
-	look = func() {
+	poll = func() {
 		if firstStart == 0 && starts > 0 && w.Counts.Starts > starts {
 			firstStart = w.now() - killed
 		}
 		if passed := w.now() - killed; passed%span < time.Millisecond {
-			if fullRate == 0 && passed > span && w.Counts.Completed-before >= usual*9/10 {
+			if fullRate == 0 && passed > span && w.Counts.Completed-before >= usualRate*9/10 {
 				fullRate = passed
 			}
 			before = w.Counts.Completed
 		}
-		w.after(time.Millisecond, look)
+		w.after(time.Millisecond, poll)
 	}
-	w.At(4*time.Second+time.Millisecond, look)
+	w.At(4*time.Second+time.Millisecond, poll)
 	w.Run()
 	return firstStart, fullRate
 }
@@ -47,7 +47,7 @@
 		b.Run(fmt.Sprintf("%dx%d", size.entries, size.agents), func(b *testing.B) {
 			var first, full time.Duration
 			for b.Loop() {
-				first, full = recovery(size.entries, size.agents)
+				first, full = measureRecovery(size.entries, size.agents)
 			}
 			b.ReportMetric(float64(first.Milliseconds()), "ms-to-first-start")
 			b.ReportMetric(float64(full.Milliseconds()), "ms-to-full-rate")
--- a/testutil/fleet/same_amd64_test.go
+++ b/testutil/fleet/same_amd64_test.go
@@ -34,7 +34,7 @@
 // frame by frame: changes that should leave behaviour as it is are held to it. A
 // change that is meant to decide differently records them anew (-update) and says
 // so. Floating point rounds differently on other processors, hence amd64.
-func TestDecisionsAreTheSame(t *testing.T) {
+func TestDecisionsMatchGoldenFile(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(16) {
 		cfg := DefaultConfig(1000 + seed)
@@ -48,11 +48,11 @@
 	}
 	for name, scene := range map[string]func(*World){
 		"burst":       surge(1.8),
-		"all killed":  from((*World).KillAll),
-		"late orders": behaving(11, Behaviour{Late: 0.06}, 8*time.Second),
-		"slow":        behaving(1, Behaviour{Slow: 6}, 4*time.Second),
-		"hanging":     behaving(1, Behaviour{Hanging: true}, 4*time.Second),
-		"failing":     behaving(1, Behaviour{Failing: 1}, 4*time.Second),
+		"all killed":  atFaultStart((*World).KillAll),
+		"late orders": withBehaviour(11, Behaviour{Late: 0.06}, 8*time.Second),
+		"slow":        withBehaviour(1, Behaviour{Slow: 6}, 4*time.Second),
+		"hanging":     withBehaviour(1, Behaviour{Hanging: true}, 4*time.Second),
+		"failing":     withBehaviour(1, Behaviour{Failing: 1}, 4*time.Second),
 	} {
 		w := New(PolicyConfig(3, 3, 11, Tracking(11, 0.85)))
 		scene(w)
--- a/testutil/fleet/scene.go
+++ b/testutil/fleet/scene.go
@@ -5,135 +5,132 @@
 	"time"
 )
 
-// Scene is a workload on a fleet under one trouble. Its shapes cover the ranges that a
-// deployment may have.
+// Scene is a workload played on a fleet with at most one kind of fault. The shapes of its jobs
+// cover the ranges that a deployment may have.
 type Scene struct {
 	Name            string
-	Load            float64 // share of the targets' room that the jobs take
+	Load            float64 // demand as a share of the targets' capacity
 	Entries, Agents int
-	// Shape changes what jobs have in common, Classes their kinds; nil: as usual.
+	// Shape changes the properties common to all jobs, Classes the job classes; nil keeps the
+	// defaults.
 	Shape   func(*Shape)
 	Classes func([]Class)
-	Speeds  []float64 // of the targets by turns; nil: as usual
-	// LinkMbps and SpecBytes are as in Config.
+	Speeds  []float64 // of the targets, assigned round robin; nil keeps the defaults
+	// LinkMbps and SpecBytes are passed to Config.
 	LinkMbps  float64
 	SpecBytes int
-	// Halls is how many data halls the targets stand in by turns.
+	// Halls is the number of data halls; targets are assigned to them round robin.
 	Halls int
-	// ComeBack is how long callers that were refused come back; zero: never.
+	// ComeBack is how long callers retry refused jobs; zero disables retries.
 	ComeBack time.Duration
-	// Trouble begins the trouble; Outages says which targets are of no use meanwhile.
+	// Trouble schedules the fault; Outages lists the targets that are unusable while it lasts.
 	Trouble func(*World)
 	Outages []Outage
 }
 
-// Outage is a time during which a target is of no use.
+// Outage is a period in which a target can't complete work.
 type Outage struct {
 	Target   int
 	From, To time.Duration
 }
 
-// smallFleet is how many targets a small scene has.
-const smallFleet = 11
+const smallFleetAgents = 11
 
-// troubleAt is when a scene's trouble begins.
-const troubleAt = 4 * time.Second
+const faultStart = 4 * time.Second
 
-// from begins a trouble at troubleAt.
-func from(do func(w *World)) func(*World) {
-	return func(w *World) { w.At(troubleAt, func() { do(w) }) }
+// atFaultStart schedules inject at faultStart.
+func atFaultStart(inject func(w *World)) func(*World) {
+	return func(w *World) { w.At(faultStart, func() { inject(w) }) }
 }
 
-// behaving has the first so many targets be in a behaviour for a while.
-func behaving(targets int, m Behaviour, lasts time.Duration) func(*World) {
-	return from(func(w *World) {
+// withBehaviour gives the first targets a behaviour for the given duration.
+func withBehaviour(targets int, behaviour Behaviour, duration time.Duration) func(*World) {
+	return atFaultStart(func(w *World) {
 		for _, a := range w.agents[:targets] {
-			w.behave(a, m, lasts)
+			w.setBehaviour(a, behaviour, duration)
 		}
 	})
 }
 
-// surge has jobs come at that many times the rate for three seconds.
-func surge(times float64) func(*World) {
-	return from(func(w *World) {
-		w.Surge = times
+// surge multiplies the arrival rate of jobs by factor for three seconds.
+func surge(factor float64) func(*World) {
+	return atFaultStart(func(w *World) {
+		w.Surge = factor
 		w.At(3*time.Second, func() { w.Surge = 0 })
 	})
 }
 
-// out returns the outage of the first target from troubleAt on.
-func out(lasts time.Duration) []Outage {
-	return []Outage{{Target: 0, From: troubleAt, To: troubleAt + lasts}}
+// firstTargetOutage returns an outage of the first target that begins at faultStart.
+func firstTargetOutage(duration time.Duration) []Outage {
+	return []Outage{{Target: 0, From: faultStart, To: faultStart + duration}}
 }
 
-// scene returns a scene on a fleet.
-func scene(name string, entries, agents int, load float64, trouble func(*World), outages ...Outage) Scene {
+func newScene(name string, entries, agents int, load float64, trouble func(*World), outages ...Outage) Scene {
 	return Scene{Name: name, Load: load, Entries: entries, Agents: agents, Trouble: trouble, Outages: outages}
 }
 
-// small returns a scene on the small fleet.
-func small(name string, load float64, trouble func(*World), outages ...Outage) Scene {
-	return scene(name, 3, smallFleet, load, trouble, outages...)
+// smallScene returns a scene with 3 entries and 11 agents.
+func smallScene(name string, load float64, trouble func(*World), outages ...Outage) Scene {
+	return newScene(name, 3, smallFleetAgents, load, trouble, outages...)
 }
 
-// large returns a scene on the large fleet.
-func large(name string, load float64, trouble func(*World)) Scene {
-	return scene(name, 12, 40, load, trouble)
+// largeScene returns a scene with 12 entries and 40 agents.
+func largeScene(name string, load float64, trouble func(*World)) Scene {
+	return newScene(name, 12, 40, load, trouble)
 }
 
-// huge returns a scene on the largest fleet.
-func huge(name string, load float64, trouble func(*World)) Scene {
-	return scene(name, 55, 240, load, trouble)
+// hugeScene returns a scene with 55 entries and 240 agents.
+func hugeScene(name string, load float64, trouble func(*World)) Scene {
+	return newScene(name, 55, 240, load, trouble)
 }
 
-// evacuated returns the scene with the first of three halls evacuated for four seconds: a
-// third of the room is gone at once.
-func (s Scene) evacuated(name string) Scene {
-	const lasts = 4 * time.Second
+// withHallEvacuated returns the scene with the first of three halls evacuated for four seconds,
+// which removes a third of the capacity at once.
+func (s Scene) withHallEvacuated(name string) Scene {
+	const duration = 4 * time.Second
 	s.Name, s.Halls = name, 3
-	s.Trouble = from(func(w *World) { w.operator.evacuate(hallName(0), lasts) })
+	s.Trouble = atFaultStart(func(w *World) { w.operator.evacuate(hallName(0), duration) })
 	for k := 0; k < s.Agents; k += s.Halls {
-		s.Outages = append(s.Outages, Outage{Target: k, From: troubleAt, To: troubleAt + lasts})
+		s.Outages = append(s.Outages, Outage{Target: k, From: faultStart, To: faultStart + duration})
 	}
 	return s
 }
 
-// evacuatedCold is evacuated for a hall whose targets are cold afterwards.
-func (s Scene) evacuatedCold(name string) Scene {
-	s = s.evacuated(name)
-	s.Trouble = from(func(w *World) { w.operator.evacuateCold(hallName(0), 4*time.Second, true) })
+// withHallEvacuatedCold is like withHallEvacuated, but the targets of the hall are cold
+// afterwards.
+func (s Scene) withHallEvacuatedCold(name string) Scene {
+	s = s.withHallEvacuated(name)
+	s.Trouble = atFaultStart(func(w *World) { w.operator.evacuateCold(hallName(0), 4*time.Second, true) })
 	return s
 }
 
-// shaped returns the scene with a change of its jobs' shape.
-func (s Scene) shaped(name string, change func(*Shape)) Scene {
+func (s Scene) withShape(name string, change func(*Shape)) Scene {
 	s.Name = name
 	s.Shape = change
 	return s
 }
 
-// returning returns the scene with callers that come back when refused, for so long.
-func (s Scene) returning(name string, patience time.Duration) Scene {
+// withRetries returns the scene with callers that retry refused jobs for the given time.
+func (s Scene) withRetries(name string, retryFor time.Duration) Scene {
 	s.Name = name
-	s.ComeBack = patience
+	s.ComeBack = retryFor
 	return s
 }
 
-// with returns the scene with a change of its classes.
-func (s Scene) with(name string, change func([]Class)) Scene {
+func (s Scene) withClasses(name string, change func([]Class)) Scene {
 	s.Name = name
 	s.Classes = change
 	return s
 }
 
-// Scenes returns all scenes: troubles with jobs of the usual shape, then shapes at
-// 75% load with and without a trouble.
+// Scenes returns all scenes: first faults with the default job shape, then other shapes at 75%
+// load with and without faults.
 func Scenes() []Scene {
-	const four = 4 * time.Second
-	calm := small("", 0.75, nil)
-	slow := small("", 0.75, behaving(1, Behaviour{Slow: 6}, four), out(four)...)
-	hangs := small("", 0.75, behaving(1, Behaviour{Hanging: true}, four), out(four)...)
-	burst := small("", 0.75, surge(1.8))
+	const duration = 4 * time.Second
+	calm := smallScene("", 0.75, nil)
+	slow := smallScene("", 0.75, withBehaviour(1, Behaviour{Slow: 6}, duration), firstTargetOutage(duration)...)
+	hangs := smallScene("", 0.75, withBehaviour(1, Behaviour{Hanging: true}, duration), firstTargetOutage(duration)...)
+	burst := smallScene("", 0.75, surge(1.8))
 	uneven := func(s *Shape) { s.TaskSpread = 0.4 }
 	veryUneven := func(s *Shape) { s.TaskSpread = 0.5 }
 	wild := func(s *Shape) { s.GuessError = 0.9 }
@@ -142,96 +139,96 @@
 	double := func(s *Shape) { s.GuessBias = 2 }
 	half := func(s *Shape) { s.GuessBias = 0.5 }
 	return []Scene{
-		small("half load", 0.65, nil),
-		small("high load", 0.85, nil),
-		large("high load, large", 0.85, nil),
-		small("burst", 0.75, surge(1.8)),
-		large("burst, large", 0.75, surge(1.8)),
-		huge("high load, huge", 0.85, nil),
-		huge("burst, huge", 0.75, surge(1.8)),
-		small("late orders", 0.75, behaving(smallFleet, Behaviour{Late: 0.06}, 2*four)),
-		small("lost answers", 0.75, behaving(smallFleet, Behaviour{Lost: 0.06}, 2*four)),
-		small("all killed", 0.75, from((*World).KillAll)),
-		small("a target hangs", 0.75, behaving(1, Behaviour{Hanging: true}, four), out(four)...),
-		small("a target is slow", 0.75, behaving(1, Behaviour{Slow: 6}, four), out(four)...),
-		small("a target fails all", 0.75, behaving(1, Behaviour{Failing: 1}, four), out(four)...),
+		smallScene("half load", 0.65, nil),
+		smallScene("high load", 0.85, nil),
+		largeScene("high load, large", 0.85, nil),
+		smallScene("burst", 0.75, surge(1.8)),
+		largeScene("burst, large", 0.75, surge(1.8)),
+		hugeScene("high load, huge", 0.85, nil),
+		hugeScene("burst, huge", 0.75, surge(1.8)),
+		smallScene("late orders", 0.75, withBehaviour(smallFleetAgents, Behaviour{Late: 0.06}, 2*duration)),
+		smallScene("lost answers", 0.75, withBehaviour(smallFleetAgents, Behaviour{Lost: 0.06}, 2*duration)),
+		smallScene("all killed", 0.75, atFaultStart((*World).KillAll)),
+		smallScene("a target hangs", 0.75, withBehaviour(1, Behaviour{Hanging: true}, duration), firstTargetOutage(duration)...),
+		smallScene("a target is slow", 0.75, withBehaviour(1, Behaviour{Slow: 6}, duration), firstTargetOutage(duration)...),
+		smallScene("a target fails all", 0.75, withBehaviour(1, Behaviour{Failing: 1}, duration), firstTargetOutage(duration)...),
 
-		calm.shaped("uneven tasks", uneven),
-		burst.shaped("uneven tasks, burst", uneven),
-		slow.shaped("uneven tasks, a target is slow", uneven),
-		calm.shaped("very uneven tasks", veryUneven),
-		calm.shaped("wild guesses", wild),
-		burst.shaped("wild guesses, burst", wild),
-		slow.shaped("wild guesses, a target is slow", wild),
-		hangs.shaped("wild guesses, a target hangs", wild),
-		calm.shaped("wilder guesses, uneven tasks", func(s *Shape) { wilder(s); uneven(s) }),
-		calm.shaped("exact guesses", exact),
-		slow.shaped("exact guesses, a target is slow", exact),
-		calm.shaped("guesses of twice the work", double),
-		slow.shaped("guesses of twice the work, a target is slow", double),
-		calm.shaped("guesses of half the work", half),
-		slow.shaped("guesses of half the work, a target is slow", half),
-		burst.shaped("guesses of half the work, burst", half),
-		calm.shaped("tight objectives", func(s *Shape) { s.Stretch = 1.25 }),
-		burst.shaped("tight objectives, burst", func(s *Shape) { s.Stretch = 1.25 }),
-		burst.shaped("wide objectives, burst", func(s *Shape) { s.Stretch = 3 }),
-		calm.with("short work", func(c []Class) { scaleWork(c, 1.0/6) }),
-		calm.with("long work", func(c []Class) { scaleWork(c, 2) }),
-		slow.with("long work, a target is slow", func(c []Class) { scaleWork(c, 2) }),
-		burst.with("one priority, burst", func(c []Class) { setPriorities(c, 0, 0, 0) }),
-		burst.with("priorities reversed, burst", func(c []Class) { setPriorities(c, 2, 0, 1) }),
-		linked("narrow links", 2),
-		linked("links of half the need", 1),
-		linked("links of a quarter of the need", 0.5),
-		unequal("unequal targets", 0.75, nil),
-		unequal("unequal targets, burst", 0.75, surge(1.8)),
-		small("overload", 1.2, nil),
-		small("", 0.6, nil).evacuated("a hall is evacuated"),
-		small("", 0.8, nil).evacuated("a hall is evacuated at high load"),
-		small("", 0.8, nil).evacuatedCold("a hall comes back cold"),
-		large("", 0.8, nil).evacuatedCold("a hall comes back cold, large"),
-		large("", 0.8, nil).evacuated("a hall is evacuated at high load, large"),
-		large("all killed, large", 0.75, from((*World).KillAll)),
-		burst.returning("burst, callers come back", 15*time.Second),
-		large("", 0.75, surge(1.8)).returning("burst, large, callers come back", 15*time.Second),
-		burst.shaped("", wild).returning("wild guesses, burst, callers come back", 15*time.Second),
-		small("", 0.95, nil).returning("full load, callers come back", 15*time.Second),
+		calm.withShape("uneven tasks", uneven),
+		burst.withShape("uneven tasks, burst", uneven),
+		slow.withShape("uneven tasks, a target is slow", uneven),
+		calm.withShape("very uneven tasks", veryUneven),
+		calm.withShape("wild guesses", wild),
+		burst.withShape("wild guesses, burst", wild),
+		slow.withShape("wild guesses, a target is slow", wild),
+		hangs.withShape("wild guesses, a target hangs", wild),
+		calm.withShape("wilder guesses, uneven tasks", func(s *Shape) { wilder(s); uneven(s) }),
+		calm.withShape("exact guesses", exact),
+		slow.withShape("exact guesses, a target is slow", exact),
+		calm.withShape("guesses of twice the work", double),
+		slow.withShape("guesses of twice the work, a target is slow", double),
+		calm.withShape("guesses of half the work", half),
+		slow.withShape("guesses of half the work, a target is slow", half),
+		burst.withShape("guesses of half the work, burst", half),
+		calm.withShape("tight objectives", func(s *Shape) { s.Stretch = 1.25 }),
+		burst.withShape("tight objectives, burst", func(s *Shape) { s.Stretch = 1.25 }),
+		burst.withShape("wide objectives, burst", func(s *Shape) { s.Stretch = 3 }),
+		calm.withClasses("short work", func(c []Class) { scaleWork(c, 1.0/6) }),
+		calm.withClasses("long work", func(c []Class) { scaleWork(c, 2) }),
+		slow.withClasses("long work, a target is slow", func(c []Class) { scaleWork(c, 2) }),
+		burst.withClasses("one priority, burst", func(c []Class) { setPriorities(c, 0, 0, 0) }),
+		burst.withClasses("priorities reversed, burst", func(c []Class) { setPriorities(c, 2, 0, 1) }),
+		narrowLinks("narrow links", 2),
+		narrowLinks("links of half the need", 1),
+		narrowLinks("links of a quarter of the need", 0.5),
+		unequalTargets("unequal targets", 0.75, nil),
+		unequalTargets("unequal targets, burst", 0.75, surge(1.8)),
+		smallScene("overload", 1.2, nil),
+		smallScene("", 0.6, nil).withHallEvacuated("a hall is evacuated"),
+		smallScene("", 0.8, nil).withHallEvacuated("a hall is evacuated at high load"),
+		smallScene("", 0.8, nil).withHallEvacuatedCold("a hall comes back cold"),
+		largeScene("", 0.8, nil).withHallEvacuatedCold("a hall comes back cold, large"),
+		largeScene("", 0.8, nil).withHallEvacuated("a hall is evacuated at high load, large"),
+		largeScene("all killed, large", 0.75, atFaultStart((*World).KillAll)),
+		burst.withRetries("burst, callers come back", 15*time.Second),
+		largeScene("", 0.75, surge(1.8)).withRetries("burst, large, callers come back", 15*time.Second),
+		burst.withShape("", wild).withRetries("wild guesses, burst, callers come back", 15*time.Second),
+		smallScene("", 0.95, nil).withRetries("full load, callers come back", 15*time.Second),
 	}
 }
 
-// unequal returns a scene on targets that differ by four times.
-func unequal(name string, load float64, trouble func(*World)) Scene {
-	s := small(name, load, trouble)
+// unequalTargets returns a scene whose targets differ in speed by up to a factor of four.
+func unequalTargets(name string, load float64, trouble func(*World)) Scene {
+	s := smallScene(name, load, trouble)
 	s.Speeds = []float64{0.5, 1, 2}
 	return s
 }
 
-// linked returns a scene in which entries have narrow links. Sent with each order, specs of
-// 1,200 bytes need some 2 Mbit/s of each.
-func linked(name string, megabits float64) Scene {
-	s := small(name, 0.75, nil)
-	s.LinkMbps, s.SpecBytes = megabits, 1200
+// narrowLinks returns a scene with limited bandwidth at the entries. Specs of 1,200 bytes, sent
+// with each start order, need about 2 Mbit/s per entry.
+func narrowLinks(name string, mbps float64) Scene {
+	s := smallScene(name, 0.75, nil)
+	s.LinkMbps, s.SpecBytes = mbps, 1200
 	return s
 }
 
-// scaleWork makes the classes' tasks that many times as long, and their jobs fewer.
-func scaleWork(classes []Class, times float64) {
+// scaleWork multiplies the task durations of the classes by factor and divides their arrival
+// rates by it, so that the load stays the same.
+func scaleWork(classes []Class, factor float64) {
 	for k := range classes {
 		c := &classes[k]
-		c.Work = time.Duration(times * float64(c.Work))
-		c.Longest = time.Duration(times * float64(c.Longest))
-		c.Rate /= times
+		c.Work = time.Duration(factor * float64(c.Work))
+		c.Longest = time.Duration(factor * float64(c.Longest))
+		c.Rate /= factor
 	}
 }
 
-// setPriorities sets the classes' priorities.
 func setPriorities(classes []Class, priorities ...int) {
 	for k, p := range priorities {
 		classes[k].Priority = p
 	}
 }
 
-// SceneNamed returns the scene of that name.
+// SceneNamed returns the scene with the given name.
 func SceneNamed(name string) (Scene, bool) {
 	all := Scenes()
 	k := slices.IndexFunc(all, func(s Scene) bool { return s.Name == name })
@@ -241,7 +238,7 @@
 	return all[k], true
 }
 
-// New returns a world that plays the scene with a seed.
+// New returns a world that plays the scene with the given seed.
 func (s Scene) New(seed uint64) *World {
 	classes := Tracking(s.Agents, s.Load)
 	if s.Classes != nil {
--- a/testutil/fleet/term_test.go
+++ b/testutil/fleet/term_test.go
@@ -10,25 +10,25 @@
 )
 
 // outcome is what callers get over some seeds of a scene.
-type outcome struct {
+type termOutcome struct {
 	total   Credit
 	refused int
 }
 
 // unserved returns the share of the jobs that were not done, not even late.
-func (o outcome) unserved() float64 {
+func (o termOutcome) unservedShare() float64 {
 	return 1 - float64(o.total.InAim+o.total.Late)/float64(o.total.Jobs)
 }
 
 // playTerm plays a scene of four classes under a term.
-func playTerm(t *testing.T, term owner.Term, load float64, trouble func(*World)) outcome {
+func playTerm(t *testing.T, term owner.Term, load float64, inject func(*World)) termOutcome {
 	t.Helper()
-	var o outcome
+	var o termOutcome
 	for seed := range uint64(8) {
 		cfg := PolicyConfig(seed+1, 3, 11, Tracking(11, load))
 		cfg.Term = term
 		w := New(cfg)
-		trouble(w)
+		inject(w)
 		w.Run()
 		assert.Equal(t, w.Broken, "")
 		for _, c := range w.Credits {
@@ -42,7 +42,7 @@
 // TestBeingServedAtAll plays loads that the targets can't bear for some seconds: 1.2 and 1.5
 // times the room, and a third of the room gone. Where the share of jobs that is served counts,
 // fewer are refused and fewer are left undone, and not much of what is done in time is lost.
-func TestBeingServedAtAll(t *testing.T) {
+func TestMostServedTermLeavesFewerJobsUnserved(t *testing.T) {
 	for name, c := range map[string]struct {
 		load    float64
 		trouble func(*World)
@@ -62,9 +62,9 @@
 			worth := playTerm(t, owner.MostWorth, c.load, c.trouble)
 			served := playTerm(t, owner.MostServed, c.load, c.trouble)
 			t.Logf("unserved %.4f, %.4f; earned %.3f, %.3f; refused %d, %d; held %.1f, %.1f",
-				worth.unserved(), served.unserved(), worth.total.Share(), served.total.Share(),
+				worth.unservedShare(), served.unservedShare(), worth.total.Share(), served.total.Share(),
 				worth.refused, served.refused, worth.total.Held, served.total.Held)
-			assert.Check(t, served.unserved() < 0.95*worth.unserved())
+			assert.Check(t, served.unservedShare() < 0.95*worth.unservedShare())
 			assert.Check(t, served.refused < worth.refused)
 			assert.Check(t, served.total.Share() > worth.total.Share()-0.02)
 		})
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -11,59 +11,58 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Class is a kind of job in a workload.
+// Class is a class of jobs in a workload.
 type Class struct {
 	Name string
-	// Rate is how many such jobs come a second.
+	// Rate is the number of jobs that arrive per second.
 	Rate float64
-	// Work is the usual length of a task on a target of speed 1, Longest the
-	// most.
+	// Work is the typical duration of a task on a target of speed 1, Longest the maximum.
 	Work, Longest time.Duration
-	// Tasks is the usual number of tasks, MostTasks the most.
+	// Tasks is the typical number of tasks, MostTasks the maximum.
 	Tasks, MostTasks int
-	// Priority 0 is the most urgent.
+	// Priority 0 is the highest.
 	Priority int
-	// Attempts is how many runs of a task may fail.
+	// Attempts is the number of failed runs of a task that fail its job.
 	Attempts int
-	// Worth is what a usual job counts when it is completed in its objective.
+	// Worth is the value of a typical job that completes within its objective.
 	Worth float64
 }
 
-// Shape is what a workload's jobs have in common. Spreads are standard deviations of
+// Shape has the properties common to all jobs of a workload. Spreads are standard deviations of
 // natural logarithms.
 type Shape struct {
-	WorkSpread  float64 // of the work of one class's jobs
-	CountSpread float64 // of the number of their tasks
-	GuessError  float64 // of the callers' guesses
-	GuessBias   float64 // how many times the work callers guess
-	TaskSpread  float64 // of one job's tasks
-	Stretch     float64 // the objective over the longest task
-	// Slack is what the objective allows on top.
+	WorkSpread  float64 // spread of task durations across the jobs of a class
+	CountSpread float64 // spread of the number of tasks
+	GuessError  float64 // spread of the callers' estimates
+	GuessBias   float64 // factor between estimates and real durations
+	TaskSpread  float64 // spread of task durations within a job
+	Stretch     float64 // objective relative to the longest task
+	// Slack is a constant added to the objective.
 	Slack time.Duration
 }
 
-// UsualShape returns the shape of the users' known workloads.
+// UsualShape returns the shape of the customers' known workloads.
 func UsualShape() Shape {
 	return Shape{WorkSpread: 0.4, CountSpread: 0.4, GuessError: 0.4, GuessBias: 1, TaskSpread: 0.15, Stretch: 1.6, Slack: 60 * time.Millisecond}
 }
 
 const (
-	// taskCPU is what one task takes, in thousandths of a core.
+	// taskCPU is the CPU of one task, in thousandths of a core.
 	taskCPU = 1600
-	// lateShare is what a job counts that is completed by three times its
-	// objective.
-	lateShare = 0.2
-	// baseWorth is the part of a job's worth that does not depend on its work,
-	// and mostWorth how many times the usual it can be.
-	baseWorth = 0.3
-	mostWorth = 4
+	// lateFraction is the fraction of its worth that a job earns when it completes after its
+	// objective, but within three times the objective.
+	lateFraction = 0.2
+	// baseWorthFraction is the part of a job's worth that does not depend on its work.
+	// maxWorthFactor bounds the worth relative to a typical job.
+	baseWorthFraction = 0.3
+	maxWorthFactor    = 4
 )
 
-// Tracking is a workload of three classes with as many jobs a second on so many
-// targets of sixteen cores as makes the given load.
+// Tracking returns a workload of three classes whose arrival rates produce the given load on
+// the given number of 16-core targets.
 func Tracking(targets int, load float64) []Class {
-	const coresEach, usual = 16, 0.73 // the load of the rates below on one target
-	scale := load / usual * float64(targets) / 11
+	const coresEach, baseLoad = 16, 0.73 // of the rates below on 11 targets
+	scale := load / baseLoad * float64(targets) / 11
 	return []Class{
 		{Name: "short", Rate: 34.4 * scale, Work: 60 * time.Millisecond, Longest: 240 * time.Millisecond, Tasks: 8, MostTasks: 32, Attempts: 3, Worth: 0.0291},
 		{Name: "long", Rate: 6.25 * scale, Work: 900 * time.Millisecond, Longest: 3600 * time.Millisecond, Tasks: 4, MostTasks: 16, Priority: 2, Attempts: 2, Worth: 0.16},
@@ -71,8 +70,8 @@
 	}
 }
 
-// PolicyConfig returns a world that plays classes on targets of sixteen cores and
-// different speeds.
+// PolicyConfig returns the configuration of a world without faults that plays the classes on
+// 16-core targets of different speeds.
 func PolicyConfig(seed uint64, entries, agents int, classes []Class) Config {
 	cfg := DefaultConfig(seed)
 	cfg.Entries, cfg.Agents = entries, agents
@@ -85,16 +84,16 @@
 	return cfg
 }
 
-// Credit is what the jobs of one class have earned.
+// Credit holds the earnings of the jobs of one class.
 type Credit struct {
 	Jobs, InAim, Late int
 	Owed, Earned      float64
-	// Held is the worth of the jobs that were not served, and were not offered
-	// to a target either, though they waited for long.
+	// Held is the worth of jobs that were refused or given up late although none of their tasks
+	// had started.
 	Held float64
 }
 
-// Share returns what was earned of what was owed.
+// Share returns the earned fraction of the worth owed.
 func (c Credit) Share() float64 {
 	if c.Owed == 0 {
 		return 1
@@ -108,16 +107,15 @@
 		Earned: c.Earned + o.Earned, Held: c.Held + o.Held}
 }
 
-// Stats returns what the entries of all incarnations have counted.
+// Stats returns the sum of the statistics of all entry incarnations.
 func (w *World) Stats() owner.Stats {
-	sum := w.ended
+	sum := w.pastStats
 	for _, e := range w.entries {
 		sum = addStats(sum, e.owner.Stats())
 	}
 	return sum
 }
 
-// addStats returns the sum of two counts.
 func addStats(a, b owner.Stats) owner.Stats {
 	a.Submitted += b.Submitted
 	a.Completed += b.Completed
@@ -132,8 +130,8 @@
 	return a
 }
 
-// workload has the jobs of all classes come until the length is over.
-func (w *World) workload() {
+// scheduleWorkload schedules the arrivals of the jobs of all classes for the configured length.
+func (w *World) scheduleWorkload() {
 	w.Credits = make([]Credit, len(w.cfg.Classes))
 	end := w.now() + w.cfg.Length
 	for k := range w.cfg.Classes {
@@ -143,38 +141,38 @@
 				return
 			}
 			w.submitClass(k)
-			w.after(w.pause(k), next)
+			w.after(w.interarrival(k), next)
 		}
-		w.after(time.Second+w.pause(k), next)
+		w.after(time.Second+w.interarrival(k), next)
 	}
 }
 
-// pause returns the time to the next job of class k.
-func (w *World) pause(k int) time.Duration {
+// interarrival returns a random time until the next job of class k.
+func (w *World) interarrival(k int) time.Duration {
 	rate := w.cfg.Classes[k].Rate
 	if w.Surge > 0 {
 		rate *= w.Surge
 	}
-	return time.Duration(w.load.ExpFloat64() / rate * float64(time.Second))
+	return time.Duration(w.workloadRand.ExpFloat64() / rate * float64(time.Second))
 }
 
-// around returns a random factor whose logarithm has the given spread and whose
-// mean is 1.
-func (w *World) around(spread float64) float64 {
-	return math.Exp(spread*w.load.NormFloat64() - spread*spread/2)
+// logNormal returns a log-normal random factor with mean 1 and the given standard deviation of
+// its logarithm.
+func (w *World) logNormal(spread float64) float64 {
+	return math.Exp(spread*w.workloadRand.NormFloat64() - spread*spread/2)
 }
 
-// submitClass hands in a job of class k.
+// submitClass submits a random job of class k.
 func (w *World) submitClass(k int) {
 	class, shape := w.cfg.Classes[k], w.cfg.Shape
 	w.Counts.Jobs++
 	id := fmt.Sprintf("%016x", w.Counts.Jobs)
-	count := min(class.MostTasks, max(1, int(math.Round(float64(class.Tasks)*w.around(shape.CountSpread)))))
-	work := min(class.Longest, time.Duration(float64(class.Work)*w.around(shape.WorkSpread)))
-	guess := time.Duration(shape.GuessBias * float64(work) * w.around(shape.GuessError))
-	c := &client{w: w, done: make(map[task.ID]bool), failed: make(map[task.ID]int), class: k, work: work, sentAt: w.now()}
+	count := min(class.MostTasks, max(1, int(math.Round(float64(class.Tasks)*w.logNormal(shape.CountSpread)))))
+	work := min(class.Longest, time.Duration(float64(class.Work)*w.logNormal(shape.WorkSpread)))
+	guess := time.Duration(shape.GuessBias * float64(work) * w.logNormal(shape.GuessError))
+	c := &client{w: w, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int), class: k, taskWork: work, sentAt: w.now()}
 	for range count {
-		c.lengths = append(c.lengths, time.Duration(float64(work)*w.around(shape.TaskSpread)))
+		c.taskWorks = append(c.taskWorks, time.Duration(float64(work)*w.logNormal(shape.TaskSpread)))
 	}
 	c.spec = task.Job{
 		ID: id, Queue: class.Name, Service: service, Spec: w.specOf(id), Attempts: class.Attempts,
@@ -182,67 +180,68 @@
 		CallerTimeout: 3*c.objective() + 1500*time.Millisecond,
 		Steps:         []task.Step{{Count: count, Needs: task.Needs{CPU: taskCPU, MemoryMB: 64}, Estimate: guess}},
 	}
-	if c.crashing = w.poison.Float64() < w.cfg.Crashing; c.crashing {
+	if c.crashesTargets = w.crashRand.Float64() < w.cfg.Crashing; c.crashesTargets {
 		w.Crashes.Jobs++
-		c.crashed, c.afterThree = make(map[task.ID]int), make(map[task.ID]int)
+		c.targetCrashes, c.startsAfterLimit = make(map[task.ID]int), make(map[task.ID]int)
 	}
-	usual := class.Work.Seconds() * float64(class.Tasks)
-	c.worth = class.Worth * min(mostWorth, baseWorth+(1-baseWorth)*work.Seconds()*float64(count)/usual)
+	classWork := class.Work.Seconds() * float64(class.Tasks)
+	c.worth = class.Worth * min(maxWorthFactor, baseWorthFraction+(1-baseWorthFraction)*work.Seconds()*float64(count)/classWork)
 	w.jobs[id] = c
 	w.Credits[k].Jobs++
 	w.Credits[k].Owed += c.worth
 	c.send()
 }
 
-// objective returns how long the job may take to count in full: its longest task
-// counts, as it does on the users' bench (docs/measurements/build-farm.md).
+// objective returns the latency within which the job earns its full worth. It is based on the
+// longest task, as on the customers' benchmark (docs/measurements/build-farm.md).
 func (c *client) objective() time.Duration {
 	shape := c.w.cfg.Shape
-	return time.Duration(shape.Stretch*float64(slices.Max(c.lengths))) + shape.Slack
+	return time.Duration(shape.Stretch*float64(slices.Max(c.taskWorks))) + shape.Slack
 }
 
-// earn records a job that was completed now.
-func (c *client) earn() {
-	if c.work == 0 {
+// recordEarnings records what a job earns that completes now.
+func (c *client) recordEarnings() {
+	if c.taskWork == 0 {
 		return
 	}
 	age := c.w.now() - c.sentAt
-	c.w.Credits[c.class].earn(c, age)
-	c.earned = c.share(age)
+	c.w.Credits[c.class].addCompleted(c, age)
+	c.earnedFraction = c.earnedShareAt(age)
 }
 
-// share returns the share of its worth that the job earns at that age.
-func (c *client) share(age time.Duration) float64 {
+// earnedShareAt returns the fraction of its worth that the job earns if it completes at the
+// given age.
+func (c *client) earnedShareAt(age time.Duration) float64 {
 	switch {
 	case age <= c.objective():
 		return 1
 	case age <= 3*c.objective():
-		return lateShare
+		return lateFraction
 	}
 	return 0
 }
 
-// earn adds what a job earns that was completed at that age.
-func (c *Credit) earn(job *client, age time.Duration) {
-	share := job.share(age)
+// addCompleted adds the earnings of a job that completed at the given age.
+func (c *Credit) addCompleted(job *client, age time.Duration) {
+	share := job.earnedShareAt(age)
 	c.Earned += share * job.worth
 	switch share {
 	case 1:
 		c.InAim++
-	case lateShare:
+	case lateFraction:
 		c.Late++
 	}
 }
 
-// Sizes of the jobs of a class that count by themselves, as on the users' bench: the
-// largest tenth, and the fifth below it.
+// Fractions of the jobs of a class, the largest first, that Worst evaluates separately, as the
+// customers' benchmark does.
 const (
-	largestShare = 0.1
-	nextShare    = 0.2
+	largestFraction     = 0.1
+	nextLargestFraction = 0.2
 )
 
-// Worst returns the least share that a class has earned, or the largest tenth of a
-// class, or the fifth below it.
+// Worst returns the lowest earned share of any class, of the largest tenth of any class, or of
+// the next fifth.
 func (w *World) Worst() float64 {
 	worst := 1.0
 	for k, credit := range w.Credits {
@@ -255,36 +254,34 @@
 		slices.SortFunc(jobs, func(a, b *client) int {
 			return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.spec.ID, b.spec.ID))
 		})
-		largest := int(largestShare * float64(len(jobs)))
-		next := largest + int(nextShare*float64(len(jobs)))
-		worst = min(worst, credit.Share(), earnedShare(jobs[:largest]), earnedShare(jobs[largest:next]))
+		largest := int(largestFraction * float64(len(jobs)))
+		nextLargest := largest + int(nextLargestFraction*float64(len(jobs)))
+		worst = min(worst, credit.Share(), earnedShare(jobs[:largest]), earnedShare(jobs[largest:nextLargest]))
 	}
 	return worst
 }
 
-// earnedShare returns what the jobs have earned of what they are worth.
+// earnedShare returns the earned fraction of the jobs' worth.
 func earnedShare(jobs []*client) float64 {
 	var sum Credit
 	for _, c := range jobs {
 		sum.Owed += c.worth
-		sum.Earned += c.earned * c.worth
+		sum.Earned += c.earnedFraction * c.worth
 	}
 	return sum.Share()
 }
 
-// heldShare is the share of its objective from which on a job that is refused
-// counts as held.
-const heldShare = 0.25
+// heldThreshold is the fraction of the objective after which a refused job counts as held.
+const heldThreshold = 0.25
 
-// unserved records a job that was refused or given up.
-func (c *client) unserved() {
-	if c.work > 0 && !c.started && c.w.now()-c.sentAt > time.Duration(heldShare*float64(c.objective())) {
+// recordUnserved records a job that was refused or given up.
+func (c *client) recordUnserved() {
+	if c.taskWork > 0 && !c.started && c.w.now()-c.sentAt > time.Duration(heldThreshold*float64(c.objective())) {
 		c.w.Credits[c.class].Held += c.worth
 	}
 }
 
-// KillAll ends all processes at once, and those who call find nobody until they
-// are back: their targets run on.
+// KillAll kills all entries and agents at once. Targets keep running.
 func (w *World) KillAll() {
 	for _, e := range w.entries {
 		e.kill(false)
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -1,8 +1,9 @@
-// Package fleet is the emulator: it drives the state machines of entries and agents in
-// virtual time, with emulated targets, callers and links, through kills, freezes, cuts,
-// lost and late calls, crashes and failing targets. It watches every start and every
-// answer, and says which promise was broken first, or what a workload's jobs earned. A
-// seed plays the same history each time.
+// Package fleet simulates a fleet of entries and agents as discrete events in virtual time. It
+// drives their state machines with emulated targets, callers and links, and injects faults:
+// process kills, freezes, network cuts, lost and delayed calls, crashing and failing targets.
+// It checks every run start and every answer against the invariants, records the first
+// violation, and computes what the jobs of a workload earned. The same seed always produces the
+// same history.
 package fleet
 
 import (
@@ -20,84 +21,86 @@
 
 const service = "trackd"
 
-// Times of the emulated platform, as the platform's pages and package node have them.
+// Delays of the emulated platform, as the platform's documentation and package node define
+// them.
 const (
-	latency      = time.Millisecond        // the least, one way
-	resendAfter  = 1300 * time.Millisecond // a caller's, after a broken connection
-	reportEvery  = 1500 * time.Millisecond // of a target
-	redial       = 50 * time.Millisecond   // an entry's, to an agent
-	restartAfter = 20 * time.Millisecond   // the least, of a process
+	minLatency        = time.Millisecond        // one way
+	resendDelay       = 1300 * time.Millisecond // of a caller after a broken connection
+	heartbeatInterval = 1500 * time.Millisecond // of a target
+	redialDelay       = 50 * time.Millisecond   // of an entry to an agent
+	minRestartDelay   = 20 * time.Millisecond   // of a process
 )
 
-// Config is the shape of a world.
+// Config configures a World.
 type Config struct {
 	Seed            uint64
 	Entries, Agents int
-	// Jobs arrive each Interval on average for Length; the last fault begins
-	// Calm before the end at the latest.
+	// Jobs arrive every Interval on average for Length. The last fault begins at least Calm
+	// before the end of Length.
 	Length, Interval, Calm time.Duration
-	// Faults is how many troubles strike, Kinds which; none means any.
+	// Faults is the number of injected faults; Kinds are their possible kinds, empty meaning
+	// any that is drawn at random.
 	Faults int
 	Kinds  []Kind
-	// Lasting says that silent connections stay open for good, so that the promises
-	// about the end of the history can't be asked for.
+	// Lasting keeps silent connections open for good. The invariants on the end of the history
+	// are then not checked.
 	Lasting bool
-	// Classes are a workload that takes the place of the usual jobs, Shape what
-	// its jobs have in common; CPU and Speeds are the targets' room and, by turns,
-	// how fast they are.
+	// Classes replaces the default jobs with a workload, and Shape has the properties common to
+	// its jobs. CPU is the capacity of each target; Speeds are assigned to the targets round
+	// robin.
 	Classes []Class
 	Shape   Shape
 	CPU     int
 	Speeds  []float64
-	// Rules and Clear are the mechanisms under test.
+	// Rules and Clear configure the mechanisms under test.
 	Rules supervisor.Rules
 	Clear time.Duration
-	// UntoldBirths has targets not tell when they started.
+	// UntoldBirths makes targets omit their start time from reports.
 	UntoldBirths bool
-	// ClocksStop has the clocks of processes not count suspensions.
+	// ClocksStop makes the clocks of processes stop during suspensions.
 	ClocksStop bool
-	// Crashing is the share of the jobs whose tasks crash each target that starts them, and
-	// BackAfter after what time a target is back at the least. UntellingAgents has agents not
-	// say that a target crashed.
+	// Crashing is the share of the jobs whose tasks crash each target that starts them.
+	// BackAfter is the minimum time before a crashed target restarts. UntellingAgents keeps
+	// agents from reporting that a target crashed.
 	Crashing        float64
 	BackAfter       time.Duration
 	UntellingAgents bool
 	// HoldMax is the longest lease that targets grant.
 	HoldMax time.Duration
-	// LinkMbps is the rate of each entry's link, in megabits a second; zero: without
-	// bound. SpecBytes is the length of the jobs' specs.
+	// LinkMbps is the bandwidth of each entry's link in Mbit/s, zero meaning unlimited.
+	// SpecBytes is the length of job specs.
 	LinkMbps  float64
 	SpecBytes int
-	// OldEntries and OldAgents are how many processes are of the version before, which
-	// knows no watches.
+	// OldEntries and OldAgents are the numbers of processes that run the previous version,
+	// which does not support watches.
 	OldEntries, OldAgents int
-	// Halls is how many data halls the targets stand in by turns, zero meaning that no hall
-	// is known; Evacuations is how many times one of them is evacuated.
+	// Halls is the number of data halls, to which targets are assigned round robin; zero means
+	// that targets report no hall. Evacuations is the number of hall evacuations.
 	Halls, Evacuations int
-	// Strays is the share of the submissions of which a copy reaches another entry: beside
-	// the first, whose connection may be broken already, or seconds later. Homes is how
-	// many homes the entries give a job.
+	// Strays is the share of submissions that are duplicated to another entry, either at once,
+	// as after a broken connection, or seconds later. Homes is the number of homes that the
+	// entries assign to a job.
 	Strays float64
 	Homes  int
-	// ForgetEndings takes the wait for the ends of a dropped job's runs out.
+	// ForgetEndings disables waiting for the runs of a dropped job to end.
 	ForgetEndings bool
-	// TrustStopped takes the new claims of an entry that was stopped out.
+	// TrustStopped disables renewing the claims of an entry that was stopped.
 	TrustStopped bool
-	// Term is what counts most for the callers.
+	// Term is the objective that entries optimise.
 	Term owner.Term
-	// Leaving is the share of the callers that leave for good before their job is done.
+	// Leaving is the share of callers that abandon their job before it completes.
 	Leaving float64
-	// Patience is how long callers wait; Guess the usual length of the tasks
-	// of most jobs, LongGuess of the others.
+	// Patience is the timeout of callers. Guess is the typical task duration of most jobs,
+	// LongGuess that of the others.
 	Patience, Guess, LongGuess time.Duration
-	// ComeBack has refused callers submit their jobs again when they are asked to, as
-	// long as they are patient; zero: never.
+	// ComeBack is how long callers retry refused jobs, waiting as long as each refusal asks;
+	// zero disables retries.
 	ComeBack time.Duration
-	// Log takes the decisions of all processes.
+	// Log receives the log records of all processes.
 	Log *slog.Logger
 }
 
-// DefaultConfig returns a world as a real system is.
+// DefaultConfig returns the configuration of a small fleet with all mechanisms enabled.
 func DefaultConfig(seed uint64) Config {
 	return Config{
 		Seed: seed, Entries: 2, Agents: 3,
@@ -109,84 +112,82 @@
 	}
 }
 
-// Counts counts what has happened in a world.
+// Counts holds counters of a history.
 type Counts struct {
 	Jobs, Completed, Failed, GivenUp, Refused, Resent, Starts int
-	// CalmFull counts the refusals of jobs that came after the faults at moments when no
-	// target had room for a task of theirs.
+	// CalmFull counts refusals of jobs submitted after the faults, at moments when no target
+	// had room for any of their tasks.
 	CalmFull int
-	// Calm counts the jobs that came after the faults, CalmCompleted those of
-	// them that were completed.
+	// Calm counts the jobs submitted after the faults, CalmCompleted those of them that
+	// completed.
 	Calm, CalmCompleted int
-	// Strays are copies of submissions that reached another entry, Again the jobs of which
-	// a task began after they had been completed.
+	// Strays counts duplicate submissions that reached another entry. Again counts jobs of
+	// which a task started again after it had completed.
 	Strays, Again int
 }
 
-// Crashes counts what jobs did that crash targets.
+// Crashes holds counters on jobs that crash targets.
 type Crashes struct {
-	// Jobs are those jobs, Targets the crashes, InnocentRuns the runs of other jobs that were
-	// lost with a target, InnocentFailed the other jobs that were answered as failed though no
-	// run of theirs had failed.
+	// Jobs counts the jobs that crash targets, Targets the crashes, InnocentRuns the runs of
+	// other jobs lost in them, and InnocentFailed the other jobs answered with JobCrashes.
 	Jobs, Targets, InnocentRuns, InnocentFailed int
 }
 
-// tail is how long a history goes on after the last job has come.
-const tail = 22 * time.Second
+// settleDuration is how long a history continues after the last job has arrived.
+const settleDuration = 22 * time.Second
 
-// World is one history: processes, targets, callers and links between them.
+// World is one history: processes, targets, callers and the links between them.
 type World struct {
 	cfg          Config
 	queue        *vtime.Queue
-	rng          *rand.Rand
-	load         *rand.Rand // of a workload: its jobs are the same whatever is decided
-	choice       *rand.Rand // of entries
-	poison       *rand.Rand // of jobs that crash targets
+	faultRand    *rand.Rand
+	workloadRand *rand.Rand // separate, so that the jobs do not depend on decisions
+	ownerRand    *rand.Rand // passed to the entries' state machines
+	crashRand    *rand.Rand // for jobs that crash targets
 	entries      []*entryProcess
 	agents       []*agentProcess
 	links        []*link
-	linkOf       map[pair]*link
-	incarnations int
-	conns        uint64
+	linkOf       map[linkKey]*link
+	lastInstance int
+	lastConn     uint64
 	operator     *operator
-	alwaysFails  map[string]bool // jobs whose tasks always fail
+	alwaysFails  map[string]bool // by job ID
 	jobs         map[string]*client
 	Counts       Counts
-	// Credits are what each class of a workload has earned; Surge is how many
-	// times the usual rate its jobs come, zero meaning once.
+	// Credits holds the earnings of each class of a workload. Surge multiplies the arrival rate
+	// of its jobs; zero means no change.
 	Credits []Credit
 	Surge   float64
-	// Crashes are those of targets under their tasks.
 	Crashes Crashes
-	// Connections are those that were made.
+	// Connections counts the connections that were opened.
 	Connections int
 	Frames      int // sent between entries and agents
-	// SoundEjected is for how long, while jobs came, targets were ejected that did nothing wrong, in
-	// all.
+	// SoundEjected is the total time, while jobs arrived, for which healthy targets were
+	// ejected.
 	SoundEjected time.Duration
-	// Returned is what became of callers that came back.
+	// Returned holds the results of callers that retry refused jobs.
 	Returned Returns
-	// Sent, where it is set, is given each frame that a process sends.
-	Sent  func(from string, f *peer.Frame)
-	ended owner.Stats // of the entries' earlier incarnations
-	// Broken says how the first promise was broken, empty while none is, and
-	// BrokenPromise which.
+	// Sent, if set, is called with each frame that a process sends.
+	Sent      func(from string, f *peer.Frame)
+	pastStats owner.Stats // of earlier incarnations of the entries
+	// Broken describes the first violation, BrokenPromise names the violated invariant. Both
+	// are empty if there was none.
 	Broken        string
 	BrokenPromise Promise
 }
 
-// New returns a world at the beginning of its history.
+// New returns a world at the start of its history.
 func New(cfg Config) *World {
 	w := &World{
-		cfg:         cfg,
-		queue:       vtime.NewQueue(time.Second),
-		rng:         rand.New(rand.NewPCG(cfg.Seed, 7)),
-		load:        rand.New(rand.NewPCG(cfg.Seed, 11)),
-		poison:      rand.New(rand.NewPCG(cfg.Seed, 17)),
-		choice:      rand.New(rand.NewPCG(cfg.Seed, 13)),
-		alwaysFails: make(map[string]bool),
-		jobs:        make(map[string]*client),
-		linkOf:      make(map[pair]*link),
+		cfg:          cfg,
+		queue:        vtime.NewQueue(time.Second),
+		faultRand:    rand.New(rand.NewPCG(cfg.Seed, 7)),
+		workloadRand: rand.New(rand.NewPCG(cfg.Seed, 11)),
+		crashRand:    rand.New(rand.NewPCG(cfg.Seed, 17)),
+		ownerRand:    rand.New(rand.NewPCG(cfg.Seed, 13)),
+		alwaysFails:  make(map[string]bool),
+		jobs:         make(map[string]*client),
+		linkOf:       make(map[linkKey]*link),
 	}
 	w.operator = newOperator(w)
 	for k := range cfg.Entries {
@@ -199,147 +200,146 @@
 		for _, a := range w.agents {
 			l := &link{w: w, e: e, a: a}
 			w.links = append(w.links, l)
-			w.linkOf[pair{e.name, a.name}] = l
+			w.linkOf[linkKey{e.name, a.name}] = l
 			a.links = append(a.links, l)
 			l.dial()
 		}
 	}
 	if len(cfg.Classes) > 0 {
-		w.workload()
+		w.scheduleWorkload()
 	} else {
-		w.arrivals()
+		w.scheduleJobs()
 	}
 	for range cfg.Faults {
-		w.after(w.upTo(cfg.Length-cfg.Calm), w.fault)
+		w.after(w.randomUpTo(cfg.Length-cfg.Calm), w.injectFault)
 	}
 	return w
 }
 
-// At has something happen at a time since the beginning.
+// At schedules do at the given time since the start of the history.
 func (w *World) At(t time.Duration, do func()) {
 	w.after(t, do)
 }
 
-// Run plays the history to its end, or until a promise is broken.
+// Run plays the history to its end, or until an invariant is violated.
 func (w *World) Run() {
-	w.queue.Run(w.queue.Now()+w.cfg.Length+tail, func() bool { return w.Broken != "" })
+	w.queue.Run(w.queue.Now()+w.cfg.Length+settleDuration, func() bool { return w.Broken != "" })
 	if w.Broken == "" {
-		w.checkEnd()
+		w.checkFinalState()
 	}
 }
 
-// specOf returns the spec of a job.
+// specOf returns the spec of a job, padded to SpecBytes.
 func (w *World) specOf(id string) string {
 	return id + strings.Repeat(".", max(0, w.cfg.SpecBytes-len(id)))
 }
 
-// now returns the present virtual time.
 func (w *World) now() time.Duration {
 	return w.queue.Now()
 }
 
-// after has something happen after a time.
+// after schedules do after a delay.
 func (w *World) after(d time.Duration, do func()) {
 	w.queue.After(d, do)
 }
 
-// upTo returns a random duration below d.
-func (w *World) upTo(d time.Duration) time.Duration {
-	return time.Duration(w.rng.Int64N(int64(d) + 1))
+// randomUpTo returns a random duration between zero and d.
+func (w *World) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(w.faultRand.Int64N(int64(d) + 1))
 }
 
-// sent counts a frame on its way.
-func (w *World) sent(from string, f *peer.Frame) {
+// recordFrame counts a sent frame and passes it to the Sent hook.
+func (w *World) recordFrame(from string, f *peer.Frame) {
 	w.Frames++
 	if w.Sent != nil {
 		w.Sent(from, f)
 	}
 }
 
-// checkStart checks a run that begins on a target.
-func (w *World) checkStart(e *emulatedTarget, r *emulatedRun) {
+// checkRunStart checks the invariants that apply when a run starts on a target.
+func (w *World) checkRunStart(e *emulatedTarget, r *emulatedRun) {
 	w.Counts.Starts++
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
-		w.breaks(AskedFor, "%s", r.name)
+		w.recordViolation(AskedFor, "%s started for an unknown job", r.name)
 		return
 	}
 	c.started = true
-	if c.done[r.order.Task] && !c.again {
-		c.again = true
+	if c.done[r.order.Task] && !c.startedAgain {
+		c.startedAgain = true
 		w.Counts.Again++
 	}
 	if r.order.Spec != c.spec.Spec {
-		w.breaks(AskedFor, "%s with another spec", r.name)
+		w.recordViolation(AskedFor, "%s started with a spec other than the submitted one", r.name)
 	}
-	c.checkOrder(r.order.Task)
-	if c.crashed[r.order.Task] >= crashesAllowed {
-		c.afterThree[r.order.Task]++
-		if c.afterThree[r.order.Task] > startsAfter {
-			w.breaks(CrashBudget, "%s", r.name)
+	c.checkStepOrder(r.order.Task)
+	if c.targetCrashes[r.order.Task] >= crashLimit {
+		c.startsAfterLimit[r.order.Task]++
+		if c.startsAfterLimit[r.order.Task] > startsAfterCrashLimit {
+			w.recordViolation(CrashBudget, "%s started once more", r.name)
 		}
 	}
 	used := r.order.Needs
 	for _, o := range e.runs {
 		used = used.Plus(o.order.Needs)
 	}
-	if !used.Fits(e.capacity) && w.now()-e.shrunkAt > shrinkTime {
-		w.breaks(WithinRoom, "%s takes %s to %d of %d", r.name, e.id, used.CPU, e.capacity.CPU)
+	if !used.Fits(e.capacity) && w.now()-e.shrunkAt > shrinkGrace {
+		w.recordViolation(WithinRoom, "starting %s on %s raises the used CPU to %d of %d", r.name, e.id, used.CPU, e.capacity.CPU)
 	}
-	if e.draining > 0 && w.now() > e.draining+drainTime {
-		w.breaks(DrainedInPeace, "%s on %s", r.name, e.id)
+	if e.drainingSince > 0 && w.now() > e.drainingSince+drainGrace {
+		w.recordViolation(DrainedInPeace, "%s started on draining target %s", r.name, e.id)
 	}
-	w.checkLeft(r)
+	w.checkAbandoned(r)
 	for _, a := range w.agents {
 		if a.target == e {
-			w.operator.checkStart(a, r.name)
+			w.operator.checkRunStart(a, r.name)
 		}
 		if a.target.up && a.target.runs[r.name] != nil {
-			w.breaks(OneRun, "%s on %s runs on %s", r.name, e.id, a.target.id)
+			w.recordViolation(OneRun, "%s started on %s while running on %s", r.name, e.id, a.target.id)
 		}
 	}
 }
 
-// After crashesAllowed crashes of targets under a task it may be started startsAfter times more.
-// The platform's pages.
+// After crashLimit target crashes a task may be started startsAfterCrashLimit more times, by
+// the platform's documentation.
 const (
-	crashesAllowed = 3
-	startsAfter    = 2
+	crashLimit            = 3
+	startsAfterCrashLimit = 2
 )
 
-// shrinkTime is how long after a target's room has shrunk it may be given more than it has: by
-// the platform's pages contact_ms, 3 s at the least, and one heartbeat.
-const shrinkTime = 3*time.Second + reportEvery
+// shrinkGrace is how long a target may be overcommitted after its capacity has shrunk:
+// contact_ms of the platform's documentation, at least 3 s, plus one heartbeat interval.
+const shrinkGrace = 3*time.Second + heartbeatInterval
 
-// endTime is how long after its caller has left, or after its start where that came later,
-// a run may be at work: the callers' connection (3 ms), an entry that is silent for its
-// lease, the target's lease on a slow clock, the stop, and as much again for what is late.
-// The platform's pages allow 4 s and more.
-const endTime = 3 * time.Second
+// abandonedRunLimit is how long a run may continue after its caller has left or, if later,
+// after its start. It covers the callers' connection (3 ms), the lease of a silent entry, the
+// target's lease on a slow clock and the stop, with a margin of the same size. The platform's
+// documentation allows at least 4 s.
+const abandonedRunLimit = 3 * time.Second
 
-// checkLeft checks, a while after its start, that a run has ended whose caller has left.
-func (w *World) checkLeft(r *emulatedRun) {
+// checkAbandoned checks periodically that a run ends after its caller has left.
+func (w *World) checkAbandoned(r *emulatedRun) {
 	c := w.jobs[r.order.Task.Job]
 	if w.cfg.Leaving == 0 {
 		return
 	}
-	var look func()
-	look = func() {
-		if r.over {
+	var check func()
+	check = func() {
+		if r.ended {
 			return
 		}
-		if c.leftAt > 0 && w.now()-c.leftAt > endTime {
-			w.breaks(EndsWhenLeft, "%s is at work %s after its caller has left", r.name, w.now()-c.leftAt)
+		if c.abandonedAt > 0 && w.now()-c.abandonedAt > abandonedRunLimit {
+			w.recordViolation(EndsWhenLeft, "%s still runs %s after its caller has left", r.name, w.now()-c.abandonedAt)
 			return
 		}
-		w.after(endTime, look)
+		w.after(abandonedRunLimit, check)
 	}
-	w.after(endTime, look)
+	w.after(abandonedRunLimit, check)
 }
 
-// roomFor reports whether a target has room now for a task of a job that has not started. One
-// that is ejected gets single probes only, so that its room is none to give.
-func (w *World) roomFor(spec task.Job) bool {
+// hasRoomFor reports whether a target has room for a task of a job that has not started.
+// Ejected targets don't count, as they get single probe tasks only.
+func (w *World) hasRoomFor(spec task.Job) bool {
 	for _, a := range w.agents {
 		if w.operator.set.Has(a.target.hall) || a.supervisor.Stats(w.now()).Ejected > 0 {
 			continue
@@ -357,8 +357,8 @@
 	return false
 }
 
-// recordEnd records an end on a target.
-func (w *World) recordEnd(r *emulatedRun, end task.End) {
+// recordRunEnd records the end of a run for its caller.
+func (w *World) recordRunEnd(r *emulatedRun, end task.End) {
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
 		return
@@ -367,23 +367,23 @@
 	case task.EndDone:
 		c.done[r.order.Task] = true
 	case task.EndFailed:
-		c.failed[r.order.Task]++
+		c.failedRuns[r.order.Task]++
 	}
 }
 
-// checkEnd checks what must hold when the history is over.
-func (w *World) checkEnd() {
+// checkFinalState checks the invariants that apply at the end of the history.
+func (w *World) checkFinalState() {
 	for id, c := range w.jobs {
-		if c.started && c.refused == c.tries && c.refusedStrays == c.strays && c.tries > 0 && c.answered {
-			w.breaks(TrueRefusal, "%s has started and was refused %d times", id, c.refused)
+		if c.started && c.refusedTries == c.tries && c.refusedDuplicates == c.duplicates && c.tries > 0 && c.answered {
+			w.recordViolation(TrueRefusal, "%s has started although all %d tries were refused", id, c.refusedTries)
 		}
 	}
 	for _, a := range w.agents {
 		if !w.cfg.Lasting && len(a.target.runs) > 0 && a.target.up {
-			w.breaks(NothingLeft, "%d runs on %s", len(a.target.runs), a.target.id)
+			w.recordViolation(NothingLeft, "%d runs left on %s", len(a.target.runs), a.target.id)
 		}
 	}
 	if n := w.Counts; !w.cfg.Lasting && ((n.CalmCompleted+n.CalmFull)*10 < n.Calm*9 || n.CalmCompleted*6 < n.Calm*5) {
-		w.breaks(Recovery, "%d of %d jobs completed after the faults, %d refused without room", n.CalmCompleted, n.Calm, n.CalmFull)
+		w.recordViolation(Recovery, "%d of %d jobs completed after the faults, %d refused without room", n.CalmCompleted, n.Calm, n.CalmFull)
 	}
 }
--- a/testutil/fleet/world_test.go
+++ b/testutil/fleet/world_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestACalmHistoryIsServed(t *testing.T) {
+func TestJobsAreServedWithoutFaults(t *testing.T) {
 	cfg := DefaultConfig(1)
 	cfg.Faults = 0
 	w := New(cfg)
@@ -21,11 +21,11 @@
 // the given change of the usual world: no rule may break.
 func playHistories(t *testing.T, first, count uint64, change func(*Config)) {
 	t.Helper()
-	const each = 20
-	for from := first; from < first+count; from += each {
+	const batch = 20
+	for from := first; from < first+count; from += batch {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			for seed := from; seed < min(from+each, first+count); seed++ {
+			for seed := from; seed < min(from+batch, first+count); seed++ {
 				cfg := DefaultConfig(seed)
 				change(&cfg)
 				w := New(cfg)
@@ -37,20 +37,20 @@
 }
 
 // TestHistories plays many histories with troubles.
-func TestHistories(t *testing.T) {
+func TestRandomFaultsKeepInvariants(t *testing.T) {
 	playHistories(t, 1000, 400, func(*Config) {})
 }
 
 // TestHistoriesOfTwoVersions plays histories in which some processes are of the version
 // before: an upgrade replaces them one after the other.
-func TestHistoriesOfTwoVersions(t *testing.T) {
+func TestMixedVersionsKeepInvariants(t *testing.T) {
 	playHistories(t, 3000, 60, func(c *Config) { c.OldEntries = 1 })
 	playHistories(t, 3100, 60, func(c *Config) { c.OldAgents = 2 })
 	playHistories(t, 3200, 60, func(c *Config) { c.OldEntries, c.OldAgents = 1, 1 })
 }
 
 // TestSilentConnectionsAndDelayedHeartbeats plays histories with many of the two.
-func TestSilentConnectionsAndDelayedHeartbeats(t *testing.T) {
+func TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants(t *testing.T) {
 	playHistories(t, 4000, 80, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{HoldHeartbeat, SilenceConnections, CutAgent, KillEntry}, 10
 	})
@@ -58,19 +58,19 @@
 
 // TestLeasesAloneSuffice plays histories in which silent connections are never
 // given up: only the leases end what a silent entry had running.
-func TestLeasesAloneSuffice(t *testing.T) {
+func TestLeasesEndRunsOfSilentEntries(t *testing.T) {
 	playHistories(t, 5000, 80, func(c *Config) { c.Lasting = true })
 }
 
 // TestRestartsOfAgentsAmongLostAnswers plays the histories in which a missing
 // emptying shows, with all mechanisms in place.
-func TestRestartsOfAgentsAmongLostAnswers(t *testing.T) {
+func TestAgentRestartsWithLostAnswersKeepInvariants(t *testing.T) {
 	playHistories(t, 0, 160, func(c *Config) { c.Kinds, c.Faults = []Kind{KillAgent, LoseAnswers}, 16 })
 }
 
 // TestOneSubmissionIsOneSubmission plays histories in which copies of submissions reach other
 // entries, beside the first and later, among all kinds of trouble.
-func TestOneSubmissionIsOneSubmission(t *testing.T) {
+func TestDuplicateSubmissionsKeepInvariants(t *testing.T) {
 	playHistories(t, 7000, 200, func(c *Config) { c.Strays, c.Entries, c.Agents = 0.4, 3, 5 })
 	playHistories(t, 7500, 100, func(c *Config) {
 		c.Strays, c.Entries, c.Agents = 0.4, 3, 5
@@ -79,8 +79,8 @@
 }
 
 // TestACopyIsNotRunAnew: without a trouble no task runs twice, whenever a copy comes.
-func TestACopyIsNotRunAnew(t *testing.T) {
-	strays := 0
+func TestDuplicateSubmissionDoesNotRunTaskTwice(t *testing.T) {
+	duplicates := 0
 	for seed := range uint64(20) {
 		cfg := DefaultConfig(8000 + seed)
 		cfg.Faults, cfg.Strays, cfg.Entries, cfg.Agents = 0, 0.5, 3, 5
@@ -88,13 +88,13 @@
 		w.Run()
 		assert.Equal(t, w.Broken, "", "seed %d", cfg.Seed)
 		assert.Equal(t, w.Counts.Again, 0, "seed %d", cfg.Seed)
-		strays += w.Counts.Strays
+		duplicates += w.Counts.Strays
 	}
-	assert.Assert(t, strays > 300)
+	assert.Assert(t, duplicates > 300)
 }
 
 // TestASeedPlaysTheSame is what makes a found seed worth keeping.
-func TestASeedPlaysTheSame(t *testing.T) {
+func TestSameSeedGivesSameHistory(t *testing.T) {
 	first, second := New(DefaultConfig(5)), New(DefaultConfig(5))
 	first.Run()
 	second.Run()
@@ -109,8 +109,8 @@
 
 // TestEveryMechanismIsNeeded takes one mechanism out at a time: some history
 // must break a promise then, else the histories would not show that it works.
-func TestEveryMechanismIsNeeded(t *testing.T) {
-	const most = 600
+func TestDisabledMechanismBreaksInvariant(t *testing.T) {
+	const maxHistories = 600
 	for _, c := range []struct {
 		name string
 		out  func(*Config)
@@ -130,15 +130,15 @@
 			c.Agents = 6
 		}},
 		{"refusing in evacuated halls", func(c *Config) {
-			inHalls(c)
+			threeHalls(c)
 			c.OldEntries, c.Rules.RefuseEvacuated = 1, false
 		}},
 		{"telling the lives of a target apart", func(c *Config) {
-			rebirths(c)
+			targetRestarts(c)
 			c.UntoldBirths = true
 		}},
 		{"clocks that count suspensions", func(c *Config) {
-			suspensions(c)
+			hostSuspensions(c)
 			c.ClocksStop = true
 		}},
 		{"claiming anew after a stop", func(c *Config) {
@@ -154,7 +154,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(most) {
+			for seed := range uint64(maxHistories) {
 				cfg := DefaultConfig(seed)
 				c.out(&cfg)
 				w := New(cfg)
@@ -164,50 +164,50 @@
 					return
 				}
 			}
-			t.Errorf("not noticed in %d histories", most)
+			t.Errorf("not noticed in %d histories", maxHistories)
 		})
 	}
 }
 
 // rebirths are histories in which targets restart under the id that they had, and starts come
 // late or stay unanswered. Targets grant leases of 15 s.
-func rebirths(c *Config) {
+func targetRestarts(c *Config) {
 	c.Kinds, c.Faults = []Kind{RestartTarget, DelayOrders, LoseAnswers, KillAgent, CutEntry}, 14
 	c.HoldMax = 15 * time.Second
 }
 
 // TestTargetsThatKeepTheirID plays histories of rebirths.
-func TestTargetsThatKeepTheirID(t *testing.T) {
-	playHistories(t, 8000, 160, rebirths)
+func TestTargetRestartsUnderSameIDKeepInvariants(t *testing.T) {
+	playHistories(t, 8000, 160, targetRestarts)
 }
 
 // suspensions are histories in which hosts are suspended, for longer than any lease, while
 // copies of submissions reach other entries.
-func suspensions(c *Config) {
+func hostSuspensions(c *Config) {
 	c.Kinds, c.Faults = []Kind{SuspendEntry, SuspendAgent, CutAgent, ResetClients, DelayOrders}, 12
 	c.Strays, c.Entries, c.Agents = 0.4, 3, 5
 }
 
 // TestSuspendedHosts plays histories of suspensions.
-func TestSuspendedHosts(t *testing.T) {
-	playHistories(t, 12000, 160, suspensions)
+func TestSuspendedHostsKeepInvariants(t *testing.T) {
+	playHistories(t, 12000, 160, hostSuspensions)
 }
 
 // TestStoppedEntriesAmongCopies plays histories in which entries stand still while other entries
 // get copies of what they have.
-func TestStoppedEntriesAmongCopies(t *testing.T) {
-	stopped := func(c *Config) {
+func TestFrozenEntriesWithDuplicatesKeepInvariants(t *testing.T) {
+	change := func(c *Config) {
 		c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
 		c.Strays, c.Entries, c.Agents = 0.9, 3, 5
 	}
-	playHistories(t, 20000, 100, stopped)
-	playHistories(t, 21360, 20, stopped) // 21366 breaks without the new claims
-	playHistories(t, 20570, 20, stopped) // so does 20579
+	playHistories(t, 20000, 100, change)
+	playHistories(t, 21360, 20, change) // 21366 breaks without the new claims
+	playHistories(t, 20570, 20, change) // so does 20579
 }
 
 // TestRoomThatShrinks plays histories in which the room of targets shrinks and grows again while
 // orders, reservations and unanswered starts are under way.
-func TestRoomThatShrinks(t *testing.T) {
+func TestShrinkingCapacityKeepsInvariants(t *testing.T) {
 	playHistories(t, 13000, 160, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{ShrinkRoom, LoseAnswers, DelayOrders, CutAgent, KillAgent}, 16
 		c.Interval = 120 * time.Millisecond
