--- a/testutil/account/main.go
+++ b/testutil/account/main.go
@@ -1,13 +1,13 @@
-// Command account reads the reports of plays on the users' bench (its --report files) and
-// says how much more the system could have earned on each day:
+// Command account reads reports of the customers' benchmark (the files written with --report)
+// and prints, for each day, how much more the system could have earned:
 //
 //	go run ./testutil/account REPORT.json...
 //
-// Requests that got no answer (no host could be reached, or the one that had them lost
-// power) are taken as lost to any dispatcher, those that were refused or answered late as
-// lost to this one. So the bound is what the day had earned if all of the latter were
-// served in time, with the same prices: it is too high wherever the load was more than the
-// targets could do. Field names are those of the reports.
+// Requests without an answer (no host was reachable, or the host lost power) count as lost for
+// any dispatcher. Requests that were refused or answered late count as lost by this system. The
+// bound is what the day would have earned if all of the latter had been served in time, at the
+// same prices. It is too high where the load exceeded the capacity of the targets. Field names
+// are those of the reports.
 package main
 
 import (
@@ -20,35 +20,36 @@
 	"strings"
 )
 
-// worstWindows is how many of the windows the bench's part of that name is the mean of.
-const worstWindows = 2
+// worstWindowCount is the number of windows that the benchmark averages in the part "worst
+// windows".
+const worstWindowCount = 2
 
-// shownLoss is the loss from which a window is shown.
-const shownLoss = 0.02
+// minShownLoss is the smallest loss of a window that is printed.
+const minShownLoss = 0.02
 
-// report is what is read of a play's report.
+// report has the fields used of a benchmark report.
 type report struct {
-	Worth   float64 `json:"G"`
-	Parts   []part  `json:"parts"`
-	All     count   `json:"all"`
-	Classes []count `json:"classes"`
-	Windows []count `json:"windows"`
+	Worth   float64         `json:"G"`
+	Parts   []component     `json:"parts"`
+	All     requestCounts   `json:"all"`
+	Classes []requestCounts `json:"classes"`
+	Windows []requestCounts `json:"windows"`
 }
 
-// part is one summand of the worth before prices: its name, weight and value.
-type part struct {
+// component is one weighted term of the worth before prices.
+type component struct {
 	name          string
 	weight, value float64
 }
 
-// UnmarshalJSON reads the row of a report.
-func (p *part) UnmarshalJSON(raw []byte) error {
+// UnmarshalJSON decodes the array [name, weight, value].
+func (p *component) UnmarshalJSON(raw []byte) error {
 	return json.Unmarshal(raw, &[]any{&p.name, &p.weight, &p.value})
 }
 
-// count is what became of a group of requests: all, those of a class, or those of two
+// requestCounts are the counts of a group of requests: all, one class, or one window of two
 // seconds.
-type count struct {
+type requestCounts struct {
 	Name    string  `json:"name"`
 	Sent    int     `json:"n"`
 	Late    int     `json:"late"`
@@ -57,8 +58,8 @@
 	Worth   float64 `json:"worth"`
 }
 
-// bound returns what the group had earned if no request had been refused or late.
-func (c count) bound() float64 {
+// bound returns what the group would have earned without refused and late requests.
+func (c requestCounts) bound() float64 {
 	lost := c.Late + c.Refused + c.Failed
 	if lost == 0 {
 		return c.Worth
@@ -66,7 +67,7 @@
 	return c.Worth + (1-c.Worth)*float64(c.Late+c.Refused)/float64(lost)
 }
 
-// bound returns what the day had earned if no request had been refused or late.
+// bound returns what the day would have earned without refused and late requests.
 func (r report) bound() float64 {
 	prices, sum := -r.Worth, 0.0
 	for _, p := range r.Parts {
@@ -76,27 +77,27 @@
 	return sum - prices
 }
 
-// boundOf returns the bound of one part. One that is not known here stays as it is.
-func (r report) boundOf(p part) float64 {
+// boundOf returns the bound of one component, or its value if its name is unknown.
+func (r report) boundOf(p component) float64 {
 	switch p.name {
 	case "whole day":
 		return r.All.bound()
 	case "worst class":
-		return meanOfLeast(r.Classes, 1)
+		return meanOfLowest(r.Classes, 1)
 	case "worst windows":
-		return meanOfLeast(r.Windows, worstWindows)
+		return meanOfLowest(r.Windows, worstWindowCount)
 	}
 	return p.value
 }
 
-// meanOfLeast returns the mean of the least bounds of the groups.
-func meanOfLeast(groups []count, least int) float64 {
+// meanOfLowest returns the mean of the n lowest bounds of the groups.
+func meanOfLowest(groups []requestCounts, n int) float64 {
 	bounds := make([]float64, 0, len(groups))
 	for _, g := range groups {
 		bounds = append(bounds, g.bound())
 	}
 	slices.Sort(bounds)
-	bounds = bounds[:min(least, len(bounds))]
+	bounds = bounds[:min(n, len(bounds))]
 	sum := 0.0
 	for _, b := range bounds {
 		sum += b
@@ -104,20 +105,20 @@
 	return sum / float64(max(1, len(bounds)))
 }
 
-// write writes the account of a day as rows of Markdown tables.
-func (r report) write(out io.Writer, name string) {
+// writeRows writes the account of a day as rows of a Markdown table.
+func (r report) writeRows(out io.Writer, name string) {
 	fmt.Fprintf(out, "| **%s** | %d | %d | %d | %d | %.3f | %.3f |\n",
 		name, r.All.Sent, r.All.Late, r.All.Refused, r.All.Failed, r.Worth, r.bound())
 	for _, w := range r.Windows {
-		if 1-w.Worth >= shownLoss {
+		if 1-w.Worth >= minShownLoss {
 			fmt.Fprintf(out, "| from %s s | %d | %d | %d | %d | %.3f | %.3f |\n",
 				w.Name, w.Sent, w.Late, w.Refused, w.Failed, w.Worth, w.bound())
 		}
 	}
 }
 
-// account writes the account of each report.
-func account(out io.Writer, paths []string) error {
+// writeAccount writes a table with the account of each report.
+func writeAccount(out io.Writer, paths []string) error {
 	fmt.Fprintln(out, "| day | sent | late | refused | no answer | worth | bound |")
 	fmt.Fprintln(out, "| --- | --- | --- | --- | --- | --- | --- |")
 	for _, path := range paths {
@@ -127,15 +128,15 @@
 		}
 		var r report
 		if err := json.Unmarshal(raw, &r); err != nil {
-			return fmt.Errorf("%s: %w", path, err)
+			return fmt.Errorf("decoding report %s: %w", path, err)
 		}
-		r.write(out, strings.TrimSuffix(filepath.Base(path), ".json"))
+		r.writeRows(out, strings.TrimSuffix(filepath.Base(path), ".json"))
 	}
 	return nil
 }
 
 func main() {
-	if err := account(os.Stdout, os.Args[1:]); err != nil {
+	if err := writeAccount(os.Stdout, os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "account:", err)
 		os.Exit(1)
 	}
--- a/testutil/account/main_test.go
+++ b/testutil/account/main_test.go
@@ -10,19 +10,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// day is a report whose second window was dark for a while and overloaded afterwards.
-const day = `{"G":0.85,"parts":[["whole day",0.7,0.9],["worst windows",0.15,0.8],["worst class",0.15,0.88]],
+// dayReport is a report whose second window has both unanswered and refused or late requests.
+const dayReport = `{"G":0.85,"parts":[["whole day",0.7,0.9],["worst windows",0.15,0.8],["worst class",0.15,0.88]],
 	"all":{"name":"all","n":300,"late":10,"refused":10,"failed":20,"worth":0.9},
 	"classes":[{"name":"a","n":100,"failed":5,"worth":0.95},{"name":"b","n":200,"late":10,"refused":10,"failed":15,"worth":0.88}],
 	"windows":[{"name":"0","n":100,"worth":1},{"name":"2","n":100,"late":10,"refused":10,"failed":20,"worth":0.6},{"name":"4","n":100,"worth":1}]}`
 
-func TestTheBoundIsWithoutRefusalsAndLateAnswers(t *testing.T) {
+func TestBoundExcludesRefusedAndLateRequests(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.json")
-	assert.NilError(t, os.WriteFile(path, []byte(day), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(dayReport), 0o600))
 	var out strings.Builder
-	assert.NilError(t, account(&out, []string{path}))
-	// Half of what was lost: whole day 0.95, windows (0.8 + 1) / 2, class b 0.88 + 0.12*20/35;
-	// prices 0.7*0.9 + 0.15*0.8 + 0.15*0.88 - 0.85 = 0.032.
+	assert.NilError(t, writeAccount(&out, []string{path}))
+	// Half of the losses are avoidable: whole day 0.95, windows (0.8 + 1) / 2, class b 0.88 +
+	// 0.12*20/35; prices 0.7*0.9 + 0.15*0.8 + 0.15*0.88 - 0.85 = 0.032.
 	want := 0.7*0.95 + 0.15*0.9 + 0.15*math.Min(0.95, 0.88+0.12*20/35) - 0.032
 	assert.Assert(t, math.Abs(want-0.910) < 0.0005)
 	assert.Equal(t, out.String(), `| day | sent | late | refused | no answer | worth | bound |
@@ -32,8 +32,8 @@
 `)
 }
 
-func TestAReportThatIsNoneIsNamed(t *testing.T) {
+func TestInvalidReportErrorNamesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "day.json")
 	assert.NilError(t, os.WriteFile(path, []byte("{"), 0o600))
-	assert.ErrorContains(t, account(&strings.Builder{}, []string{path}), "day.json")
+	assert.ErrorContains(t, writeAccount(&strings.Builder{}, []string{path}), "day.json")
 }
--- a/testutil/loopback/loopback.go
+++ b/testutil/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback makes connections for tests.
+// Package loopback provides TCP connections over loopback for tests.
 package loopback
 
 import (
--- a/testutil/loopback/silent.go
+++ b/testutil/loopback/silent.go
@@ -9,22 +9,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// Proxy passes connections on to an address, and can have those that are open go silent
-// for good: no byte passes and no end is told, while new ones work.
+// Proxy is a TCP proxy that can silence its open connections for good: it drops all later bytes
+// without closing the connections. New connections work.
 type Proxy struct {
 	Addr string
 
 	mu    sync.Mutex
-	conns []*passage
+	conns []*proxiedConn
 }
 
-// passage is one connection through a proxy.
-type passage struct {
+// proxiedConn is a connection through a proxy.
+type proxiedConn struct {
 	near, far net.Conn
-	silent    chan struct{} // closed when it goes silent
+	silent    chan struct{} // closed when the connection is silenced
 }
 
-// NewProxy returns a proxy to addr, which ends with the test.
+// NewProxy starts a proxy to addr. It is closed when the test ends.
 func NewProxy(t *testing.T, addr string) *Proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +43,7 @@
 		for {
 			near, err := l.Accept()
 			if err != nil {
-				return // the test is over
+				return // listener closed
 			}
 			far, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -56,30 +56,30 @@
 	return p
 }
 
-// add begins to pass bytes between two connections.
+// add starts forwarding between two connections.
 func (p *Proxy) add(near, far net.Conn) {
-	c := &passage{near: near, far: far, silent: make(chan struct{})}
+	c := &proxiedConn{near: near, far: far, silent: make(chan struct{})}
 	p.mu.Lock()
 	p.conns = append(p.conns, c)
 	p.mu.Unlock()
-	go c.pass(near, far)
-	go c.pass(far, near)
+	go c.forward(near, far)
+	go c.forward(far, near)
 }
 
-// pass passes bytes in one direction until the connection ends or goes silent.
-func (c *passage) pass(from, to net.Conn) {
+// forward copies bytes in one direction until the connection ends or is silenced.
+func (c *proxiedConn) forward(from, to net.Conn) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
 		select {
 		case <-c.silent:
-			_, _ = io.Copy(io.Discard, from) // nobody hears of its end
+			_, _ = io.Copy(io.Discard, from) // without closing the other side
 			return
 		default:
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
-				return // the other direction closes
+				return // closed by the other direction
 			}
 		}
 		if err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Silence has the connections that are open go silent, and returns how many those are.
+// Silence silences all open connections and returns the number of connections accepted so far.
 func (p *Proxy) Silence() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/testutil/page/page.go
+++ b/testutil/page/page.go
@@ -12,17 +12,17 @@
 	"gotest.tools/v3/golden"
 )
 
-// metric is a row of a page that begins with a metric's name.
-var metric = regexp.MustCompile("(?m)^\\| `(beaconpoint_[^`]+)`")
+// metricRow matches a table row that begins with the name of a metric.
+var metricRow = regexp.MustCompile("(?m)^\\| `(beaconpoint_[^`]+)`")
 
-// CheckMetrics checks that the page has a row for each metric of the code and no other,
-// and that the names are those of testdata/metrics.golden: operators rely on them.
+// CheckMetrics checks that the page at path has a table row for each metric in the code and no
+// others, and that the names match testdata/metrics.golden. Monitoring depends on these names.
 func CheckMetrics(t *testing.T, path string, inCode []string) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	var inPage []string
-	for _, m := range metric.FindAllStringSubmatch(string(raw), -1) {
+	for _, m := range metricRow.FindAllStringSubmatch(string(raw), -1) {
 		inPage = append(inPage, m[1])
 	}
 	slices.Sort(inCode)
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -1,5 +1,5 @@
-// Package system runs entries and agents with the platform's stand-ins in the
-// test's own process, over loopback.
+// Package system runs entries, agents and the emulated platform in the process of the test,
+// connected over loopback.
 package system
 
 import (
@@ -26,38 +26,38 @@
 	"github.com/beaconpoint/beaconpoint/standin/target"
 )
 
-// Names of what a system serves.
+// Names used in the configuration.
 const (
 	Service = "trackd"
 	Host    = "queue.example"
 	Prefix  = "/jobs/"
 )
 
-// patience is how long something that must happen may take on a busy machine.
-const patience = 60 * time.Second
+// conditionTimeout is the time that Until allows, with a margin for busy machines.
+const conditionTimeout = 60 * time.Second
 
-// reportInterval is how often targets send heartbeats.
-const reportInterval = 100 * time.Millisecond
+// heartbeatInterval is the interval between the heartbeats of a target.
+const heartbeatInterval = 100 * time.Millisecond
 
-// forgetAfter is how long an agent can't be reached before it is forgotten.
+// forgetAfter is how long an agent must be unreachable before entries forget it.
 const forgetAfter = time.Second
 
-// claimTimeout is how long an agent may leave a claim unanswered: on a busy machine it stands
-// still for longer than any deployment's would.
+// claimTimeout is the timeout of a claim call to an agent. It is longer than in production, as
+// processes may stall on a busy machine.
 const claimTimeout = 5 * time.Second
 
-// System is a set of processes with the stand-ins.
+// System is a set of entries and agents with the emulated platform.
 type System struct {
 	tb      testing.TB
 	Store   *store.Store
 	store   string
 	Targets []*target.Target
-	wrap    func(http.Handler) http.Handler // put around the targets' interface
+	wrap    func(http.Handler) http.Handler // wraps the HTTP handler of each target
 	Entries []*Process
 	Agents  []*Process
 }
 
-// Process is one entry or agent, through all of its incarnations.
+// Process is an entry or an agent. It may be stopped and started again.
 type Process struct {
 	settings settings.Node
 	run      func(context.Context) error
@@ -65,12 +65,12 @@
 	done     chan struct{}
 }
 
-var hosts atomic.Uint32
+var hostCount atomic.Uint32
 
-// ownAddr returns a free address on a loopback host that nobody else uses.
-func ownAddr(tb testing.TB) string {
+// freeAddr returns a free TCP address on a loopback IP that no other node uses.
+func freeAddr(tb testing.TB) string {
 	tb.Helper()
-	pid, n := os.Getpid(), hosts.Add(1)
+	pid, n := os.Getpid(), hostCount.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d", 192+(pid>>8)%60, pid%256, 1+n%250)
 	l, err := net.Listen("tcp", host+":0")
 	assert.NilError(tb, err)
@@ -78,21 +78,21 @@
 	return l.Addr().String()
 }
 
-// Start starts a system and waits until every entry is ready.
+// Start starts a system and waits until all entries are ready.
 func Start(tb testing.TB, entries, agents int) *System {
 	tb.Helper()
 	return StartWrapped(tb, entries, agents, func(h http.Handler) http.Handler { return h })
 }
 
-// StartWrapped starts a system in which wrap is put around each target's
-// interface, to see or change what agents ask of it.
+// StartWrapped is like Start, but wraps the HTTP handler of each target, so that tests can
+// observe or change the calls of agents.
 func StartWrapped(tb testing.TB, entries, agents int, wrap func(http.Handler) http.Handler) *System {
 	tb.Helper()
 	s := &System{tb: tb, Store: store.NewStore(), wrap: wrap}
 	server := httptest.NewServer(s.Store)
 	tb.Cleanup(server.Close)
 	s.store = strings.TrimPrefix(server.URL, "http://")
-	tb.Cleanup(s.end)
+	tb.Cleanup(s.stopAll)
 	s.Configure(1, Prefix)
 	for k := range agents {
 		s.addAgent(k)
@@ -106,19 +106,19 @@
 	return s
 }
 
-// Configure writes a configuration with one queue.
+// Configure stores a configuration with one queue.
 func (s *System) Configure(version int, prefix string) {
 	s.Store.Put("op/config", fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"r-1","host":%q,"path_prefix":%q,
 		"type":"non_idempotent","timeout_ms":1500,"target_latency_ms":60000,"priority":0,"service":%q,"attempts":2,"stretch":1.6}],
 		"services":[{"name":%q}],"limits":{"max_body_bytes":4096}}`, version, Host, prefix, Service, Service))
 }
 
-// HallOf returns the data hall of target k: each stands in one of its own.
+// HallOf returns the data hall of target k. Each target has its own.
 func HallOf(k int) string {
 	return fmt.Sprintf("hall-%d", k)
 }
 
-// Evacuate asks that the hall of target k be evacuated.
+// Evacuate requests the evacuation of the hall of target k.
 func (s *System) Evacuate(k int) {
 	s.Store.Put("op/evacuate/"+HallOf(k), []byte(`{}`))
 }
@@ -128,15 +128,15 @@
 	s.Store.Remove("op/evacuate/" + HallOf(k))
 }
 
-// addAgent starts agent k with its target, which sends heartbeats until the test ends.
+// addAgent starts agent k and its target, which sends heartbeats until the test ends.
 func (s *System) addAgent(k int) {
-	w := target.NewTarget(Service, 4000)
-	w.Hall = HallOf(k)
-	server := httptest.NewServer(s.wrap(w))
+	t := target.NewTarget(Service, 4000)
+	t.Hall = HallOf(k)
+	server := httptest.NewServer(s.wrap(t))
 	s.tb.Cleanup(server.Close)
-	s.Targets = append(s.Targets, w)
-	n := s.node(peer.RoleAgent, fmt.Sprintf("side-%d", k))
-	n.Reports = ownAddr(s.tb)
+	s.Targets = append(s.Targets, t)
+	n := s.nodeSettings(peer.RoleAgent, fmt.Sprintf("side-%d", k))
+	n.Reports = freeAddr(s.tb)
 	n.Target = strings.TrimPrefix(server.URL, "http://")
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -150,11 +150,11 @@
 	s.tb.Cleanup(func() { close(stop) })
 	go func() {
 		for seq := 1; ; seq++ {
-			_ = w.Report(n.Reports, seq) // the agent may be away
+			_ = t.Report(n.Reports, seq) // the agent may be stopped
 			select {
 			case <-stop:
 				return
-			case <-time.After(reportInterval):
+			case <-time.After(heartbeatInterval):
 			}
 		}
 	}()
@@ -162,8 +162,8 @@
 
 // addEntry starts entry k.
 func (s *System) addEntry(k int) {
-	n := s.node(peer.RoleEntry, fmt.Sprintf("edge-%d", k))
-	n.Callers, n.Readiness, n.Metrics = ownAddr(s.tb), ownAddr(s.tb), ownAddr(s.tb)
+	n := s.nodeSettings(peer.RoleEntry, fmt.Sprintf("edge-%d", k))
+	n.Callers, n.Readiness, n.Metrics = freeAddr(s.tb), freeAddr(s.tb), freeAddr(s.tb)
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		store := platform.NewStore(n.Store, log)
@@ -177,14 +177,14 @@
 	s.Begin(p)
 }
 
-// node returns settings with addresses that nobody else uses.
-func (s *System) node(role peer.Role, name string) settings.Node {
+// nodeSettings returns default settings with a free address.
+func (s *System) nodeSettings(role peer.Role, name string) settings.Node {
 	n := settings.DefaultNode()
-	n.Role, n.Name, n.Hall, n.Peers, n.Store = role, name, "z", ownAddr(s.tb), s.store
+	n.Role, n.Name, n.Hall, n.Peers, n.Store = role, name, "z", freeAddr(s.tb), s.store
 	return n
 }
 
-// Begin begins a new incarnation of p.
+// Begin starts a new incarnation of p.
 func (s *System) Begin(p *Process) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -192,14 +192,14 @@
 	go func() {
 		defer close(done)
 		if err := p.run(ctx); err != nil {
-			s.tb.Errorf("%s: %v", p.settings.Name, err)
+			s.tb.Errorf("node %s stopped: %v", p.settings.Name, err)
 		}
 	}()
 }
 
-// end stops all processes, and checks that no target was asked to run a task twice at
-// once.
-func (s *System) end() {
+// stopAll stops all processes and checks that no target was asked to run the same task twice
+// concurrently.
+func (s *System) stopAll() {
 	all := append(append([]*Process(nil), s.Entries...), s.Agents...)
 	for _, p := range all {
 		p.Tell()
@@ -208,22 +208,22 @@
 		<-p.done
 	}
 	for _, t := range s.Targets {
-		assert.Check(s.tb, len(t.Doubled()) == 0, "started twice at once: %v", t.Doubled())
+		assert.Check(s.tb, len(t.Doubled()) == 0, "tasks started twice concurrently: %v", t.Doubled())
 	}
 }
 
-// Stop tells p to stop, and waits until it has.
+// Stop signals p to stop and waits until it has stopped.
 func (s *System) Stop(p *Process) {
 	p.Tell()
 	<-p.done
 }
 
-// Tell tells p to stop.
+// Tell signals p to stop.
 func (p *Process) Tell() {
 	p.cancel()
 }
 
-// UntilReady waits until entry k calls itself ready.
+// UntilReady waits until entry k reports that it is ready.
 func (s *System) UntilReady(k int) {
 	s.tb.Helper()
 	s.Until(func() bool {
@@ -236,8 +236,8 @@
 	})
 }
 
-// UntilLinked waits until every entry is connected to every agent: one is ready with its first,
-// and may find the others seconds later.
+// UntilLinked waits until every entry is connected to every agent. An entry is ready as soon as
+// it is connected to the first agent.
 func (s *System) UntilLinked() {
 	s.tb.Helper()
 	linked := fmt.Sprintf("beaconpoint_agents %d\n", len(s.Agents))
@@ -246,21 +246,21 @@
 	}
 }
 
-// Until waits until the condition holds.
+// Until waits until holds returns true. It fails the test after conditionTimeout.
 func (s *System) Until(holds func() bool) {
 	s.tb.Helper()
-	for began := time.Now(); !holds(); time.Sleep(reportInterval / 5) {
-		assert.Assert(s.tb, time.Since(began) < patience, "it does not come to be")
+	for started := time.Now(); !holds(); time.Sleep(heartbeatInterval / 5) {
+		assert.Assert(s.tb, time.Since(started) < conditionTimeout, "condition does not hold after a minute")
 	}
 }
 
-// Call sends a request to entry k and returns the status and the body, zero
-// where there was no answer.
+// Call sends a request to entry k and returns the status and the body, or zero values if there
+// was no answer.
 func (s *System) Call(k int, method, path, body string) (int, string) {
 	return s.CallUntil(context.Background(), k, method, path, body)
 }
 
-// CallUntil is as Call; the connection breaks when the context ends.
+// CallUntil is like Call, but closes the connection when ctx ends.
 func (s *System) CallUntil(ctx context.Context, k int, method, path, body string) (int, string) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
 	assert.NilError(s.tb, err)
@@ -277,7 +277,7 @@
 	return resp.StatusCode, strings.TrimSpace(string(raw))
 }
 
-// Metrics returns the metrics of entry k, empty where it is away.
+// Metrics returns the metrics of entry k, or an empty string if it can't be reached.
 func (s *System) Metrics(k int) string {
 	resp, err := http.Get("http://" + s.Entries[k].settings.Metrics + node.MetricsPath)
 	if err != nil {
@@ -291,8 +291,8 @@
 	return string(raw)
 }
 
-// Do sends a request with more headers to entry k and returns the answer, whose
-// body the caller closes.
+// Do sends a request with additional headers to entry k. The caller must close the response
+// body.
 func (s *System) Do(k int, method, path, body string, headers map[string]string) *http.Response {
 	s.tb.Helper()
 	req, err := http.NewRequest(method, "http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
@@ -306,7 +306,7 @@
 	return resp
 }
 
-// Closes reports whether entry k closes its callers' connection after an answer.
+// Closes reports whether entry k closes the connection after answering a request.
 func (s *System) Closes(k int, path string) bool {
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[k].settings.Callers+path, nil)
 	assert.NilError(s.tb, err)
@@ -319,8 +319,8 @@
 	return resp.Close
 }
 
-// Job returns the body of a job of the given number of tasks, each of which takes so long.
-func Job(tasks int, took time.Duration) string {
+// Job returns the request body of a job with the given number of tasks of the given duration.
+func Job(tasks int, duration time.Duration) string {
 	return fmt.Sprintf(`{"spec":%q,"best_effort":true,"steps":[{"count":%d,"cpu":1000,"mem_mb":64,"estimate_ms":%d}]}`,
-		took, tasks, took.Milliseconds())
+		duration, tasks, duration.Milliseconds())
 }
--- a/testutil/vtime/vtime.go
+++ b/testutil/vtime/vtime.go
@@ -1,5 +1,5 @@
-// Package vtime runs events in virtual time, in the order of their times and,
-// at one time, in the order in which they were added.
+// Package vtime runs events in virtual time. Events run in the order of their times; events at
+// the same time run in the order in which they were added.
 package vtime
 
 import (
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// Queue holds the events to come.
+// Queue holds pending events.
 type Queue struct {
-	now    time.Duration
-	added  uint64
-	events eventHeap
+	now     time.Duration
+	lastSeq uint64
+	events  eventHeap
 }
 
 type event struct {
-	at    time.Duration
-	added uint64
-	do    func()
+	at  time.Duration
+	seq uint64
+	do  func()
 }
 
-// NewQueue returns an empty queue whose time is start.
+// NewQueue returns an empty queue with the given current time.
 func NewQueue(start time.Duration) *Queue {
 	return &Queue{now: start}
 }
 
-// Now returns the present time.
+// Now returns the current virtual time.
 func (q *Queue) Now() time.Duration {
 	return q.now
 }
 
-// After adds an event that happens d from now.
+// After schedules do at the current time plus d.
 func (q *Queue) After(d time.Duration, do func()) {
-	q.added++
-	heap.Push(&q.events, event{at: q.now + d, added: q.added, do: do})
+	q.lastSeq++
+	heap.Push(&q.events, event{at: q.now + d, seq: q.lastSeq, do: do})
 }
 
-// Run lets events happen until the time is end, or until stop says so.
+// Run runs events until the given end time, or until stop returns true.
 func (q *Queue) Run(end time.Duration, stop func() bool) {
 	for len(q.events) > 0 && q.events[0].at <= end && !stop() {
 		e := heap.Pop(&q.events).(event)
@@ -54,7 +54,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].added < h[j].added
+	return h[i].seq < h[j].seq
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
