--- a/testutil/fleet/clairvoyant.go
+++ b/testutil/fleet/clairvoyant.go
@@ -27,13 +27,13 @@
 
 // latestStart returns the latest start that meets the objective.
 func (j *clairvoyantJob) latestStart() time.Duration {
-	return j.c.sentAt + j.c.objective() - slices.Max(j.c.taskWorks)
+	return j.c.sentAt + j.c.objective() - slices.Max(j.c.taskDurations)
 }
 
 // worthPerSecond returns the job's worth per second of work.
 func (j *clairvoyantJob) worthPerSecond() float64 {
 	var sum time.Duration
-	for _, l := range j.c.taskWorks {
+	for _, l := range j.c.taskDurations {
 		sum += l
 	}
 	return j.c.worth / sum.Seconds()
@@ -144,7 +144,7 @@
 // startAll starts the job's remaining tasks, the longest first, as far as there is room. It
 // reports whether all have started.
 func (j *clairvoyantJob) startAll(now time.Duration, targets []*clairvoyantTarget, ends *taskEndHeap) bool {
-	lengths := slices.Sorted(slices.Values(j.c.taskWorks))
+	lengths := slices.Sorted(slices.Values(j.c.taskDurations))
 	slices.Reverse(lengths)
 	for j.startedTasks < len(lengths) {
 		t, end := firstWithRoom(now, lengths[j.startedTasks], targets)
--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -47,12 +47,12 @@
 	startedAgain                    bool          // a task started again after it had completed
 	// Fields of workload jobs: the class, the duration of a typical task and of each task on a
 	// target of speed 1, the worth, and when the job was first sent.
-	class          int
-	taskWork       time.Duration
-	taskWorks      []time.Duration
-	worth          float64
-	sentAt         time.Duration
-	earnedFraction float64 // fraction of the worth
+	class           int
+	typicalDuration time.Duration
+	taskDurations   []time.Duration
+	worth           float64
+	sentAt          time.Duration
+	earnedFraction  float64
 }
 
 // scheduleJobs schedules the arrivals of random jobs for the configured length.
@@ -73,28 +73,28 @@
 func (w *World) submitRandomJob(afterFaults bool) {
 	w.Counts.Jobs++
 	id := fmt.Sprintf("%016x", w.Counts.Jobs)
-	count := 1 + w.faultRand.IntN(4)
+	count := 1 + w.rng.IntN(4)
 	guess := w.cfg.Guess
-	if w.faultRand.IntN(3) == 0 {
+	if w.rng.IntN(3) == 0 {
 		guess = w.cfg.LongGuess
 	}
 	guess = guess/2 + w.randomUpTo(guess)
 	c := &client{w: w, afterFaults: afterFaults, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int)}
 	c.spec = task.Job{
 		ID: id, Queue: "q", Service: service, Spec: w.specOf(id), Attempts: attempts,
-		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.Patience, Priority: w.faultRand.IntN(3),
-		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.faultRand.IntN(1000), MemoryMB: 64}, Estimate: guess}},
+		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.Patience, Priority: w.rng.IntN(3),
+		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64}, Estimate: guess}},
 	}
-	if w.faultRand.IntN(4) == 0 {
+	if w.rng.IntN(4) == 0 {
 		c.spec.Steps = append(c.spec.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
 	}
-	w.alwaysFails[id] = w.faultRand.IntN(30) == 0 && !afterFaults
+	w.alwaysFails[id] = w.rng.IntN(30) == 0 && !afterFaults
 	w.jobs[id] = c
 	if afterFaults {
 		w.Counts.Calm++
 	}
 	c.send()
-	if w.cfg.Leaving > 0 && w.faultRand.Float64() < w.cfg.Leaving {
+	if w.cfg.Leaving > 0 && w.rng.Float64() < w.cfg.Leaving {
 		w.after(w.randomUpTo(guess), c.abandon)
 	}
 }
@@ -121,7 +121,7 @@
 	c.tries++
 	c.submissions++
 	c.waitingToRetry = false
-	e := w.entries[w.faultRand.IntN(len(w.entries))]
+	e := w.entries[w.rng.IntN(len(w.entries))]
 	if e.dead {
 		c.resend()
 		return
@@ -165,14 +165,14 @@
 		maxCancelDelay    = 40 * time.Millisecond
 	)
 	w := c.w
-	if w.faultRand.Float64() >= w.cfg.Strays {
+	if w.rng.Float64() >= w.cfg.Strays {
 		return
 	}
 	maxDelay := maxImmediateDelay
-	if w.faultRand.IntN(2) == 0 {
+	if w.rng.IntN(2) == 0 {
 		maxDelay = maxLateDelay
 	}
-	e := w.entries[w.faultRand.IntN(len(w.entries))]
+	e := w.entries[w.rng.IntN(len(w.entries))]
 	delay, cancelDelay := w.randomUpTo(maxDelay), w.randomUpTo(maxCancelDelay)
 	w.after(callerLatency+delay, func() {
 		if e.dead || e == c.entry {
@@ -265,7 +265,7 @@
 }
 
 func (r *Returns) recordCompleted(c *client, took time.Duration) {
-	if c.taskWork > 0 {
+	if c.typicalDuration > 0 {
 		r.Served++
 		r.Taken += took
 	}
@@ -275,7 +275,7 @@
 // that exceeds Config.ComeBack.
 func (c *client) retryAfterRefusal(delay time.Duration) {
 	w := c.w
-	if w.cfg.ComeBack == 0 || c.taskWork == 0 {
+	if w.cfg.ComeBack == 0 || c.typicalDuration == 0 {
 		return
 	}
 	w.Returned.Refused++
--- a/testutil/fleet/crash_test.go
+++ b/testutil/fleet/crash_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// crashingScene is 2% of the jobs crashing each target that starts a task of them, at a quarter of
-// the load; targets are back after 2 to 3 s, and objectives leave time for several runs.
+// crashingConfig returns a workload at 25% load in which 2% of the jobs crash every target that
+// starts them. Targets restart after 2 to 3 s; objectives leave time for several runs.
 func crashingConfig(seed uint64, entries, agents int) Config {
 	cfg := PolicyConfig(seed, entries, agents, Tracking(agents, 0.25))
 	cfg.Crashing = 0.02
@@ -17,14 +17,12 @@
 	return cfg
 }
 
-// failedShare bounds the share of the jobs that are given up as guilty though they only ran beside
-// a task that crashes targets: an aim of the project.
+// innocentFailureBound bounds the share of jobs that fail only because they ran beside a task
+// that crashes targets.
 const innocentFailureBound = 0.01
 
-// TestTasksThatCrashTheirTargets holds how often they are started, and that those beside them
-// are not taken for guilty. 12 seeds with 11 agents and 3 with 70: 4,190 of 6,431 and 6,449 of
-// 10,184 jobs completed, 19 and 25 given up wrongly; where only a crash that was told makes a
-// task a suspect 3,678 and 6,227. Without suspects histories of both sizes break the budget.
+// TestCrashingTasksRespectStartBudgetAndSpareOthers guards against unlimited restarts of tasks
+// that crash targets, and against failing the jobs that ran beside them.
 func TestCrashingTasksRespectStartBudgetAndSpareOthers(t *testing.T) {
 	for _, agents := range []int{11, 70} {
 		w := New(crashingConfig(1, 3, agents))
@@ -35,8 +33,8 @@
 	}
 }
 
-// TestAPowerLossMakesNobodyGuilty: half of the targets crash at one moment, and once more while
-// what they ran runs again.
+// TestPowerLossDoesNotFailInnocentJobs guards against blaming tasks for target crashes when
+// half of the targets repeatedly crash at the same time.
 func TestPowerLossDoesNotFailInnocentJobs(t *testing.T) {
 	for _, agents := range []int{11, 70} {
 		cfg := crashingConfig(1, 3, agents)
--- a/testutil/fleet/drawn_test.go
+++ b/testutil/fleet/drawn_test.go
@@ -10,21 +10,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// Bounds of what a drawn scene may do to targets and jobs that have no trouble.
+// Bounds for random scenes without faults.
 const (
-	// ejectedBound is for how long all sound targets of a scene may be ejected
-	// together: a few probes of some targets.
+	// maxSoundEjected is the total time for which targets of a scene may be ejected.
 	maxSoundEjected = 6 * time.Second
-	// refusedBound is the share of jobs that may be refused while at least a fifth of
-	// the targets' room stands free on average.
+	// maxRefusedShare is the share of jobs that may be refused while at least a fifth of the
+	// capacity is free on average.
 	maxRefusedShare = 0.01
-	// servedBound is the share of the jobs that must be completed.
+	// minCompletedShare is the share of the jobs that must complete.
 	minCompletedShare = 0.98
 )
 
-// TestDrawnShapes plays workloads with shapes drawn from all that a deployment may have,
-// at loads that the targets can bear, and without a trouble: hardly a target is ejected
-// and hardly a job refused.
+// TestRandomShapesWithinCapacityAreServed guards against ejecting healthy targets and refusing
+// jobs in random workloads that fit the capacity, without faults.
 func TestRandomShapesWithinCapacityAreServed(t *testing.T) {
 	const scenes = 48
 	for n := range uint64(scenes) {
@@ -49,11 +47,10 @@
 	}
 }
 
-// drawnScene draws a scene.
 func randomScene(n uint64) Scene {
 	r := rand.New(rand.NewPCG(n, 13))
 	uniform := func(lo, hi float64) float64 { return lo + r.Float64()*(hi-lo) }
-	// A factor is drawn evenly by its logarithm.
+	// Factors are drawn uniformly by their logarithm.
 	logUniform := func(lo, hi float64) float64 { return math.Exp(uniform(math.Log(lo), math.Log(hi))) }
 	shape := Shape{
 		WorkSpread: 0.4, CountSpread: 0.4, Slack: 60 * time.Millisecond,
@@ -67,7 +64,7 @@
 			scaleWork(c, work)
 			setPriorities(c, priorities...)
 		})
-	s.Name = fmt.Sprintf("guesses off by %.2f and %.2f times, tasks by %.2f, work %.2f times, stretch %.2f, load %.2f", shape.GuessError, shape.GuessBias, shape.TaskSpread, work, shape.Stretch, s.Load)
+	s.Name = fmt.Sprintf("estimate error %.2f, estimate bias %.2f, task spread %.2f, work factor %.2f, stretch %.2f, load %.2f", shape.GuessError, shape.GuessBias, shape.TaskSpread, work, shape.Stretch, s.Load)
 	for range 3 {
 		s.Speeds = append(s.Speeds, logUniform(0.7, 1.4))
 	}
--- a/testutil/fleet/fault.go
+++ b/testutil/fleet/fault.go
@@ -44,13 +44,13 @@
 
 // injectFault starts a random fault that lasts up to 3.2 s.
 func (w *World) injectFault() {
-	kind := Kind(w.faultRand.IntN(int(randomKinds)))
+	kind := Kind(w.rng.IntN(int(randomKinds)))
 	if len(w.cfg.Kinds) > 0 {
-		kind = w.cfg.Kinds[w.faultRand.IntN(len(w.cfg.Kinds))]
+		kind = w.cfg.Kinds[w.rng.IntN(len(w.cfg.Kinds))]
 	}
-	e := w.entries[w.faultRand.IntN(len(w.entries))]
-	a := w.agents[w.faultRand.IntN(len(w.agents))]
-	powerLoss := w.faultRand.IntN(2) == 0
+	e := w.entries[w.rng.IntN(len(w.entries))]
+	a := w.agents[w.rng.IntN(len(w.agents))]
+	powerLoss := w.rng.IntN(2) == 0
 	duration := 200*time.Millisecond + w.randomUpTo(3*time.Second)
 	switch kind {
 	case KillEntry:
@@ -97,7 +97,7 @@
 	case SuspendAgent:
 		a.suspend(minSuspension + duration)
 	case ShrinkRoom:
-		w.shrinkRoom(a, duration)
+		w.shrinkCapacity(a, duration)
 	case Partition:
 		w.partition(a.target.hall, duration)
 	case CutHall:
@@ -108,10 +108,10 @@
 // minSuspension is the shortest suspension of a host. It exceeds every lease and ClearTime.
 const minSuspension = 1500 * time.Millisecond
 
-// shrinkRoom reduces a target's capacity for a while. Its next heartbeat reports the change.
-func (w *World) shrinkRoom(a *agentProcess, duration time.Duration) {
+// shrinkCapacity reduces a target's capacity for a while. Its next heartbeat reports the change.
+func (w *World) shrinkCapacity(a *agentProcess, duration time.Duration) {
 	t := a.target
-	t.capacity.CPU = w.cfg.CPU / (2 + w.faultRand.IntN(3))
+	t.capacity.CPU = w.cfg.CPU / (2 + w.rng.IntN(3))
 	t.shrunkAt = w.now()
 	w.after(duration, func() { t.capacity.CPU = w.cfg.CPU })
 }
@@ -165,8 +165,8 @@
 // silenceConnections drops all later frames on the open connections of an agent or an entry, in
 // one or both directions, without closing them. New connections work.
 func (w *World) silenceConnections(a *agentProcess, e *entryProcess) {
-	toAgents, toEntries := w.faultRand.IntN(3) > 0, w.faultRand.IntN(3) > 0
-	byAgent := w.faultRand.IntN(2) == 0
+	toAgents, toEntries := w.rng.IntN(3) > 0, w.rng.IntN(3) > 0
+	byAgent := w.rng.IntN(2) == 0
 	for _, l := range w.links {
 		if l.a == a && byAgent || l.e == e && !byAgent {
 			l.silentToAgent = l.silentToAgent || toAgents
@@ -244,7 +244,7 @@
 // resetClients breaks the connections of about half of an entry's callers.
 func (w *World) resetClients(e *entryProcess) {
 	for _, c := range e.sortedClients() {
-		if w.faultRand.IntN(2) == 0 {
+		if w.rng.IntN(2) == 0 {
 			c.disconnect()
 			c.resend()
 		}
--- a/testutil/fleet/growth_test.go
+++ b/testutil/fleet/growth_test.go
@@ -9,15 +9,16 @@
 	"github.com/beaconpoint/beaconpoint/reach"
 )
 
-// growth is what a fleet made and sent in two seconds of a quarter of the load.
+// fleetCost is what a fleet used in two seconds at 25% load.
 type fleetCost struct {
-	connections, frames, maxPerAgent int // connections and frames in all, connections at an agent that has most
+	connections, frames, maxPerAgent int // of the fleet; of the agent with most connections
 	completed                        int
-	// atHomes is how many times their share the targets had of all starts at which jobs are claimed.
+	// homeStartRatio is the share of starts on the targets of home agents, relative to their
+	// share of all targets. Home agents are those at which jobs are claimed.
 	homeStartRatio float64
 }
 
-// grow plays a fleet of so many entries and agents.
+// measureFleet plays a fleet of the given size.
 func measureFleet(entries, agents int) fleetCost {
 	cfg := PolicyConfig(1, entries, agents, Tracking(agents, 0.25))
 	cfg.Length = 2 * time.Second
@@ -47,23 +48,21 @@
 	return fleetCost{homeStartRatio: float64(startsAtHomes) / float64(starts) / share, connections: w.Connections, frames: w.Frames, maxPerAgent: maxOpen, completed: w.Counts.Completed}
 }
 
-// growthBound is by how much a figure of one host may grow with twice the fleet: the issue of the
-// whole fleet asks for less than a tenth.
+// maxGrowthPerHost is how much the cost per host may grow when the fleet doubles.
 const maxGrowthPerHost = 1.1
 
-// evenBound is how many times their share of the starts the targets may have at which jobs are
-// claimed: all entries are connected to them, which must not draw work there.
+// maxHomeStartRatio bounds homeStartRatio: all entries are connected to home agents, which must
+// not attract work.
 const maxHomeStartRatio = 1.25
 
-// TestNothingGrowsWithThePairs: twice the entries and agents at the same load a host make a bounded
-// number of connections an entry, and send twice as much, not four times: 2,800 and 11,200
-// connections where each entry had one to each agent.
+// TestFleetCostGrowsLinearly guards against connections and frames that grow with the number of
+// entry-agent pairs rather than with the number of hosts.
 func TestFleetCostGrowsLinearly(t *testing.T) {
 	once, twice := measureFleet(20, 140), measureFleet(40, 280)
 	t.Logf("%+v, %+v", once, twice)
 	assert.Assert(t, once.connections <= 20*reach.FullMesh)
 	assert.Assert(t, twice.connections <= 40*reach.FullMesh)
 	assert.Assert(t, float64(twice.frames) <= 2*maxGrowthPerHost*float64(once.frames))
-	assert.Assert(t, max(once.homeStartRatio, twice.homeStartRatio) <= maxHomeStartRatio, "targets at which jobs are claimed get more work")
+	assert.Assert(t, max(once.homeStartRatio, twice.homeStartRatio) <= maxHomeStartRatio, "targets of home agents get more work than others")
 	assert.Assert(t, twice.completed >= 2*once.completed*95/100)
 }
--- a/testutil/fleet/operator_test.go
+++ b/testutil/fleet/operator_test.go
@@ -10,8 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
-// inHalls changes a world into one with two targets in each of three halls, four
-// evacuations, and callers of whom some leave.
+// threeHalls sets up two targets in each of three halls, four evacuations, and some callers
+// that abandon their jobs.
 func threeHalls(c *Config) {
 	c.Halls, c.Agents, c.Entries = 3, 6, 3
 	c.Evacuations = 4
@@ -19,8 +19,8 @@
 	c.Interval /= 2
 }
 
-// TestHistoriesWithEvacuations plays evacuations, one or several at once, among all other
-// troubles, while some entries can't reach the store.
+// TestEvacuationsKeepInvariants plays single and overlapping evacuations among all kinds of
+// faults, while some entries can't reach the store.
 func TestEvacuationsKeepInvariants(t *testing.T) {
 	playHistories(t, 6000, 200, threeHalls)
 	playHistories(t, 6300, 40, func(c *Config) { threeHalls(c); c.OldEntries = 1 })
@@ -31,8 +31,9 @@
 	})
 }
 
-// TestAgentsRefuseInEvacuatedHalls takes the agents' refusal out: entries of the version
-// before, which hear of no evacuation, have runs started there.
+// TestAcceptingStartsInEvacuatedHallIsDetected checks that a violation is found if agents
+// accept starts in evacuated halls from entries of the previous version, which don't support
+// evacuations.
 func TestAcceptingStartsInEvacuatedHallIsDetected(t *testing.T) {
 	for seed := range uint64(100) {
 		cfg := DefaultConfig(seed)
@@ -45,18 +46,18 @@
 			return
 		}
 	}
-	t.Error("not noticed in 100 histories")
+	t.Error("no violation detected in 100 histories")
 }
 
-// evacuationWorld returns a busy world of three halls without faults.
+// evacuationWorld returns a world at 60% load with three halls and no faults.
 func evacuationWorld(seed uint64, entries, agents int) *World {
 	cfg := PolicyConfig(seed, entries, agents, Tracking(agents, 0.6))
 	cfg.Halls = 3
 	return New(cfg)
 }
 
-// TestAnEvacuationIsInForceAtOnce: 20 ms after the store's answer at the latest entries have
-// heard of it, and what is under way to agents then takes a few more.
+// TestEvacuationStopsStartsPromptly guards against late starts in an evacuated hall: the store
+// notifies entries within 20 ms, and orders in transit take a few ms more.
 func TestEvacuationStopsStartsPromptly(t *testing.T) {
 	var delays []time.Duration
 	for seed := range uint64(4) {
@@ -70,8 +71,8 @@
 	assert.Assert(t, slices.Max(delays) < 30*time.Millisecond, "%s", slices.Max(delays))
 }
 
-// TestAnEvacuationReachesWhomTheStoreDoesNot: one entry hears of it and dies soon after; the
-// others can't reach the store for as long as it lasts. Agents hand the news on.
+// TestEvacuationReachesEntriesCutFromStore guards against evacuations known only to an entry
+// that ends soon after: agents must pass them on to entries that can't reach the store.
 func TestEvacuationReachesEntriesCutFromStore(t *testing.T) {
 	w := evacuationWorld(2, 4, 12)
 	w.At(4*time.Second, func() {
@@ -94,7 +95,8 @@
 	assert.Assert(t, slices.Max(w.operator.startDelays) < 200*time.Millisecond, "%s", slices.Max(w.operator.startDelays))
 }
 
-// TestWithAllHallsEvacuatedJobsAreRefusedAtOnce: and served again when they are taken back.
+// TestJobsAreRefusedWhileAllHallsAreEvacuated guards against starting jobs during the
+// evacuations, and against refusing them afterwards.
 func TestJobsAreRefusedWhileAllHallsAreEvacuated(t *testing.T) {
 	w := evacuationWorld(3, 3, 12)
 	var before, during, after Counts
@@ -113,10 +115,10 @@
 	assert.Assert(t, after.Completed-during.Completed > 50, "%+v %+v", during, after)
 }
 
-// lateStart has a caller submit one job to an agent whose target carries out starts five
-// seconds later and loses stops, leave, and the entry be removed; the agent is replaced, where
-// asked for, by one whose calls arrive. It returns when the job began on the target, or zero,
-// and for how long it was at work.
+// delayedStart plays one job whose target carries out starts five seconds late and drops stops.
+// The caller abandons the job and the entry stops for good. With replaceAgent, the agent
+// restarts and its calls work. It returns when the job started on the target (zero if it did
+// not), and how long it ran.
 func delayedStart(t *testing.T, rules supervisor.Rules, replaceAgent bool) (startedAt, busyFor time.Duration) {
 	cfg := DefaultConfig(1)
 	cfg.Entries, cfg.Agents, cfg.Faults, cfg.Rules = 1, 1, 0, rules
@@ -124,7 +126,7 @@
 	w := New(cfg)
 	a := w.agents[0]
 	a.target.startDelay = 5 * time.Second
-	w.At(600*time.Millisecond, func() { // the job came at 300 ms
+	w.At(600*time.Millisecond, func() { // the job is submitted at 300 ms
 		assert.Equal(t, len(w.jobs), 1)
 		for _, c := range w.jobs {
 			c.abandon()
@@ -132,7 +134,7 @@
 	})
 	w.At(2*time.Second, func() {
 		w.entries[0].kill(true)
-		w.entries[0].incarnation++ // it does not come back
+		w.entries[0].incarnation++ // prevents a restart
 	})
 	if replaceAgent {
 		w.At(3*time.Second, func() {
@@ -155,12 +157,11 @@
 	return startedAt, busyFor
 }
 
-// TestAnOrderThatIsCarriedOutAfterItsCallerHasLeft: its start's own deadline has passed, so
-// that the target refuses it; and a new agent's fencing token is higher. Without the deadline
-// and the token it begins, and the new agent stops what it did not order. Without any of them
-// it runs on.
+// TestDelayedStartOfAbandonedJobDoesNotRun guards against late starts of abandoned jobs. The
+// target rejects them by the start's deadline and by the fencing token; failing both, a new
+// agent stops unknown runs.
 func TestDelayedStartOfAbandonedJobDoesNotRun(t *testing.T) {
-	const maxStopDelay = 320 * time.Millisecond // the longest wait of a renewal, the stop, two calls
+	const maxStopDelay = 320 * time.Millisecond // longest renewal wait, the stop and two calls
 	rules := supervisor.DefaultRules()
 	for _, replaced := range []bool{false, true} {
 		startedAt, _ := delayedStart(t, rules, replaced)
--- a/testutil/fleet/outage_test.go
+++ b/testutil/fleet/outage_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHistoriesOfLostHalls plays halls that lose power, or that one entry can't reach, among
-// other troubles, with copies of submissions at other entries.
+// TestLostHallsKeepInvariants plays halls that lose power, or that one entry can't reach, among
+// other faults, with duplicate submissions to other entries.
 func TestLostHallsKeepInvariants(t *testing.T) {
 	playHistories(t, 12000, 100, func(c *Config) {
 		threeHalls(c)
@@ -17,7 +17,7 @@
 	})
 }
 
-// lostHall returns a busy world of three halls, one of which loses power after 4 s.
+// lostHallWorld returns a world with three halls, one of which loses power after 4 s.
 func lostHallWorld(seed uint64, load float64) *World {
 	cfg := PolicyConfig(seed, 6, 24, Tracking(24, load))
 	cfg.Halls = 3
@@ -26,7 +26,7 @@
 	return w
 }
 
-// suspected returns how often entries took a hall for lost, and silent agents found otherwise.
+// suspectedHalls returns how often entries suspected that a hall was lost.
 func suspectedHalls(w *World) (count uint64) {
 	for _, e := range w.entries {
 		count += e.owner.Stats().HallsSuspected
@@ -34,7 +34,8 @@
 	return count
 }
 
-// TestALostHallIsNoticed by each entry, once.
+// TestEachEntrySuspectsLostHallOnce guards against lost halls that go unnoticed or are
+// suspected repeatedly.
 func TestEachEntrySuspectsLostHallOnce(t *testing.T) {
 	w := lostHallWorld(1, 0.6)
 	suspecting := 0
@@ -49,14 +50,14 @@
 	assert.Equal(t, suspectedHalls(w), uint64(6))
 }
 
-// TestSoundHallsAreNotSuspected: a tenth of the agents is frozen, each entry is cut off from
-// everybody in turn, agents are replaced one after the other, or nothing happens at all.
+// TestSoundHallsAreNotSuspected guards against taking frozen agents, an entry without network
+// or the replacement of agents for the loss of a hall.
 func TestSoundHallsAreNotSuspected(t *testing.T) {
 	for name, inject := range map[string]func(*World){
 		"none": func(*World) {},
 		"frozen agents": func(w *World) {
 			for k := range 3 {
-				w.agents[k].frozenUntil = w.now() + time.Second // one in each hall
+				w.agents[k].frozenUntil = w.now() + time.Second // one per hall
 				w.agents[k+3].frozenUntil = w.now() + time.Second
 			}
 		},
--- a/testutil/fleet/partition_test.go
+++ b/testutil/fleet/partition_test.go
@@ -9,10 +9,9 @@
 	"github.com/beaconpoint/beaconpoint/owner"
 )
 
-// TestAHallThatIsCutServesOn: one hall of three with its entries is cut from the others for four
-// seconds, while a quarter of the load comes on both sides. Its targets are sound and callers
-// reach its entries: it serves the jobs of which it reaches a home that others choose, too, which
-// is two of its three; a third of its third waits and is refused.
+// TestPartitionedHallKeepsServing guards against refusing jobs while targets are idle, when one
+// hall of three with its entries is cut from the others. Only about one job in nine has no
+// reachable home.
 func TestPartitionedHallKeepsServing(t *testing.T) {
 	cfg := PolicyConfig(1, 6, 24, Tracking(24, 0.25))
 	cfg.Halls = 3
@@ -25,13 +24,13 @@
 	assert.Equal(t, w.Broken, "")
 	refused, submitted := during.Refused-before.Refused, during.Submitted-before.Submitted
 	completed := during.Completed - before.Completed
-	t.Logf("in the cut: %d submitted, %d completed, %d refused, %d given up", submitted, completed, refused, during.GivenUp-before.GivenUp)
+	t.Logf("during the partition: %d submitted, %d completed, %d refused, %d given up", submitted, completed, refused, during.GivenUp-before.GivenUp)
 	assert.Assert(t, refused*9 <= submitted, "%d of %d refused while targets were idle", refused, submitted)
 	assert.Assert(t, completed*9 >= submitted*8, "%d of %d completed", completed, submitted)
 }
 
-// TestHistoriesOfPartitions plays histories in which halls are cut from each other, and callers
-// whose connections broke submit their jobs again on the other side.
+// TestPartitionsKeepInvariants plays halls that are cut from each other, with callers that
+// resubmit jobs on the other side after their connection broke.
 func TestPartitionsKeepInvariants(t *testing.T) {
 	playHistories(t, 14000, 160, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{Partition, ResetClients, KillEntry, CutAgent}, 12
--- a/testutil/fleet/policy_test.go
+++ b/testutil/fleet/policy_test.go
@@ -9,18 +9,17 @@
 	"github.com/beaconpoint/beaconpoint/owner"
 )
 
-// bounds is what a scene's jobs earn at the least.
+// sceneBounds are the acceptance bounds of a scene.
 type sceneBounds struct {
 	scene string
 	seeds int
-	// least is the least share of what is owed that must be earned, in all and
-	// by the worst class; rejected the largest share of orders turned down.
+	// minEarned and minWorstClass are the lowest earned shares, over all jobs and of the worst
+	// class. maxRejected is the largest share of rejected start orders.
 	minEarned, minWorstClass, maxRejected float64
 }
 
-// TestWhatJobsEarn plays a workload under load and troubles. The bounds lie a
-// little below what was measured; docs/measurements/policy-platform.md says which
-// mechanisms are noticed when they are taken out, and which is not.
+// TestScenesEarnMinimumShare guards against scheduling changes that lower what jobs earn under
+// load and faults. docs/measurements/policy-platform.md lists the mechanisms it covers.
 func TestScenesEarnMinimumShare(t *testing.T) {
 	for _, b := range []sceneBounds{
 		{"half load", 8, 0.985, 0.97, 0.02},
@@ -42,7 +41,7 @@
 		{"guesses of half the work", 4, 0.985, 0.97, 0.02},
 		{"high load, huge", 1, 0.99, 0.98, 0.02},
 		{"narrow links", 4, 0.97, 0.93, 0.02},
-		// A third of the room is gone at once, and comes back, warm or cold.
+		// A third of the capacity is removed at once and returns, warm or cold.
 		{"a hall is evacuated", 8, 0.99, 0.97, 0.02},
 		{"a hall is evacuated at high load", 8, 0.945, 0.88, 0.02},
 		{"a hall is evacuated at high load, large", 3, 0.955, 0.91, 0.02},
@@ -56,7 +55,7 @@
 	}
 }
 
-// play plays the scene with each seed and looks at the sums.
+// play plays the scene with each seed and checks the sums.
 func (b sceneBounds) play(t *testing.T) {
 	var (
 		wait   sync.WaitGroup
@@ -89,7 +88,7 @@
 		worst = min(worst, c.Share())
 	}
 	rejected := float64(stats.Rejected) / float64(stats.Starts)
-	t.Logf("earned %.3f, worst class %.3f, held %.3f; of %d jobs %d in aim, %d late, %d refused, %d given up; %.3f of orders turned down, %.1f frames a run",
+	t.Logf("earned %.3f, worst class %.3f, held %.3f; of %d jobs %d within their objective, %d late, %d refused, %d given up; %.3f of orders rejected, %.1f frames per run",
 		total.Share(), worst, total.Held/total.Owed, total.Jobs, total.InAim, total.Late, stats.Refused, stats.GivenUp, rejected,
 		float64(frames)/float64(stats.Starts-stats.Rejected))
 	assert.Check(t, total.Share() >= b.minEarned)
@@ -97,9 +96,8 @@
 	assert.Check(t, rejected <= b.maxRejected)
 }
 
-// TestCallersThatComeBack plays a burst in which refused callers come back when they are
-// asked to. Asked to come back after a second each, 0.267 refusals a job were counted and
-// 0.831 earned; one after the other 0.147 and 0.878.
+// TestRetriesAfterRefusalAreServed guards against retry delays that make refused callers of a
+// burst come back too early or all at once.
 func TestRetriesAfterRefusalAreServed(t *testing.T) {
 	scene, found := SceneNamed("burst, callers come back")
 	assert.Assert(t, found)
--- a/testutil/fleet/recovery_bench_test.go
+++ b/testutil/fleet/recovery_bench_test.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// recovery ends all processes at once, 4 s after the beginning, and returns how long after
-// that the first run began on a target that was not under way before, and after how long nine
-// tenths of the usual number of jobs were completed within 200 ms. Processes are back after 20
-// to 1,020 ms.
+// measureRecovery kills all processes 4 s into the history. It returns the time until the first
+// new run starts, and until the completion rate, sampled every 200 ms, is back at 90% of the
+// earlier mean. Processes restart within 20 to 1,020 ms.
 func measureRecovery(entries, agents int) (firstStart, fullRate time.Duration) {
 	const span = 200 * time.Millisecond
 	w := New(PolicyConfig(1, entries, agents, Tracking(agents, 0.6)))
@@ -41,7 +40,7 @@
 	return firstStart, fullRate
 }
 
-// BenchmarkRecovery says how long a fleet takes after the end of all processes.
+// BenchmarkRecovery measures how long fleets take to recover after all processes were killed.
 func BenchmarkRecovery(b *testing.B) {
 	for _, size := range []struct{ entries, agents int }{{3, 11}, {12, 70}, {55, 240}, {20, 1200}} {
 		b.Run(fmt.Sprintf("%dx%d", size.entries, size.agents), func(b *testing.B) {
--- a/testutil/fleet/same_amd64_test.go
+++ b/testutil/fleet/same_amd64_test.go
@@ -14,8 +14,8 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// fingerprint plays a history and returns its counts with a hash of every frame
-// that was sent, in order: it changes with any decision and any time.
+// fingerprint plays a history and returns its counters with a hash over the time and content of
+// every frame. It changes with any decision and any time.
 func fingerprint(t *testing.T, w *World) string {
 	t.Helper()
 	hash := fnv.New64a()
@@ -23,17 +23,16 @@
 		buf, err := peer.AppendFrame(nil, f)
 		assert.NilError(t, err)
 		fmt.Fprint(hash, w.now(), from)
-		_, _ = hash.Write(buf) // a hash takes everything
+		_, _ = hash.Write(buf) // never fails
 	}
 	w.Run()
 	assert.Equal(t, w.Broken, "")
 	return fmt.Sprintf("%d jobs, %d completed, %d starts, %d frames, %x", w.Counts.Jobs, w.Counts.Completed, w.Counts.Starts, w.Frames, hash.Sum64())
 }
 
-// TestDecisionsAreTheSame compares histories with those of an earlier version,
-// frame by frame: changes that should leave behaviour as it is are held to it. A
-// change that is meant to decide differently records them anew (-update) and says
-// so. Floating point rounds differently on other processors, hence amd64.
+// TestDecisionsMatchGoldenFile guards against unintended changes of decisions by comparing
+// histories frame by frame. Intended changes are recorded with -update. amd64 only:
+// floating-point rounding differs between architectures.
 func TestDecisionsMatchGoldenFile(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(16) {
@@ -61,7 +60,6 @@
 	golden.Assert(t, sortedLines(out.String()), "decisions.golden")
 }
 
-// sortedLines sorts a text's lines.
 func sortedLines(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	slices.Sort(lines)
--- a/testutil/fleet/scene.go
+++ b/testutil/fleet/scene.go
@@ -65,23 +65,23 @@
 	return []Outage{{Target: 0, From: faultStart, To: faultStart + duration}}
 }
 
-func newScene(name string, entries, agents int, load float64, trouble func(*World), outages ...Outage) Scene {
-	return Scene{Name: name, Load: load, Entries: entries, Agents: agents, Trouble: trouble, Outages: outages}
+func newScene(name string, entries, agents int, load float64, scheduleFault func(*World), outages ...Outage) Scene {
+	return Scene{Name: name, Load: load, Entries: entries, Agents: agents, Trouble: scheduleFault, Outages: outages}
 }
 
 // smallScene returns a scene with 3 entries and 11 agents.
-func smallScene(name string, load float64, trouble func(*World), outages ...Outage) Scene {
-	return newScene(name, 3, smallFleetAgents, load, trouble, outages...)
+func smallScene(name string, load float64, scheduleFault func(*World), outages ...Outage) Scene {
+	return newScene(name, 3, smallFleetAgents, load, scheduleFault, outages...)
 }
 
 // largeScene returns a scene with 12 entries and 40 agents.
-func largeScene(name string, load float64, trouble func(*World)) Scene {
-	return newScene(name, 12, 40, load, trouble)
+func largeScene(name string, load float64, scheduleFault func(*World)) Scene {
+	return newScene(name, 12, 40, load, scheduleFault)
 }
 
 // hugeScene returns a scene with 55 entries and 240 agents.
-func hugeScene(name string, load float64, trouble func(*World)) Scene {
-	return newScene(name, 55, 240, load, trouble)
+func hugeScene(name string, load float64, scheduleFault func(*World)) Scene {
+	return newScene(name, 55, 240, load, scheduleFault)
 }
 
 // withHallEvacuated returns the scene with the first of three halls evacuated for four seconds,
@@ -197,8 +197,8 @@
 }
 
 // unequalTargets returns a scene whose targets differ in speed by up to a factor of four.
-func unequalTargets(name string, load float64, trouble func(*World)) Scene {
-	s := smallScene(name, load, trouble)
+func unequalTargets(name string, load float64, scheduleFault func(*World)) Scene {
+	s := smallScene(name, load, scheduleFault)
 	s.Speeds = []float64{0.5, 1, 2}
 	return s
 }
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -58,8 +58,8 @@
 	startCount      int           // runs started by all incarnations
 	shrunkAt        time.Duration // last reduction of the capacity
 	speed           float64       // 1 is normal
-	leaseDeadline   time.Duration // of the lease, on the target's clock
-	highestToken    uint64        // highest fencing token seen
+	leaseDeadline   time.Duration // on the target's clock
+	highestToken    uint64
 	runs            map[string]*emulatedRun
 	endedRuns       []supervisor.EndedRow // not yet acknowledged by a renewal
 	endCount        uint64                // in this incarnation
@@ -82,7 +82,7 @@
 
 // newEmulatedTarget returns a target in its first incarnation.
 func newEmulatedTarget(w *World, capacity task.Needs) *emulatedTarget {
-	e := &emulatedTarget{w: w, capacity: capacity, speed: 1, clockRate: 0.98 + 0.02*w.faultRand.Float64()}
+	e := &emulatedTarget{w: w, capacity: capacity, speed: 1, clockRate: 0.98 + 0.02*w.rng.Float64()}
 	e.startIncarnation()
 	return e
 }
@@ -135,7 +135,7 @@
 // call carries out do as a remote call subject to the target's behaviour: the answer may be
 // lost, and the call may be carried out late.
 func (e *emulatedTarget) call(incarnation supervisor.Incarnation, timeout time.Duration, do func() supervisor.Reply, answer func(supervisor.Reply)) {
-	draw := e.w.faultRand.Float64()
+	draw := e.w.rng.Float64()
 	noAnswer := supervisor.Reply{Outcome: supervisor.NoAnswer}
 	run := func() supervisor.Reply {
 		if e.id != incarnation.ID {
@@ -174,7 +174,7 @@
 // randomLateDelay returns the delay of an unanswered call. Half of the calls are late by at
 // most a second, when leases may still be valid.
 func (e *emulatedTarget) randomLateDelay() time.Duration {
-	if e.w.faultRand.IntN(2) == 0 {
+	if e.w.rng.IntN(2) == 0 {
 		return e.w.randomUpTo(time.Second)
 	}
 	return time.Second + e.w.randomUpTo(11*time.Second)
@@ -221,7 +221,7 @@
 		return
 	}
 	end := task.EndDone
-	if e.w.faultRand.Float64() < e.behaviour.Failing || e.w.alwaysFails[r.order.Task.Job] {
+	if e.w.rng.Float64() < e.behaviour.Failing || e.w.alwaysFails[r.order.Task.Job] {
 		end = task.EndFailed
 	}
 	e.w.after(duration, func() { e.endRun(r, end) })
@@ -229,10 +229,10 @@
 
 // runDuration returns the duration of a run on a target without faults.
 func (e *emulatedTarget) runDuration(r *emulatedRun) time.Duration {
-	if c := e.w.jobs[r.order.Task.Job]; c != nil && c.taskWork > 0 {
-		return time.Duration(float64(c.taskWorks[r.order.Task.Index]) / e.speed)
+	if c := e.w.jobs[r.order.Task.Job]; c != nil && c.typicalDuration > 0 {
+		return time.Duration(float64(c.taskDurations[r.order.Task.Index]) / e.speed)
 	}
-	return time.Duration(float64(r.order.Guess) * (0.5 + e.w.faultRand.Float64()))
+	return time.Duration(float64(r.order.Guess) * (0.5 + e.w.rng.Float64()))
 }
 
 // extendLease extends the lease, up to Config.HoldMax, and schedules its expiry.
--- a/testutil/fleet/term_test.go
+++ b/testutil/fleet/term_test.go
@@ -9,18 +9,18 @@
 	"github.com/beaconpoint/beaconpoint/owner"
 )
 
-// outcome is what callers get over some seeds of a scene.
+// termOutcome sums the results of several seeds.
 type termOutcome struct {
 	total   Credit
 	refused int
 }
 
-// unserved returns the share of the jobs that were not done, not even late.
+// unservedShare returns the share of the jobs that did not complete, even late.
 func (o termOutcome) unservedShare() float64 {
 	return 1 - float64(o.total.InAim+o.total.Late)/float64(o.total.Jobs)
 }
 
-// playTerm plays a scene of four classes under a term.
+// playTerm plays a workload under a term.
 func playTerm(t *testing.T, term owner.Term, load float64, inject func(*World)) termOutcome {
 	t.Helper()
 	var o termOutcome
@@ -39,17 +39,16 @@
 	return o
 }
 
-// TestBeingServedAtAll plays loads that the targets can't bear for some seconds: 1.2 and 1.5
-// times the room, and a third of the room gone. Where the share of jobs that is served counts,
-// fewer are refused and fewer are left undone, and not much of what is done in time is lost.
+// TestMostServedTermLeavesFewerJobsUnserved guards against a MostServed term that, under
+// overload, refuses or drops as many jobs as MostWorth or earns much less.
 func TestMostServedTermLeavesFewerJobsUnserved(t *testing.T) {
 	for name, c := range map[string]struct {
-		load    float64
-		trouble func(*World)
+		load   float64
+		inject func(*World)
 	}{
-		"1.2 times the room": {0.75, surge(1.6)},
-		"1.5 times the room": {0.75, surge(2)},
-		"a third is gone": {0.75, func(w *World) {
+		"load of 1.2 times the capacity": {0.75, surge(1.6)},
+		"load of 1.5 times the capacity": {0.75, surge(2)},
+		"a third of the targets drained": {0.75, func(w *World) {
 			w.At(4*time.Second, func() {
 				for _, a := range w.agents[:4] {
 					w.drain(a)
@@ -59,8 +58,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			worth := playTerm(t, owner.MostWorth, c.load, c.trouble)
-			served := playTerm(t, owner.MostServed, c.load, c.trouble)
+			worth := playTerm(t, owner.MostWorth, c.load, c.inject)
+			served := playTerm(t, owner.MostServed, c.load, c.inject)
 			t.Logf("unserved %.4f, %.4f; earned %.3f, %.3f; refused %d, %d; held %.1f, %.1f",
 				worth.unservedShare(), served.unservedShare(), worth.total.Share(), served.total.Share(),
 				worth.refused, served.refused, worth.total.Held, served.total.Held)
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -170,9 +170,9 @@
 	count := min(class.MostTasks, max(1, int(math.Round(float64(class.Tasks)*w.logNormal(shape.CountSpread)))))
 	work := min(class.Longest, time.Duration(float64(class.Work)*w.logNormal(shape.WorkSpread)))
 	guess := time.Duration(shape.GuessBias * float64(work) * w.logNormal(shape.GuessError))
-	c := &client{w: w, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int), class: k, taskWork: work, sentAt: w.now()}
+	c := &client{w: w, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int), class: k, typicalDuration: work, sentAt: w.now()}
 	for range count {
-		c.taskWorks = append(c.taskWorks, time.Duration(float64(work)*w.logNormal(shape.TaskSpread)))
+		c.taskDurations = append(c.taskDurations, time.Duration(float64(work)*w.logNormal(shape.TaskSpread)))
 	}
 	c.spec = task.Job{
 		ID: id, Queue: class.Name, Service: service, Spec: w.specOf(id), Attempts: class.Attempts,
@@ -196,12 +196,12 @@
 // longest task, as on the customers' benchmark (docs/measurements/build-farm.md).
 func (c *client) objective() time.Duration {
 	shape := c.w.cfg.Shape
-	return time.Duration(shape.Stretch*float64(slices.Max(c.taskWorks))) + shape.Slack
+	return time.Duration(shape.Stretch*float64(slices.Max(c.taskDurations))) + shape.Slack
 }
 
 // recordEarnings records what a job earns that completes now.
 func (c *client) recordEarnings() {
-	if c.taskWork == 0 {
+	if c.typicalDuration == 0 {
 		return
 	}
 	age := c.w.now() - c.sentAt
@@ -276,7 +276,7 @@
 
 // recordUnserved records a job that was refused or given up.
 func (c *client) recordUnserved() {
-	if c.taskWork > 0 && !c.started && c.w.now()-c.sentAt > time.Duration(heldThreshold*float64(c.objective())) {
+	if c.typicalDuration > 0 && !c.started && c.w.now()-c.sentAt > time.Duration(heldThreshold*float64(c.objective())) {
 		c.w.Credits[c.class].Held += c.worth
 	}
 }
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -140,7 +140,7 @@
 type World struct {
 	cfg          Config
 	queue        *vtime.Queue
-	faultRand    *rand.Rand
+	rng          *rand.Rand
 	workloadRand *rand.Rand // separate, so that the jobs do not depend on decisions
 	ownerRand    *rand.Rand // passed to the entries' state machines
 	crashRand    *rand.Rand // for jobs that crash targets
@@ -181,7 +181,7 @@
 	w := &World{
 		cfg:          cfg,
 		queue:        vtime.NewQueue(time.Second),
-		faultRand:    rand.New(rand.NewPCG(cfg.Seed, 7)),
+		rng:          rand.New(rand.NewPCG(cfg.Seed, 7)),
 		workloadRand: rand.New(rand.NewPCG(cfg.Seed, 11)),
 		crashRand:    rand.New(rand.NewPCG(cfg.Seed, 17)),
 		ownerRand:    rand.New(rand.NewPCG(cfg.Seed, 13)),
@@ -245,7 +245,7 @@
 
 // randomUpTo returns a random duration between zero and d.
 func (w *World) randomUpTo(d time.Duration) time.Duration {
-	return time.Duration(w.faultRand.Int64N(int64(d) + 1))
+	return time.Duration(w.rng.Int64N(int64(d) + 1))
 }
 
 // recordFrame counts a sent frame and passes it to the Sent hook.
--- a/testutil/fleet/world_test.go
+++ b/testutil/fleet/world_test.go
@@ -17,8 +17,8 @@
 	assert.Assert(t, w.Counts.Completed+w.Counts.Failed >= w.Counts.Jobs-1, "%+v", w.Counts)
 }
 
-// playHistories plays so many histories with the seeds from first on, each with
-// the given change of the usual world: no rule may break.
+// playHistories plays count histories with consecutive seeds from first. change adapts the
+// default configuration. No history may violate an invariant.
 func playHistories(t *testing.T, first, count uint64, change func(*Config)) {
 	t.Helper()
 	const batch = 20
@@ -36,40 +36,41 @@
 	}
 }
 
-// TestHistories plays many histories with troubles.
+// TestRandomFaultsKeepInvariants plays histories with random faults.
 func TestRandomFaultsKeepInvariants(t *testing.T) {
 	playHistories(t, 1000, 400, func(*Config) {})
 }
 
-// TestHistoriesOfTwoVersions plays histories in which some processes are of the version
-// before: an upgrade replaces them one after the other.
+// TestMixedVersionsKeepInvariants plays histories in which some processes run the previous
+// version, as during a rolling upgrade.
 func TestMixedVersionsKeepInvariants(t *testing.T) {
 	playHistories(t, 3000, 60, func(c *Config) { c.OldEntries = 1 })
 	playHistories(t, 3100, 60, func(c *Config) { c.OldAgents = 2 })
 	playHistories(t, 3200, 60, func(c *Config) { c.OldEntries, c.OldAgents = 1, 1 })
 }
 
-// TestSilentConnectionsAndDelayedHeartbeats plays histories with many of the two.
+// TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants plays histories with many faults of
+// these two kinds.
 func TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants(t *testing.T) {
 	playHistories(t, 4000, 80, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{HoldHeartbeat, SilenceConnections, CutAgent, KillEntry}, 10
 	})
 }
 
-// TestLeasesAloneSuffice plays histories in which silent connections are never
-// given up: only the leases end what a silent entry had running.
+// TestLeasesEndRunsOfSilentEntries plays histories in which silent connections are never
+// closed, so that only leases end the runs of silent entries.
 func TestLeasesEndRunsOfSilentEntries(t *testing.T) {
 	playHistories(t, 5000, 80, func(c *Config) { c.Lasting = true })
 }
 
-// TestRestartsOfAgentsAmongLostAnswers plays the histories in which a missing
-// emptying shows, with all mechanisms in place.
+// TestAgentRestartsWithLostAnswersKeepInvariants plays the faults that
+// TestDisabledMechanismBreaksInvariant uses for AwaitCleared, with the mechanism enabled.
 func TestAgentRestartsWithLostAnswersKeepInvariants(t *testing.T) {
 	playHistories(t, 0, 160, func(c *Config) { c.Kinds, c.Faults = []Kind{KillAgent, LoseAnswers}, 16 })
 }
 
-// TestOneSubmissionIsOneSubmission plays histories in which copies of submissions reach other
-// entries, beside the first and later, among all kinds of trouble.
+// TestDuplicateSubmissionsKeepInvariants plays histories in which duplicates of submissions
+// reach other entries, at once or later, among all kinds of faults.
 func TestDuplicateSubmissionsKeepInvariants(t *testing.T) {
 	playHistories(t, 7000, 200, func(c *Config) { c.Strays, c.Entries, c.Agents = 0.4, 3, 5 })
 	playHistories(t, 7500, 100, func(c *Config) {
@@ -78,7 +79,8 @@
 	})
 }
 
-// TestACopyIsNotRunAnew: without a trouble no task runs twice, whenever a copy comes.
+// TestDuplicateSubmissionDoesNotRunTaskTwice guards against running a task again for a
+// duplicate that arrives early or late, without faults.
 func TestDuplicateSubmissionDoesNotRunTaskTwice(t *testing.T) {
 	duplicates := 0
 	for seed := range uint64(20) {
@@ -93,7 +95,8 @@
 	assert.Assert(t, duplicates > 300)
 }
 
-// TestASeedPlaysTheSame is what makes a found seed worth keeping.
+// TestSameSeedGivesSameHistory guards against nondeterminism, which would make failing seeds
+// useless.
 func TestSameSeedGivesSameHistory(t *testing.T) {
 	first, second := New(DefaultConfig(5)), New(DefaultConfig(5))
 	first.Run()
@@ -107,8 +110,8 @@
 	assert.Equal(t, first.Frames, second.Frames)
 }
 
-// TestEveryMechanismIsNeeded takes one mechanism out at a time: some history
-// must break a promise then, else the histories would not show that it works.
+// TestDisabledMechanismBreaksInvariant disables one mechanism at a time and guards against
+// histories too weak to detect that: some seed must violate an invariant.
 func TestDisabledMechanismBreaksInvariant(t *testing.T) {
 	const maxHistories = 600
 	for _, c := range []struct {
@@ -117,23 +120,23 @@
 	}{
 		{"owner lease", func(c *Config) {
 			c.Rules.OwnerLease, c.Lasting = time.Hour, true
-			c.Homes = 0 // claims alone wait longer than these jobs last
+			c.Homes = 0 // claims would block a second run until the first has ended
 			c.Kinds = []Kind{CutEntry, FreezeEntry, ResetClients}
 			c.Faults = 12
 		}},
 		{"clear time", func(c *Config) { c.Clear = 0 }},
 		{"keeping unanswered starts", func(c *Config) { c.Rules.KeepUnanswered = false }},
 		{"claims", func(c *Config) { c.Strays, c.Homes = 0.4, 0 }},
-		{"waiting for the ends of dropped runs", func(c *Config) {
+		{"waiting for dropped runs to end", func(c *Config) {
 			c.Strays, c.ForgetEndings = 0.9, true
 			c.Kinds, c.Faults = []Kind{ResetClients, DelayOrders}, 24
 			c.Agents = 6
 		}},
-		{"refusing in evacuated halls", func(c *Config) {
+		{"refusing starts in evacuated halls", func(c *Config) {
 			threeHalls(c)
 			c.OldEntries, c.Rules.RefuseEvacuated = 1, false
 		}},
-		{"telling the lives of a target apart", func(c *Config) {
+		{"distinguishing incarnations of a target under one id", func(c *Config) {
 			targetRestarts(c)
 			c.UntoldBirths = true
 		}},
@@ -141,7 +144,7 @@
 			hostSuspensions(c)
 			c.ClocksStop = true
 		}},
-		{"claiming anew after a stop", func(c *Config) {
+		{"renewing claims after a stop", func(c *Config) {
 			c.Strays, c.Entries, c.Agents = 0.9, 3, 5
 			c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
 			c.TrustStopped = true
@@ -164,49 +167,51 @@
 					return
 				}
 			}
-			t.Errorf("not noticed in %d histories", maxHistories)
+			t.Errorf("no invariant violated in %d histories without the mechanism", maxHistories)
 		})
 	}
 }
 
-// rebirths are histories in which targets restart under the id that they had, and starts come
-// late or stay unanswered. Targets grant leases of 15 s.
+// targetRestarts configures targets that restart under the same id, delayed or unanswered
+// starts, and leases of 15 s.
 func targetRestarts(c *Config) {
 	c.Kinds, c.Faults = []Kind{RestartTarget, DelayOrders, LoseAnswers, KillAgent, CutEntry}, 14
 	c.HoldMax = 15 * time.Second
 }
 
-// TestTargetsThatKeepTheirID plays histories of rebirths.
+// TestTargetRestartsUnderSameIDKeepInvariants guards against confusing the incarnations of a
+// target that keeps its id.
 func TestTargetRestartsUnderSameIDKeepInvariants(t *testing.T) {
 	playHistories(t, 8000, 160, targetRestarts)
 }
 
-// suspensions are histories in which hosts are suspended, for longer than any lease, while
-// copies of submissions reach other entries.
+// hostSuspensions configures hosts that are suspended for longer than any lease, and duplicate
+// submissions.
 func hostSuspensions(c *Config) {
 	c.Kinds, c.Faults = []Kind{SuspendEntry, SuspendAgent, CutAgent, ResetClients, DelayOrders}, 12
 	c.Strays, c.Entries, c.Agents = 0.4, 3, 5
 }
 
-// TestSuspendedHosts plays histories of suspensions.
+// TestSuspendedHostsKeepInvariants guards against suspended hosts that continue with expired
+// leases.
 func TestSuspendedHostsKeepInvariants(t *testing.T) {
 	playHistories(t, 12000, 160, hostSuspensions)
 }
 
-// TestStoppedEntriesAmongCopies plays histories in which entries stand still while other entries
-// get copies of what they have.
+// TestFrozenEntriesWithDuplicatesKeepInvariants plays entries that freeze while duplicates of
+// their submissions reach other entries.
 func TestFrozenEntriesWithDuplicatesKeepInvariants(t *testing.T) {
 	change := func(c *Config) {
 		c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
 		c.Strays, c.Entries, c.Agents = 0.9, 3, 5
 	}
 	playHistories(t, 20000, 100, change)
-	playHistories(t, 21360, 20, change) // 21366 breaks without the new claims
-	playHistories(t, 20570, 20, change) // so does 20579
+	playHistories(t, 21360, 20, change) // includes 21366, which fails with TrustStopped
+	playHistories(t, 20570, 20, change) // includes 20579, which fails with TrustStopped
 }
 
-// TestRoomThatShrinks plays histories in which the room of targets shrinks and grows again while
-// orders, reservations and unanswered starts are under way.
+// TestShrinkingCapacityKeepsInvariants plays targets whose capacity shrinks and grows while
+// orders, reservations and unanswered starts are in progress.
 func TestShrinkingCapacityKeepsInvariants(t *testing.T) {
 	playHistories(t, 13000, 160, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{ShrinkRoom, LoseAnswers, DelayOrders, CutAgent, KillAgent}, 16
