--- a/testutil/fleet/operator_test.go
+++ b/testutil/fleet/operator_test.go
@@ -31,9 +31,8 @@
 	})
 }
 
-// TestAcceptingStartsInEvacuatedHallIsDetected checks that a violation is found if agents
-// accept starts in evacuated halls from entries of the previous version, which don't support
-// evacuations.
+// TestAcceptingStartsInEvacuatedHallIsDetected checks that the simulation finds agents that
+// accept starts in evacuated halls from entries of the previous version.
 func TestAcceptingStartsInEvacuatedHallIsDetected(t *testing.T) {
 	for seed := range uint64(100) {
 		cfg := DefaultConfig(seed)
@@ -157,9 +156,8 @@
 	return startedAt, busyFor
 }
 
-// TestDelayedStartOfAbandonedJobDoesNotRun guards against late starts of abandoned jobs. The
-// target rejects them by the start's deadline and by the fencing token; failing both, a new
-// agent stops unknown runs.
+// TestDelayedStartOfAbandonedJobDoesNotRun guards against late starts of abandoned jobs. Start
+// deadline and fencing token each reject them; without both, a new agent stops unknown runs.
 func TestDelayedStartOfAbandonedJobDoesNotRun(t *testing.T) {
 	const maxStopDelay = 320 * time.Millisecond // longest renewal wait, the stop and two calls
 	rules := supervisor.DefaultRules()
--- a/testutil/fleet/partition_test.go
+++ b/testutil/fleet/partition_test.go
@@ -10,8 +10,7 @@
 )
 
 // TestPartitionedHallKeepsServing guards against refusing jobs while targets are idle, when one
-// hall of three with its entries is cut from the others. Only about one job in nine has no
-// reachable home.
+// hall of three with its entries is cut from the others.
 func TestPartitionedHallKeepsServing(t *testing.T) {
 	cfg := PolicyConfig(1, 6, 24, Tracking(24, 0.25))
 	cfg.Halls = 3
--- a/testutil/fleet/same_amd64_test.go
+++ b/testutil/fleet/same_amd64_test.go
@@ -31,8 +31,7 @@
 }
 
 // TestDecisionsMatchGoldenFile guards against unintended changes of decisions by comparing
-// histories frame by frame. Intended changes are recorded with -update. amd64 only:
-// floating-point rounding differs between architectures.
+// histories frame by frame. amd64 only: floating-point rounding differs elsewhere.
 func TestDecisionsMatchGoldenFile(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(16) {
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -60,8 +60,8 @@
 	// ClocksStop makes the clocks of processes stop during suspensions.
 	ClocksStop bool
 	// Crashing is the share of the jobs whose tasks crash each target that starts them.
-	// BackAfter is the minimum time before a crashed target restarts. UntellingAgents keeps
-	// agents from reporting that a target crashed.
+	// BackAfter is the minimum time before a crashed target restarts. UntellingAgents is
+	// not used.
 	Crashing        float64
 	BackAfter       time.Duration
 	UntellingAgents bool
