--- a/testutil/fleet/world_test.go
+++ b/testutil/fleet/world_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestACalmHistoryIsServed(t *testing.T) {
+func TestJobsAreServedWithoutFaults(t *testing.T) {
 	cfg := DefaultConfig(1)
 	cfg.Faults = 0
 	w := New(cfg)
@@ -17,15 +17,15 @@
 	assert.Assert(t, w.Counts.Completed+w.Counts.Failed >= w.Counts.Jobs-1, "%+v", w.Counts)
 }
 
-// playHistories plays so many histories with the seeds from first on, each with
-// the given change of the usual world: no rule may break.
+// playHistories plays count histories with consecutive seeds from first. change adapts the
+// default configuration. No history may violate an invariant.
 func playHistories(t *testing.T, first, count uint64, change func(*Config)) {
 	t.Helper()
-	const each = 20
-	for from := first; from < first+count; from += each {
+	const batch = 20
+	for from := first; from < first+count; from += batch {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			for seed := from; seed < min(from+each, first+count); seed++ {
+			for seed := from; seed < min(from+batch, first+count); seed++ {
 				cfg := DefaultConfig(seed)
 				change(&cfg)
 				w := New(cfg)
@@ -36,41 +36,42 @@
 	}
 }
 
-// TestHistories plays many histories with troubles.
-func TestHistories(t *testing.T) {
+// TestRandomFaultsKeepInvariants plays histories with random faults.
+func TestRandomFaultsKeepInvariants(t *testing.T) {
 	playHistories(t, 1000, 400, func(*Config) {})
 }
 
-// TestHistoriesOfTwoVersions plays histories in which some processes are of the version
-// before: an upgrade replaces them one after the other.
-func TestHistoriesOfTwoVersions(t *testing.T) {
+// TestMixedVersionsKeepInvariants plays histories in which some processes run the previous
+// version, as during a rolling upgrade.
+func TestMixedVersionsKeepInvariants(t *testing.T) {
 	playHistories(t, 3000, 60, func(c *Config) { c.OldEntries = 1 })
 	playHistories(t, 3100, 60, func(c *Config) { c.OldAgents = 2 })
 	playHistories(t, 3200, 60, func(c *Config) { c.OldEntries, c.OldAgents = 1, 1 })
 }
 
-// TestSilentConnectionsAndDelayedHeartbeats plays histories with many of the two.
-func TestSilentConnectionsAndDelayedHeartbeats(t *testing.T) {
+// TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants plays histories with many faults of
+// these two kinds.
+func TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants(t *testing.T) {
 	playHistories(t, 4000, 80, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{HoldHeartbeat, SilenceConnections, CutAgent, KillEntry}, 10
 	})
 }
 
-// TestLeasesAloneSuffice plays histories in which silent connections are never
-// given up: only the leases end what a silent entry had running.
-func TestLeasesAloneSuffice(t *testing.T) {
+// TestLeasesEndRunsOfSilentEntries plays histories in which silent connections are never
+// closed, so that only leases end the runs of silent entries.
+func TestLeasesEndRunsOfSilentEntries(t *testing.T) {
 	playHistories(t, 5000, 80, func(c *Config) { c.Lasting = true })
 }
 
-// TestRestartsOfAgentsAmongLostAnswers plays the histories in which a missing
-// emptying shows, with all mechanisms in place.
-func TestRestartsOfAgentsAmongLostAnswers(t *testing.T) {
+// TestAgentRestartsWithLostAnswersKeepInvariants plays the faults that
+// TestDisabledMechanismBreaksInvariant uses for AwaitCleared, with the mechanism enabled.
+func TestAgentRestartsWithLostAnswersKeepInvariants(t *testing.T) {
 	playHistories(t, 0, 160, func(c *Config) { c.Kinds, c.Faults = []Kind{KillAgent, LoseAnswers}, 16 })
 }
 
-// TestOneSubmissionIsOneSubmission plays histories in which copies of submissions reach other
-// entries, beside the first and later, among all kinds of trouble.
-func TestOneSubmissionIsOneSubmission(t *testing.T) {
+// TestDuplicateSubmissionsKeepInvariants plays histories in which duplicates of submissions
+// reach other entries, at once or later, among all kinds of faults.
+func TestDuplicateSubmissionsKeepInvariants(t *testing.T) {
 	playHistories(t, 7000, 200, func(c *Config) { c.Strays, c.Entries, c.Agents = 0.4, 3, 5 })
 	playHistories(t, 7500, 100, func(c *Config) {
 		c.Strays, c.Entries, c.Agents = 0.4, 3, 5
@@ -78,9 +79,10 @@
 	})
 }
 
-// TestACopyIsNotRunAnew: without a trouble no task runs twice, whenever a copy comes.
-func TestACopyIsNotRunAnew(t *testing.T) {
-	strays := 0
+// TestDuplicateSubmissionDoesNotRunTaskTwice guards against running a task again for a
+// duplicate that arrives early or late, without faults.
+func TestDuplicateSubmissionDoesNotRunTaskTwice(t *testing.T) {
+	duplicates := 0
 	for seed := range uint64(20) {
 		cfg := DefaultConfig(8000 + seed)
 		cfg.Faults, cfg.Strays, cfg.Entries, cfg.Agents = 0, 0.5, 3, 5
@@ -88,13 +90,14 @@
 		w.Run()
 		assert.Equal(t, w.Broken, "", "seed %d", cfg.Seed)
 		assert.Equal(t, w.Counts.Again, 0, "seed %d", cfg.Seed)
-		strays += w.Counts.Strays
+		duplicates += w.Counts.Strays
 	}
-	assert.Assert(t, strays > 300)
+	assert.Assert(t, duplicates > 300)
 }
 
-// TestASeedPlaysTheSame is what makes a found seed worth keeping.
-func TestASeedPlaysTheSame(t *testing.T) {
+// TestSameSeedGivesSameHistory guards against nondeterminism, which would make failing seeds
+// useless.
+func TestSameSeedGivesSameHistory(t *testing.T) {
 	first, second := New(DefaultConfig(5)), New(DefaultConfig(5))
 	first.Run()
 	second.Run()
@@ -107,41 +110,41 @@
 	assert.Equal(t, first.Frames, second.Frames)
 }
 
-// TestEveryMechanismIsNeeded takes one mechanism out at a time: some history
-// must break a promise then, else the histories would not show that it works.
-func TestEveryMechanismIsNeeded(t *testing.T) {
-	const most = 600
+// TestDisabledMechanismBreaksInvariant disables one mechanism at a time and guards against
+// histories too weak to detect that: some seed must violate an invariant.
+func TestDisabledMechanismBreaksInvariant(t *testing.T) {
+	const maxHistories = 600
 	for _, c := range []struct {
 		name string
 		out  func(*Config)
 	}{
 		{"owner lease", func(c *Config) {
 			c.Rules.OwnerLease, c.Lasting = time.Hour, true
-			c.Homes = 0 // claims alone wait longer than these jobs last
+			c.Homes = 0 // claims would block a second run until the first has ended
 			c.Kinds = []Kind{CutEntry, FreezeEntry, ResetClients}
 			c.Faults = 12
 		}},
 		{"clear time", func(c *Config) { c.Clear = 0 }},
 		{"keeping unanswered starts", func(c *Config) { c.Rules.KeepUnanswered = false }},
 		{"claims", func(c *Config) { c.Strays, c.Homes = 0.4, 0 }},
-		{"waiting for the ends of dropped runs", func(c *Config) {
+		{"waiting for dropped runs to end", func(c *Config) {
 			c.Strays, c.ForgetEndings = 0.9, true
 			c.Kinds, c.Faults = []Kind{ResetClients, DelayOrders}, 24
 			c.Agents = 6
 		}},
-		{"refusing in evacuated halls", func(c *Config) {
-			inHalls(c)
+		{"refusing starts in evacuated halls", func(c *Config) {
+			threeHalls(c)
 			c.OldEntries, c.Rules.RefuseEvacuated = 1, false
 		}},
-		{"telling the lives of a target apart", func(c *Config) {
-			rebirths(c)
+		{"distinguishing incarnations of a target under one id", func(c *Config) {
+			targetRestarts(c)
 			c.UntoldBirths = true
 		}},
 		{"clocks that count suspensions", func(c *Config) {
-			suspensions(c)
+			hostSuspensions(c)
 			c.ClocksStop = true
 		}},
-		{"claiming anew after a stop", func(c *Config) {
+		{"renewing claims after a stop", func(c *Config) {
 			c.Strays, c.Entries, c.Agents = 0.9, 3, 5
 			c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
 			c.TrustStopped = true
@@ -154,7 +157,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(most) {
+			for seed := range uint64(maxHistories) {
 				cfg := DefaultConfig(seed)
 				c.out(&cfg)
 				w := New(cfg)
@@ -164,50 +167,52 @@
 					return
 				}
 			}
-			t.Errorf("not noticed in %d histories", most)
+			t.Errorf("no invariant violated in %d histories without the mechanism", maxHistories)
 		})
 	}
 }
 
-// rebirths are histories in which targets restart under the id that they had, and starts come
-// late or stay unanswered. Targets grant leases of 15 s.
-func rebirths(c *Config) {
+// targetRestarts configures targets that restart under the same id, delayed or unanswered
+// starts, and leases of 15 s.
+func targetRestarts(c *Config) {
 	c.Kinds, c.Faults = []Kind{RestartTarget, DelayOrders, LoseAnswers, KillAgent, CutEntry}, 14
 	c.HoldMax = 15 * time.Second
 }
 
-// TestTargetsThatKeepTheirID plays histories of rebirths.
-func TestTargetsThatKeepTheirID(t *testing.T) {
-	playHistories(t, 8000, 160, rebirths)
+// TestTargetRestartsUnderSameIDKeepInvariants guards against confusing the incarnations of a
+// target that keeps its id.
+func TestTargetRestartsUnderSameIDKeepInvariants(t *testing.T) {
+	playHistories(t, 8000, 160, targetRestarts)
 }
 
-// suspensions are histories in which hosts are suspended, for longer than any lease, while
-// copies of submissions reach other entries.
-func suspensions(c *Config) {
+// hostSuspensions configures hosts that are suspended for longer than any lease, and duplicate
+// submissions.
+func hostSuspensions(c *Config) {
 	c.Kinds, c.Faults = []Kind{SuspendEntry, SuspendAgent, CutAgent, ResetClients, DelayOrders}, 12
 	c.Strays, c.Entries, c.Agents = 0.4, 3, 5
 }
 
-// TestSuspendedHosts plays histories of suspensions.
-func TestSuspendedHosts(t *testing.T) {
-	playHistories(t, 12000, 160, suspensions)
+// TestSuspendedHostsKeepInvariants guards against suspended hosts that continue with expired
+// leases.
+func TestSuspendedHostsKeepInvariants(t *testing.T) {
+	playHistories(t, 12000, 160, hostSuspensions)
 }
 
-// TestStoppedEntriesAmongCopies plays histories in which entries stand still while other entries
-// get copies of what they have.
-func TestStoppedEntriesAmongCopies(t *testing.T) {
-	stopped := func(c *Config) {
+// TestFrozenEntriesWithDuplicatesKeepInvariants plays entries that freeze while duplicates of
+// their submissions reach other entries.
+func TestFrozenEntriesWithDuplicatesKeepInvariants(t *testing.T) {
+	change := func(c *Config) {
 		c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
 		c.Strays, c.Entries, c.Agents = 0.9, 3, 5
 	}
-	playHistories(t, 20000, 100, stopped)
-	playHistories(t, 21360, 20, stopped) // 21366 breaks without the new claims
-	playHistories(t, 20570, 20, stopped) // so does 20579
+	playHistories(t, 20000, 100, change)
+	playHistories(t, 21360, 20, change) // includes 21366, which fails with TrustStopped
+	playHistories(t, 20570, 20, change) // includes 20579, which fails with TrustStopped
 }
 
-// TestRoomThatShrinks plays histories in which the room of targets shrinks and grows again while
-// orders, reservations and unanswered starts are under way.
-func TestRoomThatShrinks(t *testing.T) {
+// TestShrinkingCapacityKeepsInvariants plays targets whose capacity shrinks and grows while
+// orders, reservations and unanswered starts are in progress.
+func TestShrinkingCapacityKeepsInvariants(t *testing.T) {
 	playHistories(t, 13000, 160, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{ShrinkRoom, LoseAnswers, DelayOrders, CutAgent, KillAgent}, 16
 		c.Interval = 120 * time.Millisecond
