--- a/owner/agent.go
+++ b/owner/agent.go
@@ -54,16 +54,16 @@
 	silentSince time.Duration
 	// lastHall is the data hall of its target as last reported on any connection.
 	lastHall string
-	// home reports whether jobs may be claimed there.
-	home bool
+	// eligibleHome reports whether jobs may be claimed there.
+	eligibleHome bool
 	// own reports whether this entry prefers the agent. Other agents are used once no own agent
 	// is left.
 	own bool
-	// wasHome reports whether jobs could be claimed there on the current or an earlier
+	// supportsClaims reports whether jobs could be claimed there on the current or an earlier
 	// connection.
-	wasHome bool
-	// stoppedAt is when the target last stopped accepting work.
-	stoppedAt time.Duration
+	supportsClaims bool
+	// stoppedAcceptingAt is when the target last stopped accepting work.
+	stoppedAcceptingAt time.Duration
 	// droppedRuns holds the runs of dropped jobs that are not known to have ended.
 	droppedRuns map[task.ID]int
 	// reserved is a reservation kept for jobs whose claims are pending, or nil. reservedAt is
--- a/owner/answer.go
+++ b/owner/answer.go
@@ -77,7 +77,7 @@
 
 // drop removes j after the given answer and stops its runs.
 func (o *Owner) drop(now time.Duration, j *job, a Answer) {
-	delete(o.jobs, j.spec.ID)
+	delete(o.jobs, j.desc.ID)
 	j.queue.remove(j)
 	o.detachRuns(j)
 	o.settle(now, j, a)
@@ -87,7 +87,7 @@
 func (o *Owner) detachRuns(j *job) {
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
-			o.detachRun(task.ID{Job: j.spec.ID, Step: k, Index: n}, &j.steps[k].tasks[n])
+			o.detachRun(task.ID{Job: j.desc.ID, Step: k, Index: n}, &j.steps[k].tasks[n])
 		}
 	}
 }
--- a/owner/callers.go
+++ b/owner/callers.go
@@ -13,7 +13,7 @@
 func (o *Owner) WaitingJobs(queue string) int {
 	count := 0
 	for _, j := range o.jobs {
-		if j.spec.Queue == queue && !j.started() {
+		if j.desc.Queue == queue && !j.started() {
 			count++
 		}
 	}
@@ -23,50 +23,50 @@
 // Submit accepts or refuses a job. A job with the id of an owned job joins it, and both callers
 // get the same answer. answer is called once, possibly before Submit returns, and never after
 // Cancel is called with the returned caller number.
-func (o *Owner) Submit(now time.Duration, spec task.Job, answer func(Answer)) uint64 {
+func (o *Owner) Submit(now time.Duration, desc task.Job, answer func(Answer)) uint64 {
 	defer o.flush(now)
 	o.callers++
 	o.lastJobAt = now
-	j := o.jobs[spec.ID]
+	j := o.jobs[desc.ID]
 	if j == nil {
-		if why := admit(len(o.jobs), o.linkDelay(now, spec)); why != code.OK {
-			o.rejectJob(now, spec, why, answer)
+		if why := admit(len(o.jobs), o.linkDelay(now, desc)); why != code.OK {
+			o.refuseNewJob(now, desc, why, answer)
 			return o.callers
 		}
-		j = o.accept(now, spec)
+		j = o.accept(now, desc)
 	}
 	j.callers[o.callers] = answer
 	o.checkDeadlines(now, j)
-	if o.jobs[spec.ID] == j && !j.started() && o.needsEvacuatedHall(now, j) {
+	if o.jobs[desc.ID] == j && !j.started() && o.needsEvacuatedHall(now, j) {
 		o.giveUp(now, j, code.JobEvacuated)
 	}
-	o.schedule(now, o.queue(spec.Service))
+	o.schedule(now, o.queue(desc.Service))
 	return o.callers
 }
 
-// rejectJob refuses a job before anything is allocated for it.
-func (o *Owner) rejectJob(now time.Duration, spec task.Job, why code.Code, answer func(Answer)) {
+// refuseNewJob refuses a job before anything is allocated for it.
+func (o *Owner) refuseNewJob(now time.Duration, desc task.Job, why code.Code, answer func(Answer)) {
 	o.stats.Refused++
-	o.logRejectedJob(spec, why)
+	o.logRefusedJob(desc, why)
 	o.countAnswer(why)
 	retry := RetryAfter
 	if why == code.JobLinkFull {
-		retry = o.link.retryAfter(now, spec)
+		retry = o.link.retryAfter(now, desc)
 	}
 	answer(Answer{Kind: Refused, Why: why, Retry: retry})
 }
 
 // accept adds a job and queues it.
-func (o *Owner) accept(now time.Duration, spec task.Job) *job {
-	q := o.queue(spec.Service)
-	j := newJob(now, o.withEstimates(spec, q.usualSpeed))
+func (o *Owner) accept(now time.Duration, desc task.Job) *job {
+	q := o.queue(desc.Service)
+	j := newJob(now, o.withEstimates(desc, q.usualSpeed))
 	o.setSpreads(j)
 	j.queue = q
-	o.jobs[spec.ID] = j
+	o.jobs[desc.ID] = j
 	o.stats.Submitted++
-	o.logAccepted(j, spec.Chain())
+	o.logAccepted(j, desc.Chain())
 	o.recordMissingLabels(j)
-	j.earlierRun = o.dropped[spec.ID] != nil
+	j.earlierRun = o.dropped[desc.ID] != nil
 	j.homeCount = o.newJobHomeCount(now)
 	o.completeHomes(now, j)
 	j.queue.add(now, j)
--- a/owner/cancel.go
+++ b/owner/cancel.go
@@ -83,12 +83,12 @@
 }
 
 // endLookup answers the callers that cancelled the job.
-func (o *Owner) endLookup(now time.Duration, id string, known bool) {
+func (o *Owner) endLookup(now time.Duration, id string, cancelled bool) {
 	l := o.lookups[id]
 	delete(o.lookups, id)
-	o.logCancelPassed(id, known, now-l.since)
+	o.logCancelPassed(id, cancelled, now-l.since)
 	for _, answer := range l.answers {
-		answer(known)
+		answer(cancelled)
 	}
 }
 
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -16,10 +16,10 @@
 	// contestTimeout is how long an entry that has started a job waits for another entry to
 	// release the claim before it stops its own runs.
 	contestTimeout = 30 * time.Millisecond
-	// reservationHoldTime is how long a reservation is kept for jobs whose claims are pending.
+	// reservationKeepTime is how long a reservation is kept for jobs whose claims are pending.
 	// It is half the time for which the agent reserves the room (reservationTime in package
 	// supervisor).
-	reservationHoldTime = 20 * time.Millisecond
+	reservationKeepTime = 20 * time.Millisecond
 )
 
 // claimed reports whether the claims of j permit its tasks to start: every home has granted the
@@ -27,7 +27,7 @@
 // only if no connected agent supports claims. New jobs wait while this entry is isolated, or
 // partitioned without a shared home, because other entries may choose other homes for them.
 func (o *Owner) claimed(j *job) bool {
-	if o.dropped[j.spec.ID] != nil || len(j.homes) == 0 && j.homeCount > 0 && o.homesExist() {
+	if o.dropped[j.desc.ID] != nil || len(j.homes) == 0 && j.homeCount > 0 && o.homesExist() {
 		return false
 	}
 	if o.isolated && j.claimedAt == 0 && j.homeCount > 0 && o.homesExist() {
@@ -128,7 +128,7 @@
 	}
 	j.earlierRun = true
 	j.homes = slices.Delete(j.homes, k, k+1)
-	o.sendSettlement(a, claim.Settlement{Job: j.spec.ID, Clear: true, Ran: true}, true)
+	o.sendSettlement(a, claim.Settlement{Job: j.desc.ID, Clear: true, Ran: true}, true)
 	o.addHome(now, j, a)
 	o.claimsChanged(now, j)
 }
@@ -140,7 +140,7 @@
 	for _, h := range j.homes {
 		if h.rank > rank {
 			released = append(released, h.agent)
-			o.sendSettlement(h.agent, claim.Settlement{Job: j.spec.ID, Clear: !j.started(), Ran: j.mayHaveRun()}, true)
+			o.sendSettlement(h.agent, claim.Settlement{Job: j.desc.ID, Clear: !j.started(), Ran: j.mayHaveRun()}, true)
 		}
 	}
 	j.homes = slices.DeleteFunc(j.homes, func(h home) bool { return h.rank > rank })
@@ -160,8 +160,8 @@
 			}
 		}
 	}
-	if e := o.dropped[j.spec.ID]; e != nil {
-		e.homes, e.remoteWaiter = released, true
+	if d := o.dropped[j.desc.ID]; d != nil {
+		d.homes, d.remoteWaiter = released, true
 	}
 	j.orders = 0
 	j.queue.remove(j)
@@ -175,7 +175,7 @@
 		return
 	}
 	o.completeHomes(now, j)
-	if o.jobs[j.spec.ID] == j && j.startable() && j.index < 0 {
+	if o.jobs[j.desc.ID] == j && j.startable() && j.index < 0 {
 		j.queue.add(now, j)
 	}
 	if o.claimed(j) {
@@ -183,7 +183,7 @@
 			j.claimedAt = now
 			o.ObserveStage.Observe(stage.Claiming, now-j.arrived)
 		}
-		o.useHeldReservations(now, j.queue)
+		o.useKeptReservations(now, j.queue)
 		o.schedule(now, j.queue)
 	}
 }
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -238,10 +238,10 @@
 	for n := range 20 {
 		b.submit(jobOf(fmt.Sprint(n), 1))
 	}
-	heard := b.byName[0]
+	responsive := b.byName[0]
 	for range DefaultClaimTimeout/TickInterval + 2 {
 		b.now += TickInterval
-		b.Receive(b.now, heard.name, &peer.Frame{})
+		b.Receive(b.now, responsive.name, &peer.Frame{})
 		b.Tick(b.now)
 	}
 	assert.Assert(t, b.Isolated())
@@ -296,7 +296,7 @@
 	assert.Equal(t, b.Jobs(), 0)
 }
 
-func TestCancellationIsForwarded(t *testing.T) {
+func TestCancellationReachesOtherEntries(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	var answers []bool
 	cancel := func(id string) { b.CancelJob(b.now, id, func(known bool) { answers = append(answers, known) }) }
@@ -326,7 +326,7 @@
 }
 
 // Guards against the loss of a reservation that arrives before the claim is granted.
-func TestReservationIsHeldDuringClaim(t *testing.T) {
+func TestReservationIsKeptDuringClaim(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	for _, a := range b.byName {
 		b.beginWatch(b.now, a)
@@ -348,7 +348,7 @@
 
 	b.submit(jobOf("2", 1))
 	b.Receive(b.now, from.name, &peer.Frame{Reservation: &peer.Reservation{ID: 8, Room: room.Room}})
-	b.advance(reservationHoldTime + TickInterval)
+	b.advance(reservationKeepTime + TickInterval)
 	last := uint64(0)
 	for _, f := range b.frames[from.name] {
 		last = max(last, f.UsedReservation)
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -93,7 +93,7 @@
 	a.silentSince = 0
 	if f.Hello != nil {
 		a.level = f.Hello.Level
-		a.wasHome = a.level >= peer.LevelClaim
+		a.supportsClaims = a.level >= peer.LevelClaim
 	}
 	if f.Hello != nil || wasSilent {
 		o.claimJobsAt(now, a)
--- a/owner/suspect.go
+++ b/owner/crash.go
@@ -52,23 +52,23 @@
 // correlated crashes.
 func (a *agent) recordAccepting(now time.Duration, wasAccepting bool) {
 	if wasAccepting && !a.state.Accepting {
-		a.stoppedAt = now
+		a.stoppedAcceptingAt = now
 	}
 }
 
 // correlated reports whether many other targets stopped accepting work when this one crashed.
 func (o *Owner) correlated(c crash) bool {
-	connected, stopped := 0, 0
+	known, stopped := 0, 0
 	for _, a := range o.byName {
-		if !a.connected && a.stoppedAt == 0 {
+		if !a.connected && a.stoppedAcceptingAt == 0 {
 			continue
 		}
-		connected++
-		if a.stoppedAt > 0 && (a.stoppedAt-c.at).Abs() <= correlationWindow {
+		known++
+		if a.stoppedAcceptingAt > 0 && (a.stoppedAcceptingAt-c.at).Abs() <= correlationWindow {
 			stopped++
 		}
 	}
-	return stopped >= max(minCorrelated, int(correlatedShare*float64(connected)))
+	return stopped >= max(minCorrelated, int(correlatedShare*float64(known)))
 }
 
 // recordLoss records the end of a run whose target crashed or fell silent. It reports whether
@@ -114,10 +114,10 @@
 
 // recordCrash records that a target crashed during a run of t.
 func (o *Owner) recordCrash(now time.Duration, a *agent, j *job, ref task.Ref, t *taskState) {
-	t.crashes = append(t.crashes, crash{agent: a, at: a.stoppedAt, exclusive: slices.Contains(t.exclusiveRuns, ref.Run)})
+	t.crashes = append(t.crashes, crash{agent: a, at: a.stoppedAcceptingAt, exclusive: slices.Contains(t.exclusiveRuns, ref.Run)})
 	t.exclusiveUntil = now + exclusiveWaitTime
-	j.suspect = true
-	o.logSuspect(ref, t, a)
+	j.crashSuspect = true
+	o.logCrash(ref, t, a)
 }
 
 // runCrashed handles a late report that a lapsed run was active when its target crashed.
@@ -145,9 +145,9 @@
 	return count >= maxNonExclusiveCrashes || count >= maxCrashes && exclusive
 }
 
-// checkSuspects gives up j if one of its tasks crashes targets too often. It reports whether it
+// checkCrashes gives up j if one of its tasks crashes targets too often. It reports whether it
 // did.
-func (o *Owner) checkSuspects(now time.Duration, j *job) bool {
+func (o *Owner) checkCrashes(now time.Duration, j *job) bool {
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
 			if o.crashesTooOften(now, &j.steps[k].tasks[n]) {
@@ -164,9 +164,9 @@
 	return now < t.exclusiveUntil
 }
 
-// deferSuspect removes j from its queue if its next task waits for an empty target, so that it
+// deferCrashSuspect removes j from its queue if its next task waits for an empty target, so that it
 // does not block other jobs. It reports whether it did; requeueSuspects puts the job back.
-func (o *Owner) deferSuspect(now time.Duration, j *job) bool {
+func (o *Owner) deferCrashSuspect(now time.Duration, j *job) bool {
 	step, index, ok := j.nextTask()
 	if !ok || !o.claimed(j) || !j.steps[step].tasks[index].needsEmptyTarget(now) {
 		return false
@@ -175,10 +175,10 @@
 	return true
 }
 
-// requeueSuspects puts the jobs removed by deferSuspect back into their queues.
-func (o *Owner) requeueSuspects(now time.Duration) {
+// requeueCrashSuspects puts the jobs removed by deferSuspect back into their queues.
+func (o *Owner) requeueCrashSuspects(now time.Duration) {
 	for _, j := range o.sortedJobs() {
-		if j.suspect && j.index < 0 && j.startable() && !j.joined() {
+		if j.crashSuspect && j.index < 0 && j.startable() && !j.joined() {
 			j.queue.add(now, j)
 		}
 	}
--- a/owner/ending.go
+++ b/owner/dropped.go
@@ -28,26 +28,26 @@
 		return
 	}
 	a.droppedRuns[id] = run
-	e := o.dropped[id.Job]
-	if e == nil {
-		e = new(droppedJob)
-		o.dropped[id.Job] = e
+	d := o.dropped[id.Job]
+	if d == nil {
+		d = new(droppedJob)
+		o.dropped[id.Job] = d
 	}
-	e.pendingRuns++
+	d.pendingRuns++
 }
 
 // droppedRunEnded records the end of a run of a dropped job. After the last one, the homes are
 // informed, and the job is claimed again if it was resubmitted in the meantime.
 func (o *Owner) droppedRunEnded(now time.Duration, a *agent, id task.ID) {
 	delete(a.droppedRuns, id)
-	e := o.dropped[id.Job]
-	e.pendingRuns--
-	if e.pendingRuns > 0 {
+	d := o.dropped[id.Job]
+	d.pendingRuns--
+	if d.pendingRuns > 0 {
 		return
 	}
 	delete(o.dropped, id.Job)
-	for _, home := range e.homes {
-		o.sendSettlement(home, claim.Settlement{Job: id.Job, Clear: true, Ran: true, Losses: e.losses}, e.remoteWaiter)
+	for _, home := range d.homes {
+		o.sendSettlement(home, claim.Settlement{Job: id.Job, Clear: true, Ran: true, Losses: d.losses}, d.remoteWaiter)
 	}
 	if j := o.jobs[id.Job]; j != nil {
 		o.reclaim(now, j)
--- a/owner/estimates.go
+++ b/owner/estimates.go
@@ -13,21 +13,21 @@
 // target of the usual speed.
 
 // withEstimates returns the job with its callers' guesses replaced by estimates.
-func (o *Owner) withEstimates(spec task.Job, usualSpeed float64) task.Job {
-	e := o.estimator(spec.Queue)
-	steps := slices.Clone(spec.Steps)
+func (o *Owner) withEstimates(desc task.Job, usualSpeed float64) task.Job {
+	e := o.estimator(desc.Queue)
+	steps := slices.Clone(desc.Steps)
 	for k := range steps {
 		s := &steps[k]
 		s.Guess = s.Estimate
 		setEstimate(s, e, e.Likely(s.Guess), usualSpeed)
 	}
-	spec.Steps = steps
-	return spec
+	desc.Steps = steps
+	return desc
 }
 
 // setSpreads sets the expected estimation error of the steps of a new job.
 func (o *Owner) setSpreads(j *job) {
-	spread := o.estimator(j.spec.Queue).Spread()
+	spread := o.estimator(j.desc.Queue).Spread()
 	for k := range j.steps {
 		j.steps[k].spread = spread
 	}
@@ -54,15 +54,15 @@
 // the tasks that end first are the shortest.
 func (o *Owner) learn(j *job, step int, a *agent, took time.Duration) {
 	s := &j.steps[step]
-	e := o.estimator(j.spec.Queue)
+	e := o.estimator(j.desc.Queue)
 	s.durations = append(s.durations, time.Duration(float64(took)*a.speed()))
 	if len(s.durations) == 1 {
-		setEstimate(&j.spec.Steps[step], e, e.FromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
+		setEstimate(&j.desc.Steps[step], e, e.FromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
 		j.setObjectives()
 		s.spread = e.TaskSpread()
 	}
 	if len(s.durations) == len(s.tasks) {
-		e.Learn(j.spec.Steps[step].Guess, s.durations...)
+		e.Learn(j.desc.Steps[step].Guess, s.durations...)
 	}
 }
 
--- a/owner/estimates_test.go
+++ b/owner/estimates_test.go
@@ -57,6 +57,6 @@
 	}
 	o.learn(j, 0, o.agents["a"], 300*ms)
 	assert.Assert(t, j.objectiveAt > 5*before/2, j.objectiveAt)
-	assert.Assert(t, j.spec.Steps[0].Estimate > 310*ms && j.spec.Steps[0].Estimate < 400*ms, j.spec.Steps[0].Estimate)
+	assert.Assert(t, j.desc.Steps[0].Estimate > 310*ms && j.desc.Steps[0].Estimate < 400*ms, j.desc.Steps[0].Estimate)
 	assert.Equal(t, j.lateObjectiveAt, 3*j.objectiveAt)
 }
--- a/owner/evacuation.go
+++ b/owner/evacuation.go
@@ -71,10 +71,10 @@
 	if len(o.evacuations.Halls) == 0 || o.Partial || o.firstConnectedAt == 0 || now-o.firstConnectedAt < discoveryTime {
 		return false
 	}
-	for _, s := range j.spec.Steps {
+	for _, s := range j.desc.Steps {
 		evacuated := false
 		for _, a := range o.byName {
-			if !a.present(now) || a.profile.Service != j.spec.Service || s.Label != "" && !a.labels[s.Label] {
+			if !a.present(now) || a.profile.Service != j.desc.Service || s.Label != "" && !a.labels[s.Label] {
 				continue
 			}
 			evacuated = a.evacuated
--- a/owner/outage.go
+++ b/owner/hall_outage.go
@@ -72,17 +72,17 @@
 	if now-lastContactAt > maxContactAge {
 		o.lastNoContactAt = now
 	}
-	mayJudge := !o.isolated && now-o.lastLateTickAt >= o.ClaimTimeout && now-o.lastNoContactAt >= unresponsiveTime
+	maySuspect := !o.isolated && now-o.lastLateTickAt >= o.ClaimTimeout && now-o.lastNoContactAt >= unresponsiveTime
 	for _, hall := range slices.Sorted(maps.Keys(contacts)) {
 		h := contacts[hall]
-		suspected := o.suspected[hall]
+		suspected := o.suspectedHalls[hall]
 		switch {
 		case hall == "":
 		case suspected && h.responsive > 0:
-			delete(o.suspected, hall)
+			delete(o.suspectedHalls, hall)
 			o.logHallFound(hall)
-		case !suspected && mayJudge && h.shouldSuspect(now, lastContactAt):
-			o.suspected[hall] = true
+		case !suspected && maySuspect && h.shouldSuspect(now, lastContactAt):
+			o.suspectedHalls[hall] = true
 			o.stats.HallsSuspected++
 			o.logHallSuspected(hall, h)
 			o.handleSuspectedHall(now, hall)
@@ -119,12 +119,12 @@
 
 // hallSuspected reports whether a is in a suspected hall.
 func (o *Owner) hallSuspected(a *agent) bool {
-	return len(o.suspected) > 0 && o.suspected[a.profile.Hall]
+	return len(o.suspectedHalls) > 0 && o.suspectedHalls[a.profile.Hall]
 }
 
 // HallsSuspected returns the number of halls that are suspected to be lost.
 func (o *Owner) HallsSuspected() int {
-	return len(o.suspected)
+	return len(o.suspectedHalls)
 }
 
 // logHallSuspected logs that a hall is suspected to be lost, with the number of unresponsive
--- a/owner/outage_test.go
+++ b/owner/hall_outage_test.go
@@ -117,7 +117,7 @@
 
 // An entry that reaches its own hall must start jobs; one that reaches a few agents of each
 // must not.
-func TestPartitionIsNotIsolation(t *testing.T) {
+func TestEntryWithReachableHallIsNotIsolated(t *testing.T) {
 	for name, c := range map[string]struct {
 		responds func(k int) bool
 		isolated bool
--- a/owner/home.go
+++ b/owner/home.go
@@ -48,7 +48,7 @@
 
 // mayBeHome reports whether jobs may be claimed at a.
 func (a *agent) mayBeHome() bool {
-	return a.home && a.answers()
+	return a.eligibleHome && a.answers()
 }
 
 // homesExist reports whether an agent that supports claims is connected, silent or not.
@@ -115,7 +115,7 @@
 	if j.callerDeadline > 0 {
 		lifetime = max(time.Millisecond, j.callerDeadline-now)
 	}
-	a.out.Claims = append(a.out.Claims, claim.Claim{Job: j.spec.ID, Lasts: lifetime, Begun: j.started()})
+	a.out.Claims = append(a.out.Claims, claim.Claim{Job: j.desc.ID, Lasts: lifetime, Begun: j.started()})
 	o.markDirty(a)
 }
 
@@ -143,7 +143,7 @@
 			continue
 		}
 		j.homes = slices.Delete(j.homes, k, k+1)
-		o.sendSettlement(a, claim.Settlement{Job: j.spec.ID, Clear: true}, false)
+		o.sendSettlement(a, claim.Settlement{Job: j.desc.ID, Clear: true}, false)
 		if o.cancelIfAbandoned(now, j) {
 			continue
 		}
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -62,8 +62,8 @@
 	return r.known >= minUnresponsive && float64(r.missing) <= maxMissingShare*float64(r.known)
 }
 
-// partitioned reports whether at least one data hall is mostly reachable.
-func partitioned(halls map[string]reachability) bool {
+// anyHallReachable reports whether at least one data hall is mostly reachable.
+func anyHallReachable(halls map[string]reachability) bool {
 	for hall, r := range halls {
 		if hall != "" && r.mostlyReachable() {
 			return true
@@ -79,7 +79,7 @@
 	var all reachability
 	halls := make(map[string]reachability)
 	for _, a := range o.byName {
-		if !a.wasHome || now-a.lastFrameAt > isolationTime && !a.answers() {
+		if !a.supportsClaims || now-a.lastFrameAt > isolationTime && !a.answers() {
 			continue
 		}
 		all.add(!a.answers())
@@ -90,7 +90,7 @@
 	known, missing := all.known, all.missing
 	before := o.isolated
 	majorityMissing := 2*missing > known
-	o.partitioned = majorityMissing && partitioned(halls)
+	o.partitioned = majorityMissing && anyHallReachable(halls)
 	o.isolated = majorityMissing && !o.partitioned || now < o.isolatedUntil
 	if o.isolated == before {
 		return
@@ -121,8 +121,8 @@
 	var best *agent
 	var least claim.Rank
 	for _, a := range o.byName {
-		recent := a.answers() || a.wasHome && now-a.lastFrameAt <= isolationTime
-		if !a.home || !recent || other != nil && a.lastHall == other.lastHall {
+		recent := a.answers() || a.supportsClaims && now-a.lastFrameAt <= isolationTime
+		if !a.eligibleHome || !recent || other != nil && a.lastHall == other.lastHall {
 			continue
 		}
 		if rank := claim.RankOf(j.hash, a.hash); best == nil || rank < least {
--- a/owner/job.go
+++ b/owner/job.go
@@ -59,7 +59,7 @@
 
 // job is a job of this entry. Times are on the entry's clock.
 type job struct {
-	spec       task.Job
+	desc       task.Job
 	callers    map[uint64]func(Answer) // callers that wait for the answer
 	steps      []stepState
 	unfinished int // tasks that are not done
@@ -88,34 +88,34 @@
 	// before that.
 	firstOrder, lastOrder time.Duration
 	// orders counts the orders that may have reached a target.
-	orders    int
-	specAgent string   // the agent that last received the spec
-	failedAt  []string // agents at which a run of the job has failed
-	suspect   bool     // a target has crashed under a task of the job
+	orders       int
+	specAgent    string   // the agent that last received the spec
+	failedAt     []string // agents at which a run of the job has failed
+	crashSuspect bool     // a target has crashed under a task of the job
 
-	queue *queue // the queue of its service
-	index int    // in the queue's heap, -1 if not queued
+	queue *serviceQueue // the queue of its service
+	index int           // in the queue's heap, -1 if not queued
 	// rank orders the queue, lowest first, and depends on startSpan. Both date from the last
 	// call of rankAt.
 	rank, startSpan time.Duration
 }
 
 // newJob returns a job that arrived at now.
-func newJob(now time.Duration, spec task.Job) *job {
+func newJob(now time.Duration, desc task.Job) *job {
 	j := &job{
-		spec:       spec,
+		desc:       desc,
 		arrived:    now,
-		steps:      make([]stepState, len(spec.Steps)),
-		unfinished: spec.Tasks(),
+		steps:      make([]stepState, len(desc.Steps)),
+		unfinished: desc.Tasks(),
 		callers:    make(map[uint64]func(Answer)),
 		index:      -1,
-		hash:       claim.Hash(spec.ID),
+		hash:       claim.Hash(desc.ID),
 	}
 	j.setObjectives()
-	if spec.CallerTimeout > 0 {
-		j.callerDeadline = now + spec.CallerTimeout
+	if desc.CallerTimeout > 0 {
+		j.callerDeadline = now + desc.CallerTimeout
 	}
-	for k, s := range spec.Steps {
+	for k, s := range desc.Steps {
 		j.steps[k] = stepState{tasks: make([]taskState, s.Count), waiting: s.Count, unfinished: s.Count}
 	}
 	return j
@@ -123,8 +123,8 @@
 
 // setObjectives derives the objectives from the current estimates.
 func (j *job) setObjectives() {
-	j.objectiveAt = j.arrived + j.spec.Objective()
-	j.lateObjectiveAt = j.arrived + j.spec.LateObjective()
+	j.objectiveAt = j.arrived + j.desc.Objective()
+	j.lateObjectiveAt = j.arrived + j.desc.LateObjective()
 }
 
 // started reports whether a task of j may have been started on a target.
@@ -150,7 +150,7 @@
 
 // ready reports whether all dependencies of a step are done.
 func (j *job) ready(step int) bool {
-	for _, earlier := range j.spec.Steps[step].DependsOn {
+	for _, earlier := range j.desc.Steps[step].DependsOn {
 		if j.steps[earlier].unfinished > 0 {
 			return false
 		}
@@ -184,8 +184,8 @@
 	return 0, 0, false
 }
 
-// waitingTasks returns the number of tasks of j that can be started now.
-func (j *job) waitingTasks() int {
+// startableTasks returns the number of tasks of j that can be started now.
+func (j *job) startableTasks() int {
 	count := 0
 	for k := range j.steps {
 		if j.steps[k].waiting > 0 && j.ready(k) {
@@ -200,7 +200,7 @@
 	sum := 0.0
 	for k := range j.steps {
 		if j.steps[k].waiting > 0 && j.ready(k) {
-			sum += work(j.spec.Steps[k], j.steps[k].waiting)
+			sum += work(j.desc.Steps[k], j.steps[k].waiting)
 		}
 	}
 	return sum
@@ -210,7 +210,7 @@
 func (j *job) waitingWork() float64 {
 	sum := 0.0
 	for k := range j.steps {
-		sum += work(j.spec.Steps[k], j.steps[k].waiting)
+		sum += work(j.desc.Steps[k], j.steps[k].waiting)
 	}
 	return sum
 }
@@ -223,7 +223,7 @@
 // remaining returns the estimate of the longest chain of unfinished steps, on a target of the
 // usual speed.
 func (j *job) remaining() time.Duration {
-	return j.spec.ChainOf(func(step int) bool { return j.steps[step].unfinished > 0 })
+	return j.desc.ChainOf(func(step int) bool { return j.steps[step].unfinished > 0 })
 }
 
 // spread returns the spread of the first unfinished step.
--- a/owner/log.go
+++ b/owner/log.go
@@ -19,11 +19,11 @@
 	o.Log.LogAttrs(context.Background(), slog.LevelInfo, kind, attrs...)
 }
 
-// logRejectedJob logs that a job was refused before it was accepted.
-func (o *Owner) logRejectedJob(spec task.Job, why code.Code) {
+// logRefusedJob logs that a job was refused before it was accepted.
+func (o *Owner) logRefusedJob(desc task.Job, why code.Code) {
 	o.log(event.JobRefused,
-		slog.String("job", spec.ID),
-		slog.String("request", spec.Request),
+		slog.String("job", desc.ID),
+		slog.String("request", desc.Request),
 		slog.Int("jobs", len(o.jobs)),
 		slog.String("why", why.String()))
 }
@@ -31,14 +31,14 @@
 // logAccepted logs that a job was accepted. guess is the caller's guess for its longest chain.
 func (o *Owner) logAccepted(j *job, guess time.Duration) {
 	o.log(event.JobAccepted,
-		slog.String("job", j.spec.ID),
-		slog.String("request", j.spec.Request),
-		slog.String("queue", j.spec.Queue),
-		slog.Int("tasks", j.spec.Tasks()),
-		event.Milliseconds("objective_ms", j.spec.Objective()),
-		event.Milliseconds("chain_ms", j.spec.Chain()),
+		slog.String("job", j.desc.ID),
+		slog.String("request", j.desc.Request),
+		slog.String("queue", j.desc.Queue),
+		slog.Int("tasks", j.desc.Tasks()),
+		event.Milliseconds("objective_ms", j.desc.Objective()),
+		event.Milliseconds("chain_ms", j.desc.Chain()),
 		event.Milliseconds("guess_ms", guess),
-		event.Milliseconds("patience_ms", j.spec.CallerTimeout),
+		event.Milliseconds("patience_ms", j.desc.CallerTimeout),
 		slog.Int("waiting", len(j.queue.waiting)))
 }
 
@@ -77,21 +77,21 @@
 		slog.Int("tries", t.tries))
 }
 
-// logSuspect logs that a target crashed under a task.
-func (o *Owner) logSuspect(ref task.Ref, t *taskState, a *agent) {
+// logCrash logs that a target crashed under a task.
+func (o *Owner) logCrash(ref task.Ref, t *taskState, a *agent) {
 	o.log(event.TaskSuspect, slog.String("task", ref.Task.String()), slog.Int("run", ref.Run), slog.String("agent", a.name), slog.Int("crashes", len(t.crashes)))
 }
 
 // logAnswered logs the answer to a job.
 func (o *Owner) logAnswered(now time.Duration, j *job, a Answer) {
 	o.log(event.JobAnswered,
-		slog.String("job", j.spec.ID),
-		slog.String("queue", j.spec.Queue),
+		slog.String("job", j.desc.ID),
+		slog.String("queue", j.desc.Queue),
 		slog.Int("kind", int(a.Kind)),
 		slog.String("why", a.Why.String()),
 		slog.Bool("begun", j.started()),
 		event.Milliseconds("age_ms", now-j.arrived),
-		event.Milliseconds("objective_ms", j.spec.Objective()),
+		event.Milliseconds("objective_ms", j.desc.Objective()),
 		event.Milliseconds("retry_ms", a.Retry),
 		slog.Int("undone", j.unfinished))
 }
@@ -99,29 +99,29 @@
 // logCancelled logs that no caller waits for a job any more.
 func (o *Owner) logCancelled(now time.Duration, j *job) {
 	o.log(event.JobCancelled,
-		slog.String("job", j.spec.ID),
+		slog.String("job", j.desc.ID),
 		slog.Bool("begun", j.started()),
 		event.Milliseconds("age_ms", now-j.arrived))
 }
 
 // logJoined logs that another entry holds a job or has its answer, as reported by a home.
 func (o *Owner) logJoined(j *job, a *agent, how string) {
-	o.log(event.JobJoined, slog.String("job", j.spec.ID), slog.String("home", a.name), slog.String("state", how))
+	o.log(event.JobJoined, slog.String("job", j.desc.ID), slog.String("home", a.name), slog.String("state", how))
 }
 
-// logStopped logs how long the process was suspended.
-func (o *Owner) logStopped(now time.Duration) {
+// logSuspended logs how long the process was suspended.
+func (o *Owner) logSuspended(now time.Duration) {
 	o.log(event.EntryStopped, slog.Int64("stopped_ms", (now-o.lastTickAt).Milliseconds()), slog.Int("jobs", len(o.jobs)))
 }
 
 // logYielded logs that the runs of a job are stopped because another entry holds it.
 func (o *Owner) logYielded(now time.Duration, j *job) {
-	o.log(event.JobYielded, slog.String("job", j.spec.ID), event.Milliseconds("age_ms", now-j.arrived))
+	o.log(event.JobYielded, slog.String("job", j.desc.ID), event.Milliseconds("age_ms", now-j.arrived))
 }
 
 // logCancelPassed logs the result of a cancellation that was forwarded to the job's homes.
-func (o *Owner) logCancelPassed(id string, known bool, took time.Duration) {
-	o.log(event.JobCancelPassed, slog.String("job", id), slog.Bool("known", known), event.Milliseconds("took_ms", took))
+func (o *Owner) logCancelPassed(id string, cancelled bool, took time.Duration) {
+	o.log(event.JobCancelPassed, slog.String("job", id), slog.Bool("known", cancelled), event.Milliseconds("took_ms", took))
 }
 
 // logIsolation logs that this entry became isolated or is no longer isolated.
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -105,8 +105,8 @@
 	// Random returns a random number in [0, n).
 	Random func(n int) int
 
-	jobs   map[string]*job   // by id
-	queues map[string]*queue // by service
+	jobs   map[string]*job          // by id
+	queues map[string]*serviceQueue // by service
 
 	agents  map[string]*agent // by name; only Release deletes
 	byName  []*agent          // the same agents, sorted by name
@@ -117,10 +117,10 @@
 
 	estimators map[string]*estimate.Estimator // by configured queue
 
-	dropped      map[string]*droppedJob // by id: dropped jobs with runs that have not ended
-	lookups      map[string]*lookup     // by id: pending cancellations of jobs that this entry does not own
-	shuttingDown bool                   // the process is about to exit
-	suspected    map[string]bool        // data halls that are suspected to be lost
+	dropped        map[string]*droppedJob // by id: dropped jobs with runs that have not ended
+	lookups        map[string]*lookup     // by id: pending cancellations of jobs that this entry does not own
+	shuttingDown   bool                   // the process is about to exit
+	suspectedHalls map[string]bool        // data halls that are suspected to be lost
 	// missingLabel records that a job requires a label which no connected agent has.
 	missingLabel bool
 	// lastNoContactAt is the last time at which no agent had been heard from for maxContactAge.
@@ -134,8 +134,8 @@
 	isolatedUntil time.Duration
 	// lastTickAt is the time of the last tick, lastLateTickAt that of the last late one.
 	lastTickAt, lastLateTickAt time.Duration
-	// stoppedUntil is when the process last resumed after a suspension.
-	stoppedUntil time.Duration
+	// resumedAt is when the process last resumed after a suspension.
+	resumedAt time.Duration
 
 	link uplink
 
@@ -167,20 +167,20 @@
 // NewOwner returns an owner without jobs or agents.
 func NewOwner(log *slog.Logger) *Owner {
 	return &Owner{
-		Log:          log,
-		FarFactor:    1,
-		Random:       rand.IntN,
-		ClearTime:    ClearTime,
-		jobs:         make(map[string]*job),
-		queues:       make(map[string]*queue),
-		agents:       make(map[string]*agent),
-		estimators:   make(map[string]*estimate.Estimator),
-		dropped:      make(map[string]*droppedJob),
-		lookups:      make(map[string]*lookup),
-		suspected:    make(map[string]bool),
-		Homes:        DefaultHomes,
-		ClaimTimeout: DefaultClaimTimeout,
-		AwaitEndings: true,
+		Log:            log,
+		FarFactor:      1,
+		Random:         rand.IntN,
+		ClearTime:      ClearTime,
+		jobs:           make(map[string]*job),
+		queues:         make(map[string]*serviceQueue),
+		agents:         make(map[string]*agent),
+		estimators:     make(map[string]*estimate.Estimator),
+		dropped:        make(map[string]*droppedJob),
+		lookups:        make(map[string]*lookup),
+		suspectedHalls: make(map[string]bool),
+		Homes:          DefaultHomes,
+		ClaimTimeout:   DefaultClaimTimeout,
+		AwaitEndings:   true,
 	}
 }
 
@@ -205,10 +205,10 @@
 }
 
 // queue returns the queue of a service and creates it if necessary.
-func (o *Owner) queue(service string) *queue {
+func (o *Owner) queue(service string) *serviceQueue {
 	q := o.queues[service]
 	if q == nil {
-		q = &queue{service: service, usualSpeed: o.usualSpeed(service)}
+		q = &serviceQueue{service: service, usualSpeed: o.usualSpeed(service)}
 		o.queues[service] = q
 	}
 	return q
@@ -216,7 +216,7 @@
 
 // requeue puts j back into its queue if j is still owned and has a task to start.
 func (o *Owner) requeue(now time.Duration, j *job) {
-	if o.jobs[j.spec.ID] == j && j.startable() {
+	if o.jobs[j.desc.ID] == j && j.startable() {
 		j.queue.add(now, j)
 	}
 }
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -229,9 +229,9 @@
 	b := newHarness(t, "a", "b")
 	b.reportState("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
-	waiter := b.submit(j)
+	caller := b.submit(j)
 	b.Disconnected(b.now, b.now, "a")
-	b.Cancel(b.now, "1", waiter)
+	b.Cancel(b.now, "1", caller)
 	b.advance(500 * ms)
 	j.ObjectiveFactor = 100
 	b.submit(j)
@@ -242,8 +242,8 @@
 
 func TestRunsStopWhenCallerDisconnects(t *testing.T) {
 	b := newHarness(t, "a")
-	waiter := b.submit(jobOf("1", 2))
-	b.Cancel(b.now, "1", waiter)
+	caller := b.submit(jobOf("1", 2))
+	b.Cancel(b.now, "1", caller)
 	var stops []task.Ref
 	for _, f := range b.frames["a"] {
 		stops = append(stops, f.Stops...)
@@ -344,7 +344,7 @@
 	}
 }
 
-func TestStagesAndCausesAreReported(t *testing.T) {
+func TestAnsweredJobReportsStagesAndCause(t *testing.T) {
 	b := newHarness(t, "a")
 	took := make(map[stage.Stage][]time.Duration)
 	var causes []code.Code
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -60,24 +60,24 @@
 // should be reserved first, because no watched agent has room or its room may be taken before
 // the order arrives.
 func (o *Owner) chooseAgent(now time.Duration, j *job, step, index int) *agent {
-	s := j.spec.Steps[step]
+	s := j.desc.Steps[step]
 	t := &j.steps[step].tasks[index]
 	var best *agent
 	var least float64
-	uncertain := false
+	reservationMayHelp := false
 	for _, a := range o.watched {
-		if !a.usable(now, j.spec.Service) || !t.needs(now, s, a).Fits(a.freeRoom()) || !o.allowed(now, j, step, t, a) {
+		if !a.usable(now, j.desc.Service) || !t.needs(now, s, a).Fits(a.freeRoom()) || !o.allowed(now, j, step, t, a) {
 			continue
 		}
 		if !a.roomCertain() || a.level >= peer.LevelWatch && a.far(s) {
-			uncertain = true // a reservation may find room, or a target nearer to the data
+			reservationMayHelp = true // a reservation may find room, or a target nearer to the data
 			continue
 		}
 		if cost := a.candidate(s).cost(s, o.FarFactor); best == nil || cost < least {
 			best, least = a, cost
 		}
 	}
-	if best != nil && best.state.Health == peer.Ejected && uncertain {
+	if best != nil && best.state.Health == peer.Ejected && reservationMayHelp {
 		return nil
 	}
 	return best
@@ -109,7 +109,7 @@
 // allowed reports whether the task may run at a: no backoff applies, the target has the
 // required label, and the step's limit of tasks per target is not reached.
 func (o *Owner) allowed(now time.Duration, j *job, step int, t *taskState, a *agent) bool {
-	s := j.spec.Steps[step]
+	s := j.desc.Steps[step]
 	if t.avoid == a.name && now < t.avoidUntil {
 		return false
 	}
@@ -133,19 +133,19 @@
 
 // schedule starts the waiting tasks of a queue for which there is room, and requests room for
 // the rest.
-func (o *Owner) schedule(now time.Duration, q *queue) {
-	q.trackBacklog(now)
+func (o *Owner) schedule(now time.Duration, q *serviceQueue) {
+	q.updateNonEmptySince(now)
 	for {
 		j := q.peek(now)
 		if j == nil {
 			return
 		}
-		if !o.startTasks(now, j) && !o.deferSuspect(now, j) {
+		if !o.startTasks(now, j) && !o.deferCrashSuspect(now, j) {
 			break
 		}
 		q.remove(j)
 	}
-	q.trackBacklog(now)
+	q.updateNonEmptySince(now)
 	o.requestRoom(now, q)
 }
 
@@ -186,23 +186,23 @@
 	if t.needsEmptyTarget(now) {
 		t.exclusiveRuns = append(t.exclusiveRuns, t.run)
 	}
-	id := task.ID{Job: j.spec.ID, Step: step, Index: index}
+	id := task.ID{Job: j.desc.ID, Step: step, Index: index}
 	a.tasks[id] = j
 	a.usedAt = now
 	a.out.Starts = append(a.out.Starts, o.order(now, j, id, t.run, a))
 	o.markDirty(a)
-	a.pending = append(a.pending, pendingOrder{needs: t.needs(now, j.spec.Steps[step], a)}) // flush sets the sequence number
+	a.pending = append(a.pending, pendingOrder{needs: t.needs(now, j.desc.Steps[step], a)}) // flush sets the sequence number
 	o.stats.Starts++
 	o.logPlaced(now, j, id, t, a)
 }
 
 // order returns the order for a run of a task at a.
 func (o *Owner) order(now time.Duration, j *job, id task.ID, run int, a *agent) task.Order {
-	s := j.spec.Steps[id.Step]
+	s := j.desc.Steps[id.Step]
 	order := task.Order{
 		Task:            id,
 		Run:             run,
-		Spec:            j.spec.Spec,
+		Spec:            j.desc.Spec,
 		Needs:           j.find(id).needs(now, s, a),
 		Estimate:        s.Estimate,
 		Guess:           s.Guess,
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -7,19 +7,19 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// queue holds the jobs of one service that have tasks to start, ordered by rank.
-type queue struct {
+// serviceQueue holds the jobs of one service that have tasks to start, ordered by rank.
+type serviceQueue struct {
 	service string
 	waiting jobHeap
 	// workRate is the rate at which targets accept this entry's work during a backlog, in
 	// core-seconds per second, as of the last tick. lastWorkRate is its last value above zero.
 	workRate, lastWorkRate float64
-	// retries spreads the retries of refused callers.
-	retries retrySchedule
+	// resubmissions spreads the resubmissions of refused callers.
+	resubmissions resubmissionSchedule
 	// usualSpeed is the median speed of the service's targets as of the last tick.
 	usualSpeed float64
-	// backlogSince is when the queue last became non-empty, zero while it is empty.
-	backlogSince time.Duration
+	// nonEmptySince is when the queue last became non-empty, zero while it is empty.
+	nonEmptySince time.Duration
 }
 
 // minBacklogTime is how long jobs must wait before the queue counts as backlogged. Shorter
@@ -27,13 +27,13 @@
 const minBacklogTime = 120 * time.Millisecond
 
 // backlogged reports whether jobs have been waiting for at least minBacklogTime.
-func (q *queue) backlogged(now time.Duration) bool {
-	return q.backlogSince > 0 && now-q.backlogSince >= minBacklogTime
+func (q *serviceQueue) backlogged(now time.Duration) bool {
+	return q.nonEmptySince > 0 && now-q.nonEmptySince >= minBacklogTime
 }
 
 // startSpan returns the time from the first to the last start of the given number of tasks with
 // the given total work in core-seconds. It is zero without a backlog.
-func (q *queue) startSpan(now time.Duration, tasks int, work float64) time.Duration {
+func (q *serviceQueue) startSpan(now time.Duration, tasks int, work float64) time.Duration {
 	if tasks < 2 || q.workRate <= 0 || !q.backlogged(now) {
 		return 0
 	}
@@ -41,30 +41,30 @@
 	return time.Duration(work / q.workRate * float64(time.Second))
 }
 
-func (q *queue) setWorkRate(rate float64) {
+func (q *serviceQueue) setWorkRate(rate float64) {
 	q.workRate = rate
 	q.recordWorkRate(rate)
 }
 
 // recordWorkRate stores a rate above zero for retry-after times.
-func (q *queue) recordWorkRate(rate float64) {
+func (q *serviceQueue) recordWorkRate(rate float64) {
 	if rate > 0 {
 		q.lastWorkRate = rate
 	}
 }
 
-// trackBacklog updates backlogSince.
-func (q *queue) trackBacklog(now time.Duration) {
+// updateNonEmptySince updates backlogSince.
+func (q *serviceQueue) updateNonEmptySince(now time.Duration) {
 	switch {
 	case len(q.waiting) == 0:
-		q.backlogSince = 0
-	case q.backlogSince == 0:
-		q.backlogSince = now
+		q.nonEmptySince = 0
+	case q.nonEmptySince == 0:
+		q.nonEmptySince = now
 	}
 }
 
 // add inserts j into the queue or updates its position.
-func (q *queue) add(now time.Duration, j *job) {
+func (q *serviceQueue) add(now time.Duration, j *job) {
 	j.rank = j.rankAt(now)
 	if j.index >= 0 {
 		heap.Fix(&q.waiting, j.index)
@@ -74,12 +74,12 @@
 }
 
 // reorder restores the heap after ranks have changed.
-func (q *queue) reorder() {
+func (q *serviceQueue) reorder() {
 	heap.Init(&q.waiting)
 }
 
 // remove removes j from the queue if it is there.
-func (q *queue) remove(j *job) {
+func (q *serviceQueue) remove(j *job) {
 	if j.index >= 0 {
 		heap.Remove(&q.waiting, j.index)
 	}
@@ -88,7 +88,7 @@
 // peek returns the job of the lowest rank, or nil. Ranks mostly grow with time, so the top job
 // is ranked again until it stays on top. A job whose rank has fallen keeps its position until
 // refuseBacklogged ranks all jobs.
-func (q *queue) peek(now time.Duration) *job {
+func (q *serviceQueue) peek(now time.Duration) *job {
 	for len(q.waiting) > 0 {
 		j := q.waiting[0]
 		if rank := j.rankAt(now); rank > j.rank {
@@ -101,11 +101,11 @@
 	return nil
 }
 
-// waitingTasks returns the number of waiting tasks, up to limit.
-func (q *queue) waitingTasks(limit int) int {
+// startableTasks returns the number of waiting tasks, up to limit.
+func (q *serviceQueue) startableTasks(limit int) int {
 	count := 0
 	for _, j := range q.waiting {
-		count += j.waitingTasks()
+		count += j.startableTasks()
 		if count >= limit {
 			return limit
 		}
@@ -115,26 +115,26 @@
 
 // firstJobCPU returns the CPU that the waiting tasks of the first job need, in thousandths of a
 // core.
-func (q *queue) firstJobCPU() int {
+func (q *serviceQueue) firstJobCPU() int {
 	if len(q.waiting) == 0 {
 		return 0
 	}
 	j := q.waiting[0]
 	sum := 0
 	for k := range j.steps {
-		sum += j.steps[k].waiting * j.spec.Steps[k].Needs.CPU
+		sum += j.steps[k].waiting * j.desc.Steps[k].Needs.CPU
 	}
 	return sum
 }
 
 // demand returns the room that the waiting tasks need. It stops counting once every resource
 // has reached the bound.
-func (q *queue) demand(bound task.Needs) task.Needs {
+func (q *serviceQueue) demand(bound task.Needs) task.Needs {
 	var sum task.Needs
 	for _, j := range q.waiting {
 		for k := range j.steps {
 			s := &j.steps[k]
-			needs := j.spec.Steps[k].Needs
+			needs := j.desc.Steps[k].Needs
 			for range s.waiting {
 				sum = sum.Plus(needs)
 			}
--- a/owner/order.go
+++ b/owner/rank.go
@@ -26,8 +26,8 @@
 // exceeds all other components of a rank.
 const lateRankOffset = time.Hour
 
-// urgency holds the inputs of a job's rank in its queue. Times are on the entry's clock.
-type urgency struct {
+// rankInputs holds the inputs of a job's rank in its queue. Times are on the entry's clock.
+type rankInputs struct {
 	now                          time.Duration
 	objectiveAt, lateObjectiveAt time.Duration
 	// remaining is the estimate of the longest chain of unfinished steps.
@@ -43,20 +43,20 @@
 
 // latestStart returns the latest time at which the rest of the job should start to meet its
 // objective.
-func (u urgency) latestStart() time.Duration {
+func (u rankInputs) latestStart() time.Duration {
 	margin := math.Exp(marginDeviations * u.spread)
 	return u.objectiveAt - time.Duration(margin*float64(u.remaining)) - u.startSpan
 }
 
 // latestLateStart returns the latest time at which the rest of the job should start to meet its
 // late objective.
-func (u urgency) latestLateStart() time.Duration {
+func (u rankInputs) latestLateStart() time.Duration {
 	return u.latestStart() + u.lateObjectiveAt - u.objectiveAt
 }
 
 // rank returns the sort key of the job: the lowest rank is served first. It is the adjusted
 // latest start time, or a key above all of these if the job can no longer meet its objective.
-func (u urgency) rank() time.Duration {
+func (u rankInputs) rank() time.Duration {
 	var shift time.Duration
 	if u.priority > 0 {
 		shift += lowerPriorityDelay + time.Duration(u.priority)*priorityDelay
@@ -70,25 +70,25 @@
 	return lateRankOffset + u.lateObjectiveAt - u.remaining + shift
 }
 
-// urgency returns the inputs of j's rank at now. The span of its starts dates from the last
+// rankInputs returns the inputs of j's rank at now. The span of its starts dates from the last
 // call of rankAt.
-func (j *job) urgency(now time.Duration) urgency {
-	return urgency{
+func (j *job) rankInputs(now time.Duration) rankInputs {
+	return rankInputs{
 		now:             now,
 		objectiveAt:     j.objectiveAt,
 		lateObjectiveAt: j.lateObjectiveAt,
 		remaining:       j.remaining(),
 		spread:          j.spread(),
 		startSpan:       j.startSpan,
-		priority:        j.spec.Priority,
+		priority:        j.desc.Priority,
 		started:         j.started(),
 	}
 }
 
 // rankAt returns j's rank at now and updates the span of its starts.
 func (j *job) rankAt(now time.Duration) time.Duration {
-	j.startSpan = j.queue.startSpan(now, j.waitingTasks(), j.startableWork())
-	return j.urgency(now).rank()
+	j.startSpan = j.queue.startSpan(now, j.startableTasks(), j.startableWork())
+	return j.rankInputs(now).rank()
 }
 
 // missesObjective reports whether j could no longer meet its objective when it was last ranked.
--- a/owner/rate.go
+++ b/owner/rate.go
@@ -10,7 +10,7 @@
 // during a backlog, in core-seconds per second: their total capacity at their speeds, times
 // this entry's share of the room in use. The first waiting job counts as running. Ejected
 // targets don't count.
-func (o *Owner) workRate(now time.Duration, q *queue) float64 {
+func (o *Owner) workRate(now time.Duration, q *serviceQueue) float64 {
 	capacity := 0.0
 	firstJob := q.firstJobCPU()
 	used, own := firstJob, firstJob
@@ -21,7 +21,7 @@
 		capacity += a.profile.Capacity.Cores() * a.speed()
 		used += a.profile.Capacity.CPU - a.freeRoom().CPU
 		for id, j := range a.tasks {
-			own += j.spec.Steps[id.Step].Needs.CPU
+			own += j.desc.Steps[id.Step].Needs.CPU
 		}
 	}
 	if used <= 0 {
--- a/owner/rate_test.go
+++ b/owner/rate_test.go
@@ -12,7 +12,7 @@
 
 // The work rate is the capacity of the targets, 16 cores each, times this entry's share of the
 // room in use.
-func TestWorkRate(t *testing.T) {
+func TestWorkRateExcludesRoomOfOthers(t *testing.T) {
 	state := func(o *Owner, agent string, freeCPU int, health peer.Health) {
 		o.Receive(0, agent, &peer.Frame{State: &peer.State{
 			Profile: &peer.Profile{Service: "s", Capacity: task.Needs{CPU: 16000}},
@@ -55,13 +55,13 @@
 	assert.Equal(t, o.workRate(0, o.queue("s")), 16*4.0/20)
 }
 
-// TestStartSpan checks the time between the first and the last start of a job's tasks.
-func TestStartSpan(t *testing.T) {
-	q := &queue{workRate: 10, backlogSince: time.Second}
+// TestStartSpanIsZeroWithoutBacklog checks the time between the first and the last start of a job's tasks.
+func TestStartSpanIsZeroWithoutBacklog(t *testing.T) {
+	q := &serviceQueue{workRate: 10, nonEmptySince: time.Second}
 	now := time.Second + minBacklogTime
 	assert.Equal(t, q.startSpan(now, 4, 2), 150*ms)
 	assert.Equal(t, q.startSpan(now, 1, 2), time.Duration(0))
 	assert.Equal(t, q.startSpan(now-ms, 4, 2), time.Duration(0), "wait below minBacklogTime")
-	q.backlogSince = 0
+	q.nonEmptySince = 0
 	assert.Equal(t, q.startSpan(now, 4, 2), time.Duration(0), "no job waits")
 }
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -45,9 +45,9 @@
 	// remaining is the estimate of the longest chain of unfinished steps. It is used for jobs
 	// that are not started.
 	remaining time.Duration
-	// waiting reports whether the job has tasks that can be started now. It is used for started
+	// hasStartable reports whether the job has tasks that can be started now. It is used for started
 	// jobs.
-	waiting bool
+	hasStartable bool
 }
 
 // refusalCause returns code.OK if the job should go on, and otherwise the cause for which it is
@@ -76,7 +76,7 @@
 // allowance returns the maximum time that a started job may take.
 func (p deadlineState) allowance() time.Duration {
 	factor := runningLateFactor
-	if p.waiting {
+	if p.hasStartable {
 		factor = waitingLateFactor
 	}
 	return time.Duration(factor * float64(p.lateObjectiveAt-p.arrived))
@@ -89,8 +89,8 @@
 	untilLatestStart time.Duration
 	// wait is how long the jobs ahead will take at the current work rate of the queue.
 	wait time.Duration
-	// untilLatestLate is the time left until the job must start to meet its late objective.
-	untilLatestLate time.Duration
+	// untilLatestLateStart is the time left until the job must start to meet its late objective.
+	untilLatestLateStart time.Duration
 	// missesObjective reports whether the job can no longer meet its objective, earlierJobMeets
 	// whether a job ahead of it still can.
 	missesObjective, earlierJobMeets bool
@@ -116,7 +116,7 @@
 	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) || p.waited > time.Duration(maxRefusalShare*float64(p.objective)) {
 		return false
 	}
-	return p.wait > p.untilLatestLate
+	return p.wait > p.untilLatestLateStart
 }
 
 // checkDeadlines refuses or gives up j if it can't be done in time, and otherwise stops its
@@ -130,7 +130,7 @@
 		started:         j.mayHaveRun(),
 	}
 	if p.started {
-		p.waiting = j.startable()
+		p.hasStartable = j.startable()
 	} else {
 		p.remaining = j.remaining()
 	}
@@ -138,7 +138,7 @@
 		o.giveUp(now, j, why)
 		return
 	}
-	if j.suspect && o.checkSuspects(now, j) {
+	if j.crashSuspect && o.checkCrashes(now, j) {
 		return
 	}
 	for k := range j.steps {
@@ -150,8 +150,8 @@
 
 // refuseBacklogged refuses the waiting jobs of a queue that the jobs ahead leave no time. It
 // refuses none while no target accepts work.
-func (o *Owner) refuseBacklogged(now time.Duration, q *queue) {
-	q.trackBacklog(now)
+func (o *Owner) refuseBacklogged(now time.Duration, q *serviceQueue) {
+	q.updateNonEmptySince(now)
 	if len(q.waiting) == 0 {
 		return
 	}
@@ -188,13 +188,13 @@
 // position returns the position of j behind jobs that take the given time.
 func (j *job) position(now, wait time.Duration, earlierJobMeets bool) queuePosition {
 	return queuePosition{
-		waited:           now - j.arrived,
-		objective:        j.spec.Objective(),
-		untilLatestStart: j.urgency(now).latestStart() - now,
-		untilLatestLate:  j.urgency(now).latestLateStart() - now,
-		wait:             wait,
-		missesObjective:  j.missesObjective(),
-		earlierJobMeets:  earlierJobMeets,
+		waited:               now - j.arrived,
+		objective:            j.desc.Objective(),
+		untilLatestStart:     j.rankInputs(now).latestStart() - now,
+		untilLatestLateStart: j.rankInputs(now).latestLateStart() - now,
+		wait:                 wait,
+		missesObjective:      j.missesObjective(),
+		earlierJobMeets:      earlierJobMeets,
 	}
 }
 
--- a/owner/release.go
+++ b/owner/release.go
@@ -22,8 +22,8 @@
 			return false
 		}
 	}
-	for _, e := range o.dropped {
-		if slices.Contains(e.homes, a) {
+	for _, d := range o.dropped {
+		if slices.Contains(d.homes, a) {
 			return false
 		}
 	}
@@ -52,7 +52,7 @@
 
 // refreshRoles queries IsHome and IsOwn for one agent.
 func (o *Owner) refreshRoles(a *agent) {
-	a.home = o.IsHome == nil || o.IsHome(a.name)
+	a.eligibleHome = o.IsHome == nil || o.IsHome(a.name)
 	a.own = o.IsOwn == nil || o.IsOwn(a.name)
 }
 
@@ -78,7 +78,7 @@
 	if !o.Partial {
 		return
 	}
-	for _, s := range j.spec.Steps {
+	for _, s := range j.desc.Steps {
 		for _, label := range []string{s.Label, s.Rack} {
 			if label != "" && !slices.ContainsFunc(o.byName, func(a *agent) bool { return a.connected && a.labels[label] }) {
 				o.missingLabel = true
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -26,7 +26,7 @@
 // requestRoom asks agents to reserve room for the first job of a queue: a few for each waiting
 // task, and more over time. Agents with a pending request are informed when a more urgent job
 // waits.
-func (o *Owner) requestRoom(now time.Duration, q *queue) {
+func (o *Owner) requestRoom(now time.Duration, q *serviceQueue) {
 	j := q.peek(now)
 	if j == nil {
 		return
@@ -52,13 +52,13 @@
 }
 
 // requestLimit returns the maximum number of agents with a pending request.
-func (o *Owner) requestLimit(now time.Duration, q *queue) int {
+func (o *Owner) requestLimit(now time.Duration, q *serviceQueue) int {
 	perTask := requestsPerTask
 	if o.linkBusy(now) {
 		perTask = 1
 	}
 	interval := max(requestInterval, requestIntervalFactor*o.link.transmitTime(frameBytes))
-	return perTask*q.waitingTasks(len(o.byName)) + int((now-q.backlogSince)/interval)
+	return perTask*q.startableTasks(len(o.byName)) + int((now-q.nonEmptySince)/interval)
 }
 
 // requestCandidates returns up to count agents to ask for room for a task, those near its data
@@ -70,20 +70,20 @@
 		return !a.roomRequested && a.state.Health != peer.Ejected && o.allowed(now, j, step, &j.steps[step].tasks[index], a)
 	}
 	for _, a := range o.watched {
-		if a.level < peer.LevelWatch && a.usable(now, j.spec.Service) && eligible(a) {
+		if a.level < peer.LevelWatch && a.usable(now, j.desc.Service) && eligible(a) {
 			legacy = append(legacy, a)
 		}
 	}
-	s := j.spec.Steps[step]
+	s := j.desc.Steps[step]
 	near := func(a *agent) bool { return eligible(a) && !a.far(s) }
-	list := o.withRoom(now, j.spec.Service, s, near, count)
-	list = append(list, o.unwatchedAgents(j.spec.Service, near, count-len(list))...)
+	list := o.withRoom(now, j.desc.Service, s, near, count)
+	list = append(list, o.unwatchedAgents(j.desc.Service, near, count-len(list))...)
 	if s.Rack != "" {
 		far := func(a *agent) bool { return eligible(a) && a.far(s) }
-		list = append(list, o.withRoom(now, j.spec.Service, s, far, count-len(list))...)
-		list = append(list, o.unwatchedAgents(j.spec.Service, far, count-len(list))...)
+		list = append(list, o.withRoom(now, j.desc.Service, s, far, count-len(list))...)
+		list = append(list, o.unwatchedAgents(j.desc.Service, far, count-len(list))...)
 	}
-	list = append(list, o.withoutRoom(now, j.spec.Service, s, eligible, count-len(list))...)
+	list = append(list, o.withoutRoom(now, j.desc.Service, s, eligible, count-len(list))...)
 	return append(list, legacy...)
 }
 
@@ -132,14 +132,14 @@
 
 // addRoomRequest adds a request for room to the next frame, with the needs of the step's tasks
 // and the total demand of the queue.
-func (o *Owner) addRoomRequest(now time.Duration, q *queue, a *agent, j *job, step int) {
+func (o *Owner) addRoomRequest(now time.Duration, q *serviceQueue, a *agent, j *job, step int) {
 	a.roomRequested = true
 	a.requestRank = j.rank
 	a.usedAt = now
 	o.markDirty(a)
 	a.out.RoomRequest = &peer.RoomRequest{
 		Slack: j.rank - now,
-		Needs: j.spec.Steps[step].Needs,
+		Needs: j.desc.Steps[step].Needs,
 		Total: q.demand(a.profile.Capacity),
 	}
 }
@@ -172,7 +172,7 @@
 			q.remove(j)
 			continue
 		}
-		needs := j.spec.Steps[step].Needs
+		needs := j.desc.Steps[step].Needs
 		if !needs.Fits(room) {
 			o.addRoomRequest(now, q, a, j, step)
 			return
@@ -183,12 +183,12 @@
 }
 
 // hasPendingClaims reports whether a job of the queue has pending claims.
-func (o *Owner) hasPendingClaims(q *queue) bool {
+func (o *Owner) hasPendingClaims(q *serviceQueue) bool {
 	return slices.ContainsFunc(q.waiting, func(j *job) bool { return !o.claimed(j) })
 }
 
-// useHeldReservations uses the kept reservations after a job of the queue was claimed.
-func (o *Owner) useHeldReservations(now time.Duration, q *queue) {
+// useKeptReservations uses the kept reservations after a job of the queue was claimed.
+func (o *Owner) useKeptReservations(now time.Duration, q *serviceQueue) {
 	for _, a := range o.watched {
 		if a.reserved != nil && a.profile.Service == q.service {
 			o.useReservation(now, a, a.reserved)
@@ -196,10 +196,10 @@
 	}
 }
 
-// releaseHeldReservations returns the reservations kept for longer than reservationHoldTime.
-func (o *Owner) releaseHeldReservations(now time.Duration) {
+// releaseKeptReservations returns the reservations kept for longer than reservationHoldTime.
+func (o *Owner) releaseKeptReservations(now time.Duration) {
 	for _, a := range o.watched {
-		if a.reserved != nil && now-a.reservedAt >= reservationHoldTime {
+		if a.reserved != nil && now-a.reservedAt >= reservationKeepTime {
 			a.out.UsedReservation = a.reserved.ID
 			a.reserved = nil
 			a.roomRequested = false
@@ -210,36 +210,36 @@
 
 // nextJobFor returns the job of the queue to start at a, or nil: the most urgent job, unless
 // its next task may not run there or is far from its data, and another claimed job fits better.
-func (o *Owner) nextJobFor(now time.Duration, q *queue, a *agent) *job {
+func (o *Owner) nextJobFor(now time.Duration, q *serviceQueue, a *agent) *job {
 	first := q.peek(now)
 	if first == nil || o.claimed(first) && o.fit(now, first, a) == fitsLocal {
 		return first
 	}
 	var best *job
 	for _, j := range q.waiting {
-		fit := o.fit(now, j, a)
-		if fit == noFit || !o.claimed(j) {
+		rating := o.fit(now, j, a)
+		if rating == noFit || !o.claimed(j) {
 			continue
 		}
-		if best == nil || fit > o.fit(now, best, a) || fit == o.fit(now, best, a) && j.rank < best.rank {
+		if best == nil || rating > o.fit(now, best, a) || rating == o.fit(now, best, a) && j.rank < best.rank {
 			best = j
 		}
 	}
 	return best
 }
 
-// fit rates whether the next task of a job may run at an agent, and whether its data is there.
-type fit uint8
+// fitRating rates whether the next task of a job may run at an agent, and whether its data is there.
+type fitRating uint8
 
 const (
-	noFit fit = iota
+	noFit fitRating = iota
 	fitsRemote
 	fitsLocal
 )
 
 // fit rates how well the next task of j fits a. A job without a next task fits, so that the
 // caller removes it from the queue.
-func (o *Owner) fit(now time.Duration, j *job, a *agent) fit {
+func (o *Owner) fit(now time.Duration, j *job, a *agent) fitRating {
 	step, index, ok := j.nextTask()
 	switch {
 	case !ok:
@@ -248,7 +248,7 @@
 		return noFit // a reservation does not cover an entire target
 	case !o.allowed(now, j, step, &j.steps[step].tasks[index], a):
 		return noFit
-	case a.far(j.spec.Steps[step]):
+	case a.far(j.desc.Steps[step]):
 		return fitsRemote
 	}
 	return fitsLocal
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -65,9 +65,9 @@
 	if t.phase != placed || t.stopSent || a == nil || !a.connected {
 		return
 	}
-	if runOverdue(now-t.sentAt, j.spec.Steps[step].Estimate, a.speed(), j.steps[step].spread, t.overdueStops) {
+	if runOverdue(now-t.sentAt, j.desc.Steps[step].Estimate, a.speed(), j.steps[step].spread, t.overdueStops) {
 		t.overdueStops++
-		o.stopRun(now, a, task.ID{Job: j.spec.ID, Step: step, Index: index}, t, code.RunMovedOverdue)
+		o.stopRun(now, a, task.ID{Job: j.desc.ID, Step: step, Index: index}, t, code.RunMovedOverdue)
 	}
 }
 
@@ -78,14 +78,14 @@
 		return
 	}
 	t.stopSent = true
-	t.keepAway(a, now+failureBackoff)
+	t.avoidAgent(a, now+failureBackoff)
 	o.stop(a, task.Ref{Task: id, Run: t.run})
 	o.stats.Moved++
 	o.logMoved(now, id, t, a, why)
 }
 
-// keepAway excludes a for the task until the given time.
-func (t *taskState) keepAway(a *agent, until time.Duration) {
+// avoidAgent excludes a for the task until the given time.
+func (t *taskState) avoidAgent(a *agent, until time.Duration) {
 	t.avoid = a.name
 	t.avoidUntil = until
 }
@@ -115,14 +115,14 @@
 		return
 	case task.EndFailed:
 		j.recordFailure(now, a, t, e.TargetFault)
-		if attemptsUsedUp(t.failures, t.taskFailures, j.spec.Attempts) {
+		if attemptsUsedUp(t.failures, t.taskFailures, j.desc.Attempts) {
 			o.answer(now, j, Answer{Kind: Failed, Why: code.JobAttempts})
 			return
 		}
 	case task.EndRejected:
 		o.recordRejection(now, a, j, t, e.Reason)
 	default:
-		t.keepAway(a, now+rejectionBackoff)
+		t.avoidAgent(a, now+rejectionBackoff)
 	}
 	j.setPhase(id.Step, id.Index, waiting)
 	if e.End != task.EndRejected && o.recordLoss(now, a, j, id, t, e.Reason) {
@@ -147,7 +147,7 @@
 
 // recordFailure records a failed run.
 func (j *job) recordFailure(now time.Duration, a *agent, t *taskState, targetFault bool) {
-	t.keepAway(a, now+failureBackoff)
+	t.avoidAgent(a, now+failureBackoff)
 	t.failures++
 	if !targetFault {
 		t.taskFailures++
@@ -164,7 +164,7 @@
 	if neverReachedTarget(why) {
 		j.orders--
 	} else {
-		t.keepAway(a, now+rejectionBackoff)
+		t.avoidAgent(a, now+rejectionBackoff)
 	}
 	if why == code.RunSpecUnknown {
 		a.specs = peer.Specs{} // the next order includes the spec
--- a/owner/comeback.go
+++ b/owner/retry_after.go
@@ -6,8 +6,8 @@
 // retries use a small share of the targets' room. Callers that all returned at once would be
 // refused again. Retries of the most urgent priority come first.
 const (
-	// retryShare is the share of the work rate that retried jobs may use.
-	retryShare = 0.2
+	// resubmissionShare is the share of the work rate that retried jobs may use.
+	resubmissionShare = 0.2
 	// minRetryAfter and maxRetryAfter bound the retry-after time: an earlier retry would meet
 	// the same backlog, and by a later one the load may long have dropped.
 	minRetryAfter = 500 * time.Millisecond
@@ -17,15 +17,15 @@
 	RetryAfter = time.Second
 )
 
-// retrySchedule holds the times, on the entry's clock, up to which retries are assigned: those
+// resubmissionSchedule holds the times, on the entry's clock, up to which retries are assigned: those
 // of the most urgent priority, and all.
-type retrySchedule struct {
+type resubmissionSchedule struct {
 	urgentUntil, until time.Duration
 }
 
 // next assigns a retry to a job of the given work, in core-seconds, and returns the time until
 // then. rate is the work per second that retries may bring.
-func (r *retrySchedule) next(now time.Duration, work, rate float64, urgent bool) time.Duration {
+func (r *resubmissionSchedule) next(now time.Duration, work, rate float64, urgent bool) time.Duration {
 	if rate <= 0 {
 		return RetryAfter
 	}
@@ -42,5 +42,5 @@
 
 // retryAfter returns when j's caller should submit it again.
 func (o *Owner) retryAfter(now time.Duration, j *job) time.Duration {
-	return j.queue.retries.next(now, j.spec.Work(), retryShare*j.queue.lastWorkRate, j.spec.Priority == 0)
+	return j.queue.resubmissions.next(now, j.desc.Work(), resubmissionShare*j.queue.lastWorkRate, j.desc.Priority == 0)
 }
--- a/owner/comeback_test.go
+++ b/owner/retry_after_test.go
@@ -12,9 +12,9 @@
 
 // Targets accept 2 core-seconds of retried work a second, and each job has one, so retries are
 // 500 ms apart.
-func TestRetriesAreSpread(t *testing.T) {
+func TestResubmissionsAreSpread(t *testing.T) {
 	const rate, work = 2.0, 1.0
-	var r retrySchedule
+	var r resubmissionSchedule
 	now := time.Minute
 	for _, want := range []time.Duration{500 * ms, time.Second, 1500 * ms} {
 		assert.Equal(t, r.next(now, work, rate, false), want)
@@ -25,14 +25,14 @@
 	assert.Equal(t, r.next(now+time.Minute, work, rate, false), minRetryAfter, "old assignments expired")
 	assert.Equal(t, r.next(now, work, 0, false), RetryAfter, "no target accepts work")
 
-	r = retrySchedule{}
+	r = resubmissionSchedule{}
 	for range 100 {
 		assert.Assert(t, r.next(now, work, rate, false) <= maxRetryAfter)
 	}
 }
 
 // Guards against a retry-after time without load data while no target accepts work.
-func TestLastWorkRateOutlivesTargets(t *testing.T) {
+func TestLastWorkRateIsKeptWithoutTargets(t *testing.T) {
 	o := newTestOwner()
 	q := o.queue("s")
 	assert.Equal(t, q.lastWorkRate, 0.0)
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -11,7 +11,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-func TestAdmission(t *testing.T) {
+func TestJobBeyondLimitsIsNotAdmitted(t *testing.T) {
 	assert.Equal(t, admit(0, 0), code.OK)
 	assert.Equal(t, admit(maxJobs-1, maxLinkDelay), code.OK)
 	assert.Equal(t, admit(maxJobs, 0), code.QueueFull)
@@ -21,7 +21,7 @@
 // Under MostServed, a job that can still be late must not be refused, nor one that has waited
 // for a quarter of its objective.
 func TestMostServedRefusesOnlyHopelessJobsEarly(t *testing.T) {
-	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms, untilLatestLate: 900 * ms}
+	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms, untilLatestLateStart: 900 * ms}
 	with := func(change func(*queuePosition)) queuePosition {
 		p := usual
 		change(&p)
@@ -44,12 +44,12 @@
 	}
 }
 
-// TestRankOrder checks which of two jobs is served first. The default job has 200 ms of work
+// TestMoreUrgentJobRanksFirst checks which of two jobs is served first. The default job has 200 ms of work
 // left, a margin factor of 1.2, and its objective in 500 ms, so its latest start is in 260 ms.
-func TestRankOrder(t *testing.T) {
-	usual := urgency{now: time.Second, objectiveAt: 1500 * ms, lateObjectiveAt: 2500 * ms, remaining: 200 * ms,
+func TestMoreUrgentJobRanksFirst(t *testing.T) {
+	usual := rankInputs{now: time.Second, objectiveAt: 1500 * ms, lateObjectiveAt: 2500 * ms, remaining: 200 * ms,
 		spread: math.Log(1.2) / marginDeviations}
-	with := func(change func(*urgency)) urgency {
+	with := func(change func(*rankInputs)) rankInputs {
 		u := usual
 		change(&u)
 		return u
@@ -57,25 +57,25 @@
 	assert.Equal(t, usual.latestStart().Round(ms), 1260*ms)
 	for _, c := range []struct {
 		name          string
-		first, second urgency
+		first, second rankInputs
 	}{
-		{"less time left", with(func(u *urgency) { u.objectiveAt -= 10 * ms }), usual},
-		{"more work left", with(func(u *urgency) { u.remaining += 10 * ms }), usual},
-		{"larger estimation error", with(func(u *urgency) { u.spread *= 2 }), usual},
-		{"longer start span", with(func(u *urgency) { u.startSpan = 10 * ms }), usual},
-		{"most urgent priority", usual, with(func(u *urgency) { u.priority, u.objectiveAt = 1, u.objectiveAt-20*ms })},
-		{"next priority", with(func(u *urgency) { u.priority = 1 }), with(func(u *urgency) { u.priority = 2 })},
-		{"started job", with(func(u *urgency) { u.started, u.objectiveAt = true, u.objectiveAt+30*ms }), usual},
-		{"can meet its objective", with(func(u *urgency) { u.objectiveAt += time.Minute }), with(func(u *urgency) { u.objectiveAt = u.now })},
-		{"late jobs: earlier late objective", with(func(u *urgency) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+600*ms }),
-			with(func(u *urgency) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+700*ms })},
+		{"less time left", with(func(u *rankInputs) { u.objectiveAt -= 10 * ms }), usual},
+		{"more work left", with(func(u *rankInputs) { u.remaining += 10 * ms }), usual},
+		{"larger estimation error", with(func(u *rankInputs) { u.spread *= 2 }), usual},
+		{"longer start span", with(func(u *rankInputs) { u.startSpan = 10 * ms }), usual},
+		{"most urgent priority", usual, with(func(u *rankInputs) { u.priority, u.objectiveAt = 1, u.objectiveAt-20*ms })},
+		{"next priority", with(func(u *rankInputs) { u.priority = 1 }), with(func(u *rankInputs) { u.priority = 2 })},
+		{"started job", with(func(u *rankInputs) { u.started, u.objectiveAt = true, u.objectiveAt+30*ms }), usual},
+		{"can meet its objective", with(func(u *rankInputs) { u.objectiveAt += time.Minute }), with(func(u *rankInputs) { u.objectiveAt = u.now })},
+		{"late jobs: earlier late objective", with(func(u *rankInputs) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+600*ms }),
+			with(func(u *rankInputs) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+700*ms })},
 	} {
 		assert.Assert(t, c.first.rank() < c.second.rank(), c.name)
 	}
 }
 
-// TestCandidateCost checks which of two targets a task of 100 ms is placed on.
-func TestCandidateCost(t *testing.T) {
+// TestBetterTargetCostsLess checks which of two targets a task of 100 ms is placed on.
+func TestBetterTargetCostsLess(t *testing.T) {
 	s := task.Step{Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}
 	usual := candidate{speed: 1, capacity: task.Needs{CPU: 16000}, free: task.Needs{CPU: 16000}}
 	with := func(change func(*candidate)) candidate {
@@ -100,7 +100,7 @@
 
 // The default job arrived at 1 s, has a late objective of 1 s, 300 ms of work left and no
 // caller deadline.
-func TestDeadlineRefusalCause(t *testing.T) {
+func TestOnlyHopelessJobsAreEnded(t *testing.T) {
 	usual := deadlineState{arrived: time.Second, lateObjectiveAt: 2 * time.Second, remaining: 300 * ms}
 	for _, c := range []struct {
 		name   string
@@ -115,8 +115,8 @@
 		{"caller deadline after the end", 1090 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.OK},
 		{"started, before the answer margin", 1279 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.OK},
 		{"started, at the answer margin", 1280 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerLeaves},
-		{"started, tasks wait, at the limit", 2200 * ms, func(p *deadlineState) { p.started, p.waiting = true, true }, code.OK},
-		{"started, tasks wait, past the limit", 2201 * ms, func(p *deadlineState) { p.started, p.waiting = true, true }, code.JobTooLate},
+		{"started, tasks wait, at the limit", 2200 * ms, func(p *deadlineState) { p.started, p.hasStartable = true, true }, code.OK},
+		{"started, tasks wait, past the limit", 2201 * ms, func(p *deadlineState) { p.started, p.hasStartable = true, true }, code.JobTooLate},
 		{"started, all tasks run, at the limit", 2600 * ms, func(p *deadlineState) { p.started = true }, code.OK},
 		{"started, all tasks run, past the limit", 2601 * ms, func(p *deadlineState) { p.started = true }, code.JobTooLate},
 	} {
@@ -129,8 +129,8 @@
 	}
 }
 
-// TestRefusalInBacklog checks when a waiting job is refused because of the jobs ahead.
-func TestRefusalInBacklog(t *testing.T) {
+// TestOnlyDelayedJobsAreRefusedInBacklog checks when a waiting job is refused because of the jobs ahead.
+func TestOnlyDelayedJobsAreRefusedInBacklog(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		place queuePosition
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestOverdueAndAttemptLimits(t *testing.T) {
+func TestRunsEndOnlyBeyondOverdueAndAttemptLimits(t *testing.T) {
 	assert.Assert(t, !runOverdue(350*ms, 100*ms, 1, 0.15, 0))
 	assert.Assert(t, runOverdue(351*ms, 100*ms, 1, 0.15, 0))
 	assert.Assert(t, !runOverdue(600*ms, 100*ms, 0.5, 0.15, 0), "a slow target gets more time")
@@ -163,11 +163,11 @@
 }
 
 // Guards against tasks of a blocked step that make the job more urgent by its start span.
-func TestDependentTasksDoNotCountAsWaiting(t *testing.T) {
+func TestDependentTasksDoNotCountAsStartable(t *testing.T) {
 	j := newJob(0, task.Job{Steps: []task.Step{{Count: 2}, {Count: 5, DependsOn: []int{0}}}})
-	assert.Equal(t, j.waitingTasks(), 2)
+	assert.Equal(t, j.startableTasks(), 2)
 	for n := range 2 {
 		j.setPhase(0, n, done)
 	}
-	assert.Equal(t, j.waitingTasks(), 5)
+	assert.Equal(t, j.startableTasks(), 5)
 }
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -35,22 +35,22 @@
 // Refusals are sent at once unless the link is busy, since the caller may soon submit the job
 // again.
 func (o *Owner) settle(now time.Duration, j *job, a Answer) {
-	s := claim.Settlement{Job: j.spec.ID, Outcome: outcomeOf(a.Kind), Why: a.Why, Retry: a.Retry}
+	s := claim.Settlement{Job: j.desc.ID, Outcome: outcomeOf(a.Kind), Why: a.Why, Retry: a.Retry}
 	s.Ran = s.Outcome == claim.None && j.mayHaveRun()
 	s.Losses = j.losses()
-	e := o.dropped[j.spec.ID]
-	s.Clear = e == nil
+	d := o.dropped[j.desc.ID]
+	s.Clear = d == nil
 	for _, h := range j.homes {
-		if e != nil && !slices.Contains(e.homes, h.agent) {
-			e.homes = append(e.homes, h.agent)
+		if d != nil && !slices.Contains(d.homes, h.agent) {
+			d.homes = append(d.homes, h.agent)
 		}
 		if s.Clear || s.Outcome != claim.None {
 			o.sendSettlement(h.agent, s, j.hasRemoteWaiter() || j.earlierRun || a.Kind == Refused && !o.linkBusy(now))
 		}
 	}
-	if e != nil {
-		e.remoteWaiter = e.remoteWaiter || j.hasRemoteWaiter()
-		e.losses = s.Losses
+	if d != nil {
+		d.remoteWaiter = d.remoteWaiter || j.hasRemoteWaiter()
+		d.losses = s.Losses
 	}
 }
 
--- a/owner/spec.go
+++ b/owner/spec.go
@@ -24,8 +24,8 @@
 type uplink struct {
 	rate   float64       // bytes per second; zero if unknown, and then taken as unlimited
 	freeAt time.Duration // when everything sent so far has left
-	// retries spreads the retries of callers refused for lack of bandwidth.
-	retries retrySchedule
+	// resubmissions spreads the resubmissions of callers refused for lack of bandwidth.
+	resubmissions resubmissionSchedule
 }
 
 // add records that bytes were sent.
@@ -58,32 +58,32 @@
 
 // linkDelay returns the time until the link has sent the orders of the waiting jobs and of a
 // new one.
-func (o *Owner) linkDelay(now time.Duration, spec task.Job) time.Duration {
+func (o *Owner) linkDelay(now time.Duration, desc task.Job) time.Duration {
 	if o.link.rate <= 0 {
 		return 0
 	}
 	bytes := 0
-	for _, j := range o.queue(spec.Service).waiting {
-		spec := len(j.spec.Spec)
+	for _, j := range o.queue(desc.Service).waiting {
+		specBytes := len(j.desc.Spec)
 		if j.started() {
-			spec = 0 // already sent
+			specBytes = 0 // already sent
 		}
-		bytes += jobBytes(j.waitingTasks(), spec)
+		bytes += jobBytes(j.startableTasks(), specBytes)
 	}
 	return o.link.delay(now, bytes)
 }
 
 // jobBytes returns the approximate number of bytes sent for a job: its claim and settlement,
 // its spec, and an order and a room request for each task.
-func jobBytes(tasks, spec int) int {
-	return spec + 2*frameBytes + tasks*(orderBytes+2*frameBytes)
+func jobBytes(tasks, specBytes int) int {
+	return specBytes + 2*frameBytes + tasks*(orderBytes+2*frameBytes)
 }
 
 // retryAfter returns when the caller of a job that was refused for lack of bandwidth should
 // submit it again.
-func (u *uplink) retryAfter(now time.Duration, spec task.Job) time.Duration {
-	jobSize := float64(jobBytes(spec.Tasks(), len(spec.Spec)))
-	return u.retries.next(now, jobSize, retryShare*u.rate, spec.Priority == 0)
+func (u *uplink) retryAfter(now time.Duration, desc task.Job) time.Duration {
+	jobSize := float64(jobBytes(desc.Tasks(), len(desc.Spec)))
+	return u.resubmissions.next(now, jobSize, resubmissionShare*u.rate, desc.Priority == 0)
 }
 
 // SetLink sets the rate of the host's link in megabits per second; zero means unknown.
@@ -121,7 +121,7 @@
 	if from == nil || !from.connected || from.level < peer.LevelRelay || a.level < peer.LevelRelay {
 		return ""
 	}
-	if _, kept := from.specs.Find(j.spec.ID); !kept || o.link.delay(now, len(j.spec.Spec)) < relayTime {
+	if _, kept := from.specs.Find(j.desc.ID); !kept || o.link.delay(now, len(j.desc.Spec)) < relayTime {
 		return ""
 	}
 	return o.Addr(from.name)
--- a/owner/stopped.go
+++ b/owner/suspension.go
@@ -11,25 +11,25 @@
 // resumes, it has read none of this.
 
 const (
-	// minStopTime is the minimum delay of a tick for the process to count as suspended: by then
+	// minSuspensionTime is the minimum delay of a tick for the process to count as suspended: by then
 	// the agents that it uses have closed its connections.
-	minStopTime = peer.Silence
-	// postStopIsolationTime is how long the process counts as isolated after it resumes, while
+	minSuspensionTime = peer.Silence
+	// resumeIsolationTime is how long the process counts as isolated after it resumes, while
 	// it reconnects to all agents. Homes chosen before that could differ from those of other
 	// entries.
-	postStopIsolationTime = 300 * time.Millisecond
+	resumeIsolationTime = 300 * time.Millisecond
 )
 
-// checkStopped detects a suspension, before any other decision of the tick, and resets the
+// checkSuspension detects a suspension, before any other decision of the tick, and resets the
 // state: all connections are closed and all jobs claimed again. Orders sent after the process
 // resumed and before this tick carry no fresh lease (node.Entry.send), so agents reject them.
-func (o *Owner) checkStopped(now time.Duration) {
-	if o.lastTickAt == 0 || now-o.lastTickAt < minStopTime || o.TrustStopped {
+func (o *Owner) checkSuspension(now time.Duration) {
+	if o.lastTickAt == 0 || now-o.lastTickAt < minSuspensionTime || o.TrustStopped {
 		return
 	}
-	o.logStopped(now)
-	o.stoppedUntil = now
-	o.isolatedUntil = now + postStopIsolationTime
+	o.logSuspended(now)
+	o.resumedAt = now
+	o.isolatedUntil = now + resumeIsolationTime
 	o.isolated = true
 	for _, j := range o.sortedJobs() {
 		j.homes = nil
@@ -37,13 +37,13 @@
 	}
 }
 
-// predatesStop reports whether the connection to a was made before the last suspension.
-func (o *Owner) predatesStop(a *agent) bool {
-	return a.connectedAt < o.stoppedUntil
+// predatesSuspension reports whether the connection to a was made before the last suspension.
+func (o *Owner) predatesSuspension(a *agent) bool {
+	return a.connectedAt < o.resumedAt
 }
 
 // Rejoining reports whether the process resumed within postStopIsolationTime. Connections from
 // before the suspension are then closed even if nothing was read from them since.
 func (o *Owner) Rejoining(now time.Duration) bool {
-	return o.stoppedUntil > 0 && now-o.stoppedUntil < postStopIsolationTime
+	return o.resumedAt > 0 && now-o.resumedAt < resumeIsolationTime
 }
--- a/owner/stopped_test.go
+++ b/owner/suspension_test.go
@@ -11,13 +11,13 @@
 
 // Homes may have granted the jobs to other entries during a suspension, so nothing may start
 // before the jobs are claimed again.
-func TestStoppedEntryReclaimsJobs(t *testing.T) {
+func TestSuspendedEntryReclaimsJobs(t *testing.T) {
 	b := newClaimHarness(t, 4)
 	j := jobOf("0123456789abcdef", 1)
 	j.Steps[0].Estimate = 4 * time.Second
 	b.submit(j)
 	assert.Equal(t, len(b.homesOf(j.ID)), 2)
-	b.now += minStopTime
+	b.now += minSuspensionTime
 	b.Tick(b.now)
 	assert.Assert(t, b.Isolated())
 	assert.Assert(t, b.Rejoining(b.now))
@@ -35,7 +35,7 @@
 	}
 	b.grantAll(j.ID)
 	assert.Equal(t, len(b.allStarts()), starts, "no start before isolation ends")
-	b.advance(postStopIsolationTime)
+	b.advance(resumeIsolationTime)
 	assert.Assert(t, !b.Isolated())
 	b.grantAll(j.ID)
 	for _, a := range b.byName {
@@ -45,7 +45,7 @@
 }
 
 // Guards against a reset on a host whose CPU quota pauses it for about 100 ms.
-func TestLateTickIsNotAStop(t *testing.T) {
+func TestLateTickIsNotASuspension(t *testing.T) {
 	b := newClaimHarness(t, 4)
 	b.submit(jobOf("0123456789abcdef", 1))
 	b.now += 100 * time.Millisecond
--- a/owner/tick.go
+++ b/owner/tick.go
@@ -13,7 +13,7 @@
 // refuses jobs and starts waiting tasks. It should be called every TickInterval.
 func (o *Owner) Tick(now time.Duration) {
 	defer o.flush(now)
-	o.checkStopped(now)
+	o.checkSuspension(now)
 	for _, a := range o.byName {
 		if !a.connected && a.clearAt > 0 && now >= a.clearAt {
 			o.clearAgent(now, a)
@@ -24,12 +24,12 @@
 	o.checkContested(now)
 	o.checkHalls(now)
 	o.checkLookups(now)
-	o.releaseHeldReservations(now)
+	o.releaseKeptReservations(now)
 	for _, j := range o.sortedJobs() {
 		o.checkDeadlines(now, j)
 	}
 	o.refuseEvacuated(now)
-	o.requeueSuspects(now)
+	o.requeueCrashSuspects(now)
 	for _, q := range o.sortedQueues() {
 		q.usualSpeed = o.usualSpeed(q.service)
 		q.setWorkRate(o.workRate(now, q))
@@ -41,11 +41,11 @@
 }
 
 // sortedQueues returns the queues by service, in a deterministic order.
-func (o *Owner) sortedQueues() []*queue {
-	return slices.SortedFunc(maps.Values(o.queues), func(a, b *queue) int { return strings.Compare(a.service, b.service) })
+func (o *Owner) sortedQueues() []*serviceQueue {
+	return slices.SortedFunc(maps.Values(o.queues), func(a, b *serviceQueue) int { return strings.Compare(a.service, b.service) })
 }
 
 // sortedJobs returns the jobs by id, in a deterministic order.
 func (o *Owner) sortedJobs() []*job {
-	return slices.SortedFunc(maps.Values(o.jobs), func(a, b *job) int { return strings.Compare(a.spec.ID, b.spec.ID) })
+	return slices.SortedFunc(maps.Values(o.jobs), func(a, b *job) int { return strings.Compare(a.desc.ID, b.desc.ID) })
 }
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -166,7 +166,7 @@
 	if a == nil || !a.connected {
 		return false
 	}
-	if o.predatesStop(a) || o.hallSuspected(a) && a.unresponsive(now) {
+	if o.predatesSuspension(a) || o.hallSuspected(a) && a.unresponsive(now) {
 		return true
 	}
 	if a.silentSince > 0 && len(a.tasks) == 0 {
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -105,9 +105,9 @@
 func TestSilentConnectionTimesOut(t *testing.T) {
 	b := newWatchHarness(t, 1)
 	const name = "side-000"
-	heard := b.now
-	assert.Assert(t, !b.SilentTooLong(heard+peer.IdleSilence, name))
-	assert.Assert(t, b.SilentTooLong(heard+peer.IdleSilence+1, name))
+	lastFrameAt := b.now
+	assert.Assert(t, !b.SilentTooLong(lastFrameAt+peer.IdleSilence, name))
+	assert.Assert(t, b.SilentTooLong(lastFrameAt+peer.IdleSilence+1, name))
 	b.now += time.Second
 	b.submit(jobOf("j", 1))
 	assert.Assert(t, !b.SilentTooLong(b.now+peer.Silence, name))
