--- a/owner/agent.go
+++ b/owner/agent.go
@@ -10,7 +10,7 @@
 )
 
 // maxStateAge is the maximum age of an agent's last frame at which it still gets work. Agents
-// send a frame at least every 110 ms.
+// in use send a frame at least every peer.HeartbeatInterval.
 const maxStateAge = 300 * time.Millisecond
 
 // minSpeed is the lower bound of a target's speed, which is zero until the first report.
@@ -26,8 +26,8 @@
 	connectedAt time.Duration
 	sentAt      time.Duration // when the last frame was sent to it
 
-	// watching reports whether this entry watches the target, watchedSince since when. usedAt
-	// is when an order or a room request was last sent.
+	// watching reports whether this entry watches the agent, watchedSince since when. usedAt is
+	// when the watch began, or when an order or a room request was last sent.
 	watching             bool
 	watchedSince, usedAt time.Duration
 	specs                peer.Specs // specs that the agent has stored
@@ -54,13 +54,13 @@
 	silentSince time.Duration
 	// lastHall is the data hall of its target as last reported on any connection.
 	lastHall string
-	// eligibleHome reports whether jobs may be claimed there.
+	// eligibleHome reports whether jobs may be claimed there, by IsHome.
 	eligibleHome bool
-	// own reports whether this entry prefers the agent. Other agents are used once no own agent
-	// is left.
+	// own reports whether this entry prefers the agent, by IsOwn. Other agents are watched only
+	// if no own agent is left.
 	own bool
-	// supportsClaims reports whether jobs could be claimed there on the current or an earlier
-	// connection.
+	// supportsClaims reports whether its last Hello, on this or an earlier connection, had at
+	// least peer.LevelClaim.
 	supportsClaims bool
 	// stoppedAcceptingAt is when the target last stopped accepting work.
 	stoppedAcceptingAt time.Duration
@@ -86,7 +86,7 @@
 	needs task.Needs
 }
 
-// speed returns the target's speed; 1 is the usual speed.
+// speed returns the target's speed relative to the reference speed 1, at least minSpeed.
 func (a *agent) speed() float64 {
 	return max(a.state.Speed, minSpeed)
 }
@@ -110,7 +110,7 @@
 	return a.takesWork() && a.state.Cleared && a.profile.Service == service
 }
 
-// takesWork reports whether the agent accepts any work, as far as is known.
+// takesWork reports whether the agent accepts work of any service, as far as is known.
 func (a *agent) takesWork() bool {
 	return a.connected && a.state.Accepting && !a.evacuated && a.silentSince == 0
 }
--- a/owner/answer.go
+++ b/owner/answer.go
@@ -17,9 +17,10 @@
 const (
 	// Completed means that every task succeeded.
 	Completed Kind = iota + 1
-	// Failed means that a task has used up the attempts of its queue.
+	// Failed means that a task has used up the attempts of its queue or crashes targets.
 	Failed
-	// GivenUp means that the job can't be done in time and tasks of it may have been started.
+	// GivenUp means that the job was ended before its tasks were done, and that tasks of it may
+	// have been started.
 	GivenUp
 	// Refused means that no task of the job was or will be started.
 	Refused
@@ -83,7 +84,7 @@
 	o.settle(now, j, a)
 }
 
-// detachRuns stops the runs of j.
+// detachRuns detaches the tasks of j from their agents and stops their runs.
 func (o *Owner) detachRuns(j *job) {
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
@@ -92,8 +93,8 @@
 	}
 }
 
-// detachRun detaches a task from its agent, orders its run to stop and records it as dropped. The
-// run of a lost agent may continue until the agent is clear.
+// detachRun detaches a task from its agent, orders its run to stop and records the run as
+// dropped. A run at a lost agent may continue until the agent is clear.
 func (o *Owner) detachRun(id task.ID, t *taskState) {
 	a := o.agents[t.agent]
 	if a == nil {
--- a/owner/callers.go
+++ b/owner/callers.go
@@ -7,9 +7,9 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Interface for callers: submission and cancellation of jobs.
+// Submission of jobs, and callers that no longer wait.
 
-// WaitingJobs returns the number of jobs of a queue with no started task.
+// WaitingJobs returns the number of jobs of a configured queue with no started task.
 func (o *Owner) WaitingJobs(queue string) int {
 	count := 0
 	for _, j := range o.jobs {
@@ -44,7 +44,7 @@
 	return o.callers
 }
 
-// refuseNewJob refuses a job before anything is allocated for it.
+// refuseNewJob refuses a job before it is stored.
 func (o *Owner) refuseNewJob(now time.Duration, desc task.Job, why code.Code, answer func(Answer)) {
 	o.stats.Refused++
 	o.logRefusedJob(desc, why)
@@ -73,7 +73,8 @@
 	return j
 }
 
-// Cancel removes one caller from a job. A job without callers is stopped without an answer.
+// Cancel removes one caller from a job. If no caller is left, the job is stopped without an
+// answer, unless another entry waits for it.
 func (o *Owner) Cancel(now time.Duration, id string, caller uint64) {
 	defer o.flush(now)
 	j := o.jobs[id]
--- a/owner/cancel.go
+++ b/owner/cancel.go
@@ -12,7 +12,7 @@
 // Cancellation of jobs by callers, for jobs of this entry and of others.
 
 const (
-	// cancelTimeout is how long the homes of a job may take to report whether they know it.
+	// cancelTimeout is how long the homes of a job may take to reply to a cancellation.
 	cancelTimeout = 100 * time.Millisecond
 )
 
@@ -20,13 +20,15 @@
 type lookup struct {
 	since   time.Duration
 	homes   int // homes that have not replied
-	answers []func(known bool)
+	answers []func(cancelled bool)
 }
 
-// CancelJob cancels a job and answers all callers that wait for it. answer is called once,
-// possibly before CancelJob returns, with whether the job was known here or at its homes, which
-// forward the cancellation to the entry that holds it.
-func (o *Owner) CancelJob(now time.Duration, id string, answer func(known bool)) {
+// CancelJob cancels a job and answers all callers that wait for it. If this entry does not own
+// the job, its homes forward the cancellation to the entry that holds it. answer is called once,
+// possibly before CancelJob returns: with true if the job was owned here, its cancellation was
+// forwarded or it was already answered as cancelled, and with false otherwise, also if the homes
+// have not replied within cancelTimeout.
+func (o *Owner) CancelJob(now time.Duration, id string, answer func(cancelled bool)) {
 	defer o.flush(now)
 	if j := o.jobs[id]; j != nil {
 		o.answer(now, j, Answer{Kind: Cancelled, Why: code.JobCancelled})
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -22,10 +22,11 @@
 	reservationKeepTime = 20 * time.Millisecond
 )
 
-// claimed reports whether the claims of j permit its tasks to start: every home has granted the
-// claim, and no run of an earlier submission is left. A job without homes may start unclaimed
-// only if no connected agent supports claims. New jobs wait while this entry is isolated, or
-// partitioned without a shared home, because other entries may choose other homes for them.
+// claimed reports whether the claims of j permit its tasks to start: no claim is unanswered or
+// held by another entry that keeps it, and no run of an earlier submission is left. A job
+// without homes may start unclaimed only if no connected agent supports claims. Jobs that were
+// not claimed before wait while this entry is isolated, or partitioned without a shared home,
+// because other entries may choose other homes for them.
 func (o *Owner) claimed(j *job) bool {
 	if o.dropped[j.desc.ID] != nil || len(j.homes) == 0 && j.homeCount > 0 && o.homesExist() {
 		return false
@@ -39,7 +40,7 @@
 	return !slices.ContainsFunc(j.homes, func(h home) bool { return h.state == asked || h.state == held })
 }
 
-// joined reports whether another entry holds j, as far as is known.
+// joined reports whether j is not started here and another entry holds it, as far as is known.
 func (j *job) joined() bool {
 	return !j.started() && slices.ContainsFunc(j.homes, func(h home) bool { return h.state == held })
 }
@@ -81,10 +82,13 @@
 	}
 }
 
-// handleHeld handles a reply that another entry holds j at a home. Of two entries that each
-// hold a home, the one with the lower-ranked home keeps the job, so this entry releases the
-// homes of higher rank. If only this entry has started the job, the other one releases the
-// claim; if it does not within contestTimeout, this entry stops its runs.
+// handleHeld handles a reply that another entry holds the claim of j at a home. If two entries
+// each hold the claim at one home, the entry whose home has the lower rank keeps the job.
+//
+// If j is started here and the claim is granted at a home of lower rank, this entry keeps j, and
+// the other entry will release its claim. If j is started but no such home has granted the claim, j is contested
+// (checkContested). If j is not started here, this entry joins it and releases its claims at
+// the homes of higher rank than the one that replied.
 func (o *Owner) handleHeld(now time.Duration, j *job, a *agent) {
 	rank := claim.RankOf(j.hash, a.hash)
 	first := slices.IndexFunc(j.homes, func(h home) bool { return h.state == granted })
@@ -105,7 +109,8 @@
 	o.releaseLaterHomes(j, rank)
 }
 
-// checkContested yields the jobs that other entries have not released within contestTimeout.
+// checkContested yields the contested jobs whose claims other entries have not released within
+// contestTimeout.
 func (o *Owner) checkContested(now time.Duration) {
 	for _, j := range o.sortedJobs() {
 		if j.contestedAt == 0 || now-j.contestedAt < contestTimeout {
@@ -119,8 +124,8 @@
 	}
 }
 
-// transferClaim releases the claim of j, which is not started here, to an entry that has
-// started it and waits for it at a home, and claims j there again to join it.
+// transferClaim releases the claim of j at a home to the entry that waits there and has started
+// the job. It then claims j there again, to join it. It does nothing if j is started here.
 func (o *Owner) transferClaim(now time.Duration, j *job, a *agent) {
 	k := slices.IndexFunc(j.homes, func(h home) bool { return h.agent == a })
 	if k < 0 || j.started() {
@@ -133,8 +138,8 @@
 	o.claimsChanged(now, j)
 }
 
-// releaseLaterHomes releases the claims of j at the homes of higher rank and returns those
-// homes.
+// releaseLaterHomes releases the claims of j at the homes of higher rank than the given one and
+// returns those homes.
 func (o *Owner) releaseLaterHomes(j *job, rank claim.Rank) []*agent {
 	var released []*agent
 	for _, h := range j.homes {
@@ -147,8 +152,9 @@
 	return released
 }
 
-// yield stops the runs of j, which another entry holds. The job then waits like one that was
-// never started here. The released homes are informed when the runs have ended.
+// yield leaves j to the entry that holds it: the runs of j here are ordered to stop, and j waits
+// like a job that was never started here. The released homes are informed when the runs have
+// ended.
 func (o *Owner) yield(now time.Duration, j *job, released []*agent) {
 	o.stats.Yielded++
 	o.logYielded(now, j)
@@ -167,8 +173,8 @@
 	j.queue.remove(j)
 }
 
-// claimsChanged updates j after a change of its claims: it leaves the queue if another entry
-// holds it, and starts if it is claimed.
+// claimsChanged updates j after a change of its claims. If another entry holds j, it is removed
+// from the queue; if j is claimed, its tasks may start.
 func (o *Owner) claimsChanged(now time.Duration, j *job) {
 	if j.joined() {
 		j.queue.remove(j)
--- a/owner/crash.go
+++ b/owner/crash.go
@@ -9,24 +9,23 @@
 )
 
 // A task may crash every target that starts it, along with all other tasks there, which become
-// equally suspect. After a crash, or once a target is silent for good, the task runs next on an
-// empty target, of which it takes all room. If that target crashes as well, its job is given
-// up.
+// equally suspect. After a crash, or after a run was lost with a silent target, the task runs
+// next on an empty target, of which it takes all room, if one is free within exclusiveWaitTime.
+// If that target crashes as well, the job fails.
 
 const (
-	// maxCrashes is the number of crashes at which a job is given up if the task had one of the
-	// targets to itself, maxNonExclusiveCrashes the number if it never had.
+	// maxCrashes is the number of crashes at which a job fails if the task had one of the targets
+	// to itself, maxNonExclusiveCrashes the number if it never had.
 	maxCrashes             = 2
 	maxNonExclusiveCrashes = 3
-	// maxLosses is the number of runs of a task, lost with crashed or silent targets, at which
-	// its job is given up. Whether a target has crashed or is silent may be known only seconds
-	// later.
+	// maxLosses is the number of runs of a task, lost with crashed or silent targets over all
+	// submissions, at which its job is given up.
 	maxLosses = 5
 	// maxEarlierLosses is the number of such runs in earlier submissions at which a resubmitted
 	// job is given up.
 	maxEarlierLosses = 3
-	// exclusiveWaitTime is how long a suspect task waits for an empty target before it may
-	// share one.
+	// exclusiveWaitTime is how long a crash suspect waits for an empty target before it may share
+	// one.
 	exclusiveWaitTime = 200 * time.Millisecond
 	// correlationWindow is the time within which crashes of several targets count as one event.
 	// Such an event, like the loss of a rack or of power, is not attributed to tasks if it
@@ -56,7 +55,9 @@
 	}
 }
 
-// correlated reports whether many other targets stopped accepting work when this one crashed.
+// correlated reports whether many targets, the crashed one included, stopped accepting work at
+// about the same time. The share is taken of the agents that are connected or have ever stopped
+// accepting work.
 func (o *Owner) correlated(c crash) bool {
 	known, stopped := 0, 0
 	for _, a := range o.byName {
@@ -131,7 +132,7 @@
 	}
 }
 
-// crashesTooOften reports whether the job of t should be given up. A crash under a task that
+// crashesTooOften reports whether the job of t should fail. A crash under a task that
 // had the target to itself counts at once, any other one after correlationWindow and only if it
 // was not correlated.
 func (o *Owner) crashesTooOften(now time.Duration, t *taskState) bool {
@@ -145,8 +146,8 @@
 	return count >= maxNonExclusiveCrashes || count >= maxCrashes && exclusive
 }
 
-// checkCrashes gives up j if one of its tasks crashes targets too often. It reports whether it
-// did.
+// checkCrashes answers j as failed if one of its tasks crashes targets too often. It reports
+// whether it did.
 func (o *Owner) checkCrashes(now time.Duration, j *job) bool {
 	for k := range j.steps {
 		for n := range j.steps[k].tasks {
@@ -164,8 +165,8 @@
 	return now < t.exclusiveUntil
 }
 
-// deferCrashSuspect removes j from its queue if its next task waits for an empty target, so that it
-// does not block other jobs. It reports whether it did; requeueSuspects puts the job back.
+// deferCrashSuspect removes j from its queue if its next task waits for an empty target, so that
+// j does not block other jobs. It reports whether it did; requeueCrashSuspects puts the job back.
 func (o *Owner) deferCrashSuspect(now time.Duration, j *job) bool {
 	step, index, ok := j.nextTask()
 	if !ok || !o.claimed(j) || !j.steps[step].tasks[index].needsEmptyTarget(now) {
@@ -175,7 +176,7 @@
 	return true
 }
 
-// requeueCrashSuspects puts the jobs removed by deferSuspect back into their queues.
+// requeueCrashSuspects puts the jobs removed by deferCrashSuspect back into their queues.
 func (o *Owner) requeueCrashSuspects(now time.Duration) {
 	for _, j := range o.sortedJobs() {
 		if j.crashSuspect && j.index < 0 && j.startable() && !j.joined() {
--- a/owner/dropped.go
+++ b/owner/dropped.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// reclaim claims j again at its homes, which were just informed that none of its runs is left.
+// reclaim claims j again at its homes except those where another entry holds the claim. The
+// homes were just informed that no earlier run of j is left.
 func (o *Owner) reclaim(now time.Duration, j *job) {
 	homes := j.homes
 	j.homes = nil
--- a/owner/estimates.go
+++ b/owner/estimates.go
@@ -9,8 +9,8 @@
 )
 
 // A step's Estimate applies to a target of speed 1; the expected duration on a target is the
-// estimate divided by its speed. Objectives are clock times: a step's Longest applies to a
-// target of the usual speed.
+// estimate divided by its speed. A step's Longest, from which objectives are derived, is already
+// divided by the usual speed.
 
 // withEstimates returns the job with its callers' guesses replaced by estimates.
 func (o *Owner) withEstimates(desc task.Job, usualSpeed float64) task.Job {
@@ -50,8 +50,8 @@
 }
 
 // learn records how long a task took on a's target. The first task of a step to end corrects
-// the estimate of the others. The queue's estimator gets all durations of a step at once, since
-// the tasks that end first are the shortest.
+// the estimate of the others. The estimator of the configured queue gets all durations of a step
+// at once, since the tasks that end first are the shortest.
 func (o *Owner) learn(j *job, step int, a *agent, took time.Duration) {
 	s := &j.steps[step]
 	e := o.estimator(j.desc.Queue)
--- a/owner/evacuation.go
+++ b/owner/evacuation.go
@@ -60,13 +60,13 @@
 	}
 }
 
-// discoveryTime is how long after the first connection the set of known agents may be
-// incomplete. Until then, jobs wait for targets in other halls. It is also how long a lost
-// agent may still come back.
+// discoveryTime is how long after the first connection no job is refused for an evacuation,
+// since agents in other halls may not have connected yet. It is also how long a lost agent
+// counts as present, since it may reconnect.
 const discoveryTime = time.Second
 
-// needsEvacuatedHall reports whether j, which is not started, has a step that only targets in
-// evacuated halls may run.
+// needsEvacuatedHall reports whether j, which must not be started, has a step that only targets
+// in evacuated halls may run.
 func (o *Owner) needsEvacuatedHall(now time.Duration, j *job) bool {
 	if len(o.evacuations.Halls) == 0 || o.Partial || o.firstConnectedAt == 0 || now-o.firstConnectedAt < discoveryTime {
 		return false
@@ -123,7 +123,7 @@
 	return o.evacuations
 }
 
-// logEvacuations logs the evacuated halls.
+// logEvacuations logs the evacuated halls and the source of the set.
 func (o *Owner) logEvacuations(from string) {
 	o.log(event.HallsEvacuated,
 		slog.Any("halls", o.evacuations.Halls),
--- a/owner/hall_outage.go
+++ b/owner/hall_outage.go
@@ -19,9 +19,9 @@
 	// unresponsiveTime is the silence after which an agent in use counts as unresponsive: two
 	// heartbeats.
 	unresponsiveTime = 220 * time.Millisecond
-	// maxContactAge is the maximum time since the last frame from any agent. If this entry
-	// itself is cut off, the agents of one hall become unresponsive up to a heartbeat before
-	// those of the others.
+	// maxContactAge is the maximum age of the latest frame from any agent for a suspicion. If
+	// this entry is cut off itself, no frame arrives, but the agents of one hall may become
+	// unresponsive before those of the others.
 	maxContactAge = 60 * time.Millisecond
 	// minUnresponsive is the minimum number of unresponsive agents for a suspicion, since one
 	// or two agents fail independently.
@@ -41,7 +41,8 @@
 	return h.responsive == 0 && h.unresponsive >= minUnresponsive && now-lastContactAt <= maxContactAge
 }
 
-// unresponsive reports whether a frame from a is overdue.
+// unresponsive reports whether a frame from a is overdue. An idle connection counts only if a
+// has left a claim unanswered or was lost within lostAgentTime.
 func (a *agent) unresponsive(now time.Duration) bool {
 	switch {
 	case !a.connected:
@@ -52,9 +53,9 @@
 	return a.used() && now-max(a.lastFrameAt, a.watchedSince) > unresponsiveTime
 }
 
-// checkHalls updates the suspected halls. An entry suspects none while it is isolated, after a
-// late tick, or shortly after a time without any frames: the first frames after its own outage
-// may all come from one hall.
+// checkHalls updates the suspected halls. No hall becomes suspected while this entry is isolated,
+// after a late tick, or shortly after a time without any frames, because the first frames after
+// an outage of this entry may all come from one hall.
 func (o *Owner) checkHalls(now time.Duration) {
 	contacts := make(map[string]hallContact)
 	lastContactAt := time.Duration(0)
@@ -77,7 +78,7 @@
 		h := contacts[hall]
 		suspected := o.suspectedHalls[hall]
 		switch {
-		case hall == "":
+		case hall == "": // no hall reported
 		case suspected && h.responsive > 0:
 			delete(o.suspectedHalls, hall)
 			o.logHallFound(hall)
--- a/owner/home.go
+++ b/owner/home.go
@@ -12,13 +12,12 @@
 // Homes are the agents at which a job is claimed. Silent ones are replaced.
 
 const (
-	// DefaultHomes is the number of homes of a job. With two, one home may restart and lose its
-	// claims.
+	// DefaultHomes is the number of homes of a job, so that the claims survive the restart of
+	// one home.
 	DefaultHomes = 2
 	// DefaultClaimTimeout is how long an agent may leave a claim unanswered before it counts as
-	// silent and is replaced as home. It exceeds the pauses of a host with a CPU quota, about
-	// 100 ms: entries that replace different agents may choose different homes for the same
-	// job.
+	// silent and is replaced as home. It exceeds the pauses of a host with a CPU quota, because
+	// entries that replace different agents may choose different homes for the same job.
 	DefaultClaimTimeout = 120 * time.Millisecond
 )
 
@@ -152,8 +151,9 @@
 	}
 }
 
-// checkSilentHomes marks the agents silent that have left a claim unanswered for ClaimTimeout.
-// After a late tick it marks none for that long, because received frames may still be unread.
+// checkSilentHomes marks agents as silent if they have left a claim unanswered for ClaimTimeout,
+// and claims the jobs elsewhere. After a late tick it marks none for that long, because received
+// frames may still be unread. It also records the time of the tick and updates isolation.
 func (o *Owner) checkSilentHomes(now time.Duration) {
 	onTime := now-o.lastTickAt <= 2*TickInterval
 	o.lastTickAt = now
@@ -162,7 +162,7 @@
 	}
 	if now-o.lastLateTickAt < o.ClaimTimeout {
 		o.checkIsolation(now)
-		return // received frames may still be unread
+		return
 	}
 	var silent []*agent
 	for _, j := range o.sortedJobs() {
@@ -176,7 +176,7 @@
 			silent = append(silent, h.agent)
 		}
 	}
-	o.checkIsolation(now) // before any job gets other homes
+	o.checkIsolation(now) // before loseHome chooses other homes
 	for _, a := range silent {
 		o.loseHome(now, a)
 	}
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -10,12 +10,11 @@
 // job that it had not claimed before, since other entries may choose other homes for the same
 // job.
 //
-// A data hall that is cut off from the others is not isolated: its agents and targets are
-// reachable, and callers keep submitting. An entry that is itself cut off from the other halls
-// can't tell the difference. It therefore starts only those new jobs of which it reaches a home
-// that entries with full connectivity would choose, because conflicting claims meet there. With
-// three halls that is two jobs in three. The other jobs wait until the lost halls have been
-// silent for isolationTime.
+// An entry is partitioned, not isolated, if most agents are silent or lost but a whole data hall
+// is reachable, so that work can continue in that hall. Entries in other halls may be partitioned
+// as well. A partitioned entry starts a new job only if it reaches one of the homes that a fully
+// connected entry would choose, because conflicting claims are detected there. The other jobs
+// wait until the unreachable agents have been silent for isolationTime.
 
 // isolationTime is how long a silent or lost agent counts toward isolation. After that it is
 // taken to be down, and the remaining halls resume service.
@@ -25,13 +24,13 @@
 // counts as reachable, since single hosts fail independently.
 const maxMissingShare = 0.2
 
-// startupIsolationTime is how long an entry without connections counts as isolated after its
-// first connection. The other connections follow within milliseconds; before that, homes would
-// be chosen among few agents.
+// startupIsolationTime is how long an entry counts as isolated after it connects to an agent
+// while it has no other connection. Until it has connected to the other agents, homes would be
+// chosen among few agents.
 const startupIsolationTime = 60 * time.Millisecond
 
-// beginIsolation starts the isolation that follows a first connection. It must be called for
-// each new connection before the agent is marked as connected.
+// beginIsolation starts the isolation that follows the first connection if no agent is
+// connected. It must be called for each new connection before the agent is marked as connected.
 func (o *Owner) beginIsolation(now time.Duration) {
 	for _, a := range o.byName {
 		if a.connected {
@@ -42,8 +41,8 @@
 	o.isolated = true
 }
 
-// reachability counts the agents heard from within isolationTime, and those of them that are
-// silent or lost now.
+// reachability counts the agents that have sent a frame within isolationTime, and those of them
+// that are silent or lost now.
 type reachability struct {
 	known, missing int
 }
@@ -72,8 +71,8 @@
 	return false
 }
 
-// checkIsolation updates isolated and partitioned. More than half of the agents heard from
-// within isolationTime must be silent or lost; the entry is then partitioned if a whole hall is
+// checkIsolation updates isolated and partitioned. If more than half of the agents that have sent
+// a frame within isolationTime are silent or lost, the entry is partitioned if a hall is mostly
 // reachable, and isolated otherwise. It is also isolated until isolatedUntil.
 func (o *Owner) checkIsolation(now time.Duration) {
 	var all reachability
@@ -115,8 +114,8 @@
 	return second != nil && j.hasHome(second)
 }
 
-// lowestRankedAgent returns the agent of the lowest rank for j among those heard from within
-// isolationTime. If other is not nil, agents in other's hall are excluded.
+// lowestRankedAgent returns the agent of the lowest rank for j among those that have sent a
+// frame within isolationTime. If other is not nil, agents in other's hall are excluded.
 func (o *Owner) lowestRankedAgent(now time.Duration, j *job, other *agent) *agent {
 	var best *agent
 	var least claim.Rank
--- a/owner/job.go
+++ b/owner/job.go
@@ -14,12 +14,14 @@
 //	placed    -> done       its run has ended with success
 //	placed    -> uncertain  the connection to its agent was lost
 //	uncertain -> waiting    none of its runs can be active any more
+//	placed    -> waiting    the job is left to another entry; the run is recorded as dropped
+//	uncertain -> waiting    likewise
 type phase uint8
 
 const (
 	waiting   phase = iota // to be started
 	placed                 // ordered at an agent
-	uncertain              // ordered at an agent that was lost: a run may be active
+	uncertain              // ordered at an agent that was lost; the run may be active
 	done                   // ended with success
 )
 
@@ -34,7 +36,7 @@
 	// failures counts failed runs, taskFailures those that were not the target's fault.
 	failures, taskFailures int
 	tries                  int // runs that may have begun, for logs
-	losses                 int // runs whose target crashed or fell silent
+	losses                 int // runs whose target crashed, fell silent or did not have them
 	// crashes lists runs whose target crashed. Until exclusiveUntil, the task runs only on an
 	// otherwise empty target.
 	crashes        []crash
@@ -73,8 +75,8 @@
 	hash      uint64
 	homes     []home
 	claimedAt time.Duration
-	// contestedAt is when another entry was found to hold the lowest-ranked home while tasks of
-	// the job are started here, zero if none was.
+	// contestedAt is when another entry was found to hold the claim at the lowest-ranked home
+	// while the job was started here, zero if none was.
 	contestedAt time.Duration
 	// homeCount is the number of homes that the job should have.
 	homeCount int
@@ -95,8 +97,8 @@
 
 	queue *serviceQueue // the queue of its service
 	index int           // in the queue's heap, -1 if not queued
-	// rank orders the queue, lowest first, and depends on startSpan. Both date from the last
-	// call of rankAt.
+	// rank orders the queue, lowest first, and depends on startSpan. It is not the rank of a
+	// home. startSpan dates from the last call of rankAt.
 	rank, startSpan time.Duration
 }
 
@@ -184,7 +186,7 @@
 	return 0, 0, false
 }
 
-// startableTasks returns the number of tasks of j that can be started now.
+// startableTasks returns the number of waiting tasks of j whose dependencies are done.
 func (j *job) startableTasks() int {
 	count := 0
 	for k := range j.steps {
@@ -195,7 +197,7 @@
 	return count
 }
 
-// startableWork returns the work of the tasks of j that can be started now, in core-seconds.
+// startableWork returns the work of the startable tasks of j, in core-seconds.
 func (j *job) startableWork() float64 {
 	sum := 0.0
 	for k := range j.steps {
@@ -206,7 +208,7 @@
 	return sum
 }
 
-// waitingWork returns the work of all waiting tasks of j, in core-seconds.
+// waitingWork returns the work of all waiting tasks of j, startable or not, in core-seconds.
 func (j *job) waitingWork() float64 {
 	sum := 0.0
 	for k := range j.steps {
--- a/owner/log.go
+++ b/owner/log.go
@@ -77,7 +77,7 @@
 		slog.Int("tries", t.tries))
 }
 
-// logCrash logs that a target crashed under a task.
+// logCrash logs that a target crashed during a run of a task.
 func (o *Owner) logCrash(ref task.Ref, t *taskState, a *agent) {
 	o.log(event.TaskSuspect, slog.String("task", ref.Task.String()), slog.Int("run", ref.Run), slog.String("agent", a.name), slog.Int("crashes", len(t.crashes)))
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -8,41 +8,45 @@
 //
 // Owner is a state machine without goroutines, clock or sockets. Its process (package node)
 // calls it under one lock and passes the time of a monotonic clock; package testutil/fleet
-// calls it in virtual time. Inputs and outputs are in four files:
+// calls it in virtual time. Most inputs and outputs are in five files:
 //
-//	callers.go     submissions and cancellations by callers
+//	callers.go     submission of jobs, and callers that no longer wait
+//	cancel.go      cancellation of jobs, here or at another entry
 //	connection.go  connections to agents and frames received from them
 //	tick.go        periodic work
 //	flush.go       frames sent to agents
 //
-// Each rule is a small function of plain values in a file of its own; docs/decisions.md lists
-// them:
+// Each group of rules has a file of its own; docs/decisions.md lists the rules:
 //
 //	admission.go   whether a job is accepted
-//	order.go       the order in which waiting jobs are served
+//	rank.go        the order in which waiting jobs are served
 //	placement.go   the target on which a task runs
 //	watch.go       the agents that this entry watches
 //	reservation.go the agents from which room is requested
 //	refusal.go     when a job is refused or given up
 //	spec.go        whether an order carries its job's spec or a reference to it
-//	comeback.go    when the caller of a job that was not done should submit it again
+//	retry_after.go when the caller of a job that was not done should submit it again
 //	retry.go       when a run is stopped, and when and where its task runs again
-//	suspect.go     tasks under which targets crash
+//	crash.go       tasks under which targets crash
 //	evacuation.go  data halls that get no work
 //	claim.go       claims that keep a job at a single entry
 //	home.go        the agents at which a job is claimed
 //	settlement.go  notices to homes and remote waiters
-//	stopped.go     recovery after this process was suspended
-//	ending.go      dropped jobs with runs that have not ended
-//	outage.go      data halls that are suspected to be lost
+//	suspension.go  recovery after this process was suspended
+//	dropped.go     dropped jobs with runs that have not ended
+//	hall_outage.go data halls that are suspected to be lost
 //	release.go     connections that are no longer needed
 //	isolation.go   whether this entry is cut off from most agents
-//	cancel.go      cancellation of jobs, here or at another entry
 //	estimates.go   estimates of task durations
+//	rate.go        the rate at which targets accept this entry's work
+//	term.go        the refusal policy
+//
+// The state that the rules use is in job.go, queue.go and agent.go. answer.go ends jobs, and
+// log.go writes most log lines.
 //
-// Invariants: a task has at most one run that may be active (phases placed and uncertain); a
-// job is refused only while none of its orders has reached a target; every caller that still
-// waits gets exactly one answer.
+// Invariants: a task has at most one run that may be active, either in the phases placed and
+// uncertain or as a dropped run (dropped.go); a job is refused only while none of its orders has
+// reached a target; every caller that still waits gets exactly one answer.
 package owner
 
 import (
@@ -58,8 +62,7 @@
 )
 
 // ClearTime is how long after the last frame to a lost agent a run that this entry ordered
-// there may still be active: the entry's lease at the agent (500 ms), the target's lease on a
-// clock that is 2% slow (816 ms), the stop (50 ms) and late timers (84 ms).
+// there may still be active; see peer.ClearTime.
 const ClearTime = peer.ClearTime
 
 // TickInterval is the interval at which Tick should be called, and so the maximum delay of
@@ -69,19 +72,21 @@
 // Owner holds the jobs of one entry.
 type Owner struct {
 	// Send sends a frame to an agent and returns its sequence number, or zero without a
-	// connection.
+	// connection. It must be set.
 	Send func(agent string, f *peer.Frame) uint64
 	// ObserveStage is called with the duration of each stage of a job. It may be nil.
 	ObserveStage stage.Observer
 	// CountAnswer is called with the cause of each answer. It may be nil.
 	CountAnswer func(code.Code)
-	// Log receives one line for each decision.
+	// Log receives a line for each decision and for each change of a connection, of isolation
+	// and of a suspected hall.
 	Log *slog.Logger
 	// ClearTime overrides the constant of the same name in tests.
 	ClearTime time.Duration
 	// FarFactor is the factor by which a task takes longer on a target without its data.
 	FarFactor float64
-	// Addr returns the address at which an agent accepts connections of other agents.
+	// Addr returns the address at which an agent accepts connections of other agents. It must
+	// be set if SetLink sets a rate.
 	Addr func(agent string) string
 	// ClaimTimeout overrides DefaultClaimTimeout in tests.
 	ClaimTimeout time.Duration
@@ -90,7 +95,7 @@
 	// AwaitEndings makes a dropped job wait for its runs to end before it may start again. Only
 	// tests unset it.
 	AwaitEndings bool
-	// TrustStopped disables the recovery after this process was suspended. Only tests set it.
+	// TrustStopped disables the recovery after a suspension of this process. Only tests set it.
 	TrustStopped bool
 	// Term selects the refusal policy.
 	Term Term
@@ -100,7 +105,7 @@
 	// IsOwn reports whether an agent is one that this entry prefers while it has room. With
 	// nil, every agent is.
 	IsOwn func(agent string) bool
-	// Partial reports whether there are agents to which the process does not connect.
+	// Partial is set if there are agents to which the process does not connect.
 	Partial bool
 	// Random returns a random number in [0, n).
 	Random func(n int) int
@@ -123,7 +128,8 @@
 	suspectedHalls map[string]bool        // data halls that are suspected to be lost
 	// missingLabel records that a job requires a label which no connected agent has.
 	missingLabel bool
-	// lastNoContactAt is the last time at which no agent had been heard from for maxContactAge.
+	// lastNoContactAt is the last tick at which the latest frame from any agent was older than
+	// maxContactAge.
 	lastNoContactAt time.Duration
 	// isolated reports whether most agents are silent or lost.
 	isolated bool
@@ -156,8 +162,9 @@
 	// the runs stopped to be retried elsewhere, and Relayed the orders that refer to another
 	// agent for the spec.
 	Starts, Rejected, Moved, Relayed uint64
-	// Joined counts jobs that another entry held or had answered, Yielded the jobs stopped here
-	// because another entry holds them, and SilentHomes the agents that left a claim
+	// Joined counts jobs that another entry held or had answered, and for each job started here
+	// the replies by which another entry has the stronger claim. Yielded counts the jobs stopped
+	// here because another entry holds them, and SilentHomes the agents that left a claim
 	// unanswered.
 	Joined, Yielded, SilentHomes uint64
 	// HallsSuspected counts how often a data hall was suspected to be lost.
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -16,14 +16,13 @@
 	// lastRoomWeight is the relative cost of taking a target's last room, for which orders of
 	// other entries may compete.
 	lastRoomWeight = 1.0
-	// ejectedPenalty, in seconds, sorts ejected targets last: it exceeds the duration of any
-	// task.
+	// ejectedPenalty, in seconds, is the cost added to an ejected target.
 	ejectedPenalty = 10.0
 )
 
 // candidate is a target that may run a task and has room for it.
 type candidate struct {
-	speed          float64    // relative to the usual speed
+	speed          float64    // relative to the reference speed 1
 	capacity, free task.Needs // as last reported; pending orders are subtracted from free
 	far            bool       // the task's data is elsewhere
 	ejected        bool
@@ -56,7 +55,7 @@
 	return min(1, float64(needs.CPU)/float64(max(1, room.CPU)))
 }
 
-// chooseAgent returns the agent to which the task should be ordered. It returns nil if room
+// chooseAgent returns the agent at which the task should be ordered. It returns nil if room
 // should be reserved first, because no watched agent has room or its room may be taken before
 // the order arrives.
 func (o *Owner) chooseAgent(now time.Duration, j *job, step, index int) *agent {
@@ -85,7 +84,7 @@
 
 // roomCertain reports whether the known room will still be there when an order arrives: only an
 // empty target qualifies, as other entries compete for any other room. Agents below
-// peer.LevelWatch get orders wherever room is reported.
+// peer.LevelWatch get orders whenever they report room.
 func (a *agent) roomCertain() bool {
 	return a.level < peer.LevelWatch || a.freeRoom() == a.profile.Capacity
 }
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -12,21 +12,23 @@
 	service string
 	waiting jobHeap
 	// workRate is the rate at which targets accept this entry's work during a backlog, in
-	// core-seconds per second, as of the last tick. lastWorkRate is its last value above zero.
+	// core-seconds per second, as of the last tick or change of the evacuated or suspected
+	// halls. lastWorkRate is the last rate above zero; arriving profiles update it too.
 	workRate, lastWorkRate float64
-	// resubmissions spreads the resubmissions of refused callers.
+	// resubmissions spreads the resubmissions of refused and given-up jobs.
 	resubmissions resubmissionSchedule
-	// usualSpeed is the median speed of the service's targets as of the last tick.
+	// usualSpeed is the median speed of the service's targets, as of the last tick or, before
+	// that, of the creation of the queue.
 	usualSpeed float64
 	// nonEmptySince is when the queue last became non-empty, zero while it is empty.
 	nonEmptySince time.Duration
 }
 
-// minBacklogTime is how long jobs must wait before the queue counts as backlogged. Shorter
-// waits are normal.
+// minBacklogTime is how long a queue must be non-empty to count as backlogged. Shorter waits
+// are normal.
 const minBacklogTime = 120 * time.Millisecond
 
-// backlogged reports whether jobs have been waiting for at least minBacklogTime.
+// backlogged reports whether the queue has been non-empty for at least minBacklogTime.
 func (q *serviceQueue) backlogged(now time.Duration) bool {
 	return q.nonEmptySince > 0 && now-q.nonEmptySince >= minBacklogTime
 }
@@ -41,6 +43,7 @@
 	return time.Duration(work / q.workRate * float64(time.Second))
 }
 
+// setWorkRate sets the work rate.
 func (q *serviceQueue) setWorkRate(rate float64) {
 	q.workRate = rate
 	q.recordWorkRate(rate)
@@ -53,7 +56,6 @@
 	}
 }
 
-// updateNonEmptySince updates backlogSince.
 func (q *serviceQueue) updateNonEmptySince(now time.Duration) {
 	switch {
 	case len(q.waiting) == 0:
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// startableTasks returns the number of waiting tasks, up to limit.
+// startableTasks returns the number of startable tasks of all jobs, up to limit.
 func (q *serviceQueue) startableTasks(limit int) int {
 	count := 0
 	for _, j := range q.waiting {
--- a/owner/rank.go
+++ b/owner/rank.go
@@ -6,7 +6,7 @@
 )
 
 // Waiting jobs are served in the order of their latest start times, adjusted by priority and by
-// whether the job has started. Jobs that can no longer meet their objective come after all jobs
+// whether the job has started. Jobs that can no longer meet their objective come after those
 // that can.
 const (
 	// marginDeviations is the safety margin of the remaining work, in standard deviations of
@@ -22,8 +22,7 @@
 	startedAdvance = 40 * time.Millisecond
 )
 
-// lateRankOffset is added to the rank of jobs that can no longer meet their objective. It
-// exceeds all other components of a rank.
+// lateRankOffset is added to the rank of jobs that can no longer meet their objective.
 const lateRankOffset = time.Hour
 
 // rankInputs holds the inputs of a job's rank in its queue. Times are on the entry's clock.
@@ -55,7 +54,8 @@
 }
 
 // rank returns the sort key of the job: the lowest rank is served first. It is the adjusted
-// latest start time, or a key above all of these if the job can no longer meet its objective.
+// latest start time while the job can meet its objective. After that it is the adjusted latest
+// start for the late objective, without safety margin and start span, plus lateRankOffset.
 func (u rankInputs) rank() time.Duration {
 	var shift time.Duration
 	if u.priority > 0 {
@@ -70,8 +70,8 @@
 	return lateRankOffset + u.lateObjectiveAt - u.remaining + shift
 }
 
-// rankInputs returns the inputs of j's rank at now. The span of its starts dates from the last
-// call of rankAt.
+// rankInputs returns the inputs of j's rank at now, with the start span of the last call of
+// rankAt.
 func (j *job) rankInputs(now time.Duration) rankInputs {
 	return rankInputs{
 		now:             now,
@@ -85,13 +85,15 @@
 	}
 }
 
-// rankAt returns j's rank at now and updates the span of its starts.
+// rankAt returns j's rank at now and updates its start span.
 func (j *job) rankAt(now time.Duration) time.Duration {
 	j.startSpan = j.queue.startSpan(now, j.startableTasks(), j.startableWork())
 	return j.rankInputs(now).rank()
 }
 
-// missesObjective reports whether j could no longer meet its objective when it was last ranked.
+// missesObjective reports whether j's rank is at least lateRankOffset. Ranks are times on the
+// entry's clock: this holds for the jobs that could no longer meet their objective when they
+// were last ranked, and for any job whose adjusted latest start is at lateRankOffset or later.
 func (j *job) missesObjective() bool {
 	return j.rank >= lateRankOffset
 }
--- a/owner/rate.go
+++ b/owner/rate.go
@@ -8,7 +8,7 @@
 
 // workRate returns the rate at which the watched targets of a service accept this entry's work
 // during a backlog, in core-seconds per second: their total capacity at their speeds, times
-// this entry's share of the room in use. The first waiting job counts as running. Ejected
+// this entry's share of the room in use. The waiting tasks of the first job count as running. Ejected
 // targets don't count.
 func (o *Owner) workRate(now time.Duration, q *serviceQueue) float64 {
 	capacity := 0.0
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -25,8 +25,8 @@
 	answerMargin = 20 * time.Millisecond
 
 	// minRefusalShare is the share of its objective that a job waits before it can be refused
-	// because of the backlog. refuseMargin is the ratio of the expected wait to the time left
-	// until the latest start above which it is refused.
+	// because of the backlog. It is refused if its expected wait exceeds refuseMargin times the
+	// time left until its latest start.
 	minRefusalShare = 0.10
 	refuseMargin    = 1.0
 
@@ -45,8 +45,7 @@
 	// remaining is the estimate of the longest chain of unfinished steps. It is used for jobs
 	// that are not started.
 	remaining time.Duration
-	// hasStartable reports whether the job has tasks that can be started now. It is used for started
-	// jobs.
+	// hasStartable reports whether the job has startable tasks. It is used for started jobs.
 	hasStartable bool
 }
 
@@ -91,14 +90,14 @@
 	wait time.Duration
 	// untilLatestLateStart is the time left until the job must start to meet its late objective.
 	untilLatestLateStart time.Duration
-	// missesObjective reports whether the job can no longer meet its objective, earlierJobMeets
-	// whether a job ahead of it still can.
+	// missesObjective is the result of job.missesObjective, earlierJobMeets reports whether that
+	// result is false for a job ahead.
 	missesObjective, earlierJobMeets bool
 }
 
-// shouldRefuse reports whether the job should be refused because of the jobs ahead: it has
-// missed its objective while others can meet theirs, or it will have missed it when its turn
-// comes.
+// shouldRefuse reports whether the job should be refused because of the jobs ahead, after it has
+// waited for minRefusalShare of its objective. A job that misses its objective is refused if a
+// job ahead does not; any other is refused if the jobs ahead leave it too little time.
 func (p queuePosition) shouldRefuse() bool {
 	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) {
 		return false
@@ -119,8 +118,8 @@
 	return p.wait > p.untilLatestLateStart
 }
 
-// checkDeadlines refuses or gives up j if it can't be done in time, and otherwise stops its
-// overdue runs.
+// checkDeadlines refuses or gives up j if it can't be done in time. Otherwise j fails if it
+// crashes targets, and its overdue runs are stopped.
 func (o *Owner) checkDeadlines(now time.Duration, j *job) {
 	p := deadlineState{
 		now:             now,
@@ -148,8 +147,8 @@
 	}
 }
 
-// refuseBacklogged refuses the waiting jobs of a queue that the jobs ahead leave no time. It
-// refuses none while no target accepts work.
+// refuseBacklogged ranks the waiting jobs of a backlogged queue again and refuses those that
+// should not wait for the jobs ahead of them. It refuses none while no target accepts work.
 func (o *Owner) refuseBacklogged(now time.Duration, q *serviceQueue) {
 	q.updateNonEmptySince(now)
 	if len(q.waiting) == 0 {
--- a/owner/release.go
+++ b/owner/release.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Queries of the process that selects the agents to connect to (package reach).
+// Queries and commands of the process that selects the agents to connect to (package reach).
 
 // Releasable reports whether the connection to an agent is not needed: this entry has no run,
-// watch, claim or dropped run there.
+// dropped run, watch, kept reservation, claim or pending settlement there, and does not wait for
+// its runs to be clear.
 func (o *Owner) Releasable(name string) bool {
 	a := o.agents[name]
 	if a == nil {
@@ -62,7 +63,7 @@
 	return a != nil && len(a.tasks) > 0
 }
 
-// Short reports whether a queue is backlogged.
+// Short reports whether the queue of a service is backlogged.
 func (o *Owner) Short(now time.Duration) bool {
 	for _, q := range o.queues {
 		if q.backlogged(now) {
@@ -87,8 +88,8 @@
 	}
 }
 
-// TakeMissingLabel reports whether a job has required a label that no connected agent has since
-// the last call.
+// TakeMissingLabel reports whether, since the last call, a job has required a label or a rack
+// that no connected agent had.
 func (o *Owner) TakeMissingLabel() bool {
 	missing := o.missingLabel
 	o.missingLabel = false
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -9,23 +9,24 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// minRankGain is by how much a job must be more urgent than the one known to an agent for the
-// request to be updated. It limits the frames sent during a backlog.
+// minRankGain is the minimum difference between the ranks of the first job and of the job in a
+// pending request at which the request is updated. It limits the frames sent during a backlog.
 const minRankGain = 10 * time.Millisecond
 
 const (
-	// requestsPerTask is the number of agents asked at first for each waiting task.
+	// requestsPerTask is the number of agents asked at first for each startable task.
 	requestsPerTask = 2
-	// requestInterval is the interval at which one more agent is asked: a few round trips.
+	// requestInterval is the interval at which one more agent is asked, a few round trips.
 	requestInterval = 3 * time.Millisecond
-	// requestIntervalFactor is the minimum interval in transmission times of a request, which
-	// leaves room for orders on narrow links.
+	// requestIntervalFactor is the minimum of that interval as a multiple of the transmission
+	// time of a request, which leaves bandwidth for orders on narrow links.
 	requestIntervalFactor = 10
 )
 
-// requestRoom asks agents to reserve room for the first job of a queue: a few for each waiting
-// task, and more over time. Agents with a pending request are informed when a more urgent job
-// waits.
+// requestRoom asks agents to reserve room for the first job of a queue. The number of agents with
+// a pending request grows with the startable tasks of the whole queue and with the time for which
+// the queue has not been empty (requestLimit). Pending requests are updated if the first job is
+// more urgent than the one they were sent for.
 func (o *Owner) requestRoom(now time.Duration, q *serviceQueue) {
 	j := q.peek(now)
 	if j == nil {
@@ -145,9 +146,9 @@
 }
 
 // useReservation starts tasks in the room that a has reserved for this entry. If the next task
-// does not fit, the rest is returned and room is requested again. If the queue has only jobs
-// with pending claims, the reservation is kept until one is claimed or reservationHoldTime has
-// passed.
+// does not fit, the rest is returned and room is requested again. If no job may start at a, but
+// the queue has an unclaimed job, the reservation is kept until a job is claimed or
+// reservationKeepTime has passed.
 func (o *Owner) useReservation(now time.Duration, a *agent, r *peer.Reservation) {
 	a.reserved = nil
 	if o.nextJobFor(now, o.queue(a.profile.Service), a) == nil && o.hasPendingClaims(o.queue(a.profile.Service)) {
@@ -182,7 +183,7 @@
 	}
 }
 
-// hasPendingClaims reports whether a job of the queue has pending claims.
+// hasPendingClaims reports whether at least one job of the queue is not claimed yet.
 func (o *Owner) hasPendingClaims(q *serviceQueue) bool {
 	return slices.ContainsFunc(q.waiting, func(j *job) bool { return !o.claimed(j) })
 }
@@ -196,7 +197,7 @@
 	}
 }
 
-// releaseKeptReservations returns the reservations kept for longer than reservationHoldTime.
+// releaseKeptReservations returns the reservations kept for at least reservationKeepTime.
 func (o *Owner) releaseKeptReservations(now time.Duration) {
 	for _, a := range o.watched {
 		if a.reserved != nil && now-a.reservedAt >= reservationKeepTime {
@@ -208,8 +209,9 @@
 	}
 }
 
-// nextJobFor returns the job of the queue to start at a, or nil: the most urgent job, unless
-// its next task may not run there or is far from its data, and another claimed job fits better.
+// nextJobFor returns the job of the queue to start at a, or nil. The first job is returned if it
+// is claimed and its next task may run at a near its data. Otherwise the claimed job with the
+// best fit is returned, the most urgent one of those with an equal fit.
 func (o *Owner) nextJobFor(now time.Duration, q *serviceQueue, a *agent) *job {
 	first := q.peek(now)
 	if first == nil || o.claimed(first) && o.fit(now, first, a) == fitsLocal {
@@ -228,7 +230,8 @@
 	return best
 }
 
-// fitRating rates whether the next task of a job may run at an agent, and whether its data is there.
+// fitRating rates whether the next task of a job may run at an agent, and whether its data is
+// there.
 type fitRating uint8
 
 const (
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -11,19 +11,21 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Overdue runs are stopped. A task is started elsewhere only after the agent has reported the
-// end of its previous run.
+// Overdue runs are stopped. A task is started again only after the agent has reported the end of
+// its previous run, or after the agent was lost and the run can no longer be active.
 const (
 	// A run is overdue once its age exceeds the expected duration by a factor, plus
 	// overdueSlack. The factor covers overdueDeviations standard deviations of the estimation
-	// error and is at least overdueFactor. It doubles with each earlier overdue run of the
-	// task: then the task is slow and not the target.
+	// error and is at least overdueFactor. It doubles with each earlier overdue run of the task,
+	// since the task may be slow rather than the target.
 	overdueDeviations = 5.0
 	overdueFactor     = 2.5
 	overdueSlack      = 100 * time.Millisecond
-	// failureBackoff is how long a task avoids an agent at which it failed or was overdue,
-	// rejectionBackoff how long it avoids one whose target rejected it. An agent that rejects
-	// an order itself reports its new state in the same frame and needs no backoff.
+	// failureBackoff is how long a task avoids an agent at which a run failed, or at which a run
+	// was ordered to stop and has not ended. rejectionBackoff is how long it avoids an agent
+	// whose target rejected the order, or at which a run has ended by a stop, an expired lease
+	// or the loss of the target. An agent that rejects an order itself reports its new state in
+	// the same frame and needs no backoff.
 	failureBackoff   = 3 * time.Second
 	rejectionBackoff = 30 * time.Millisecond
 	// maxTargetFailures is the number of target failures that a task may have beyond the
@@ -71,8 +73,7 @@
 	}
 }
 
-// stopRun orders a run to stop. The task restarts elsewhere when the end of the run is
-// reported.
+// stopRun orders a run to stop. The task is queued again when the end of the run is reported.
 func (o *Owner) stopRun(now time.Duration, a *agent, id task.ID, t *taskState, why code.Code) {
 	if t.stopSent {
 		return
@@ -84,14 +85,15 @@
 	o.logMoved(now, id, t, a, why)
 }
 
-// avoidAgent excludes a for the task until the given time.
+// avoidAgent excludes a for the task until the given time. It replaces the agent and the time of
+// an earlier call.
 func (t *taskState) avoidAgent(a *agent, until time.Duration) {
 	t.avoid = a.name
 	t.avoidUntil = until
 }
 
 // runEnded handles the reported end of a run: it answers the job or queues the task again.
-// Reports of unknown runs are ignored; their job was answered, or they belong to an earlier
+// Reports of unknown runs are ignored: the job was answered, or the run was ordered on an earlier
 // connection.
 func (o *Owner) runEnded(now time.Duration, a *agent, e peer.Ended) {
 	id := e.Ref.Task
@@ -121,7 +123,7 @@
 		}
 	case task.EndRejected:
 		o.recordRejection(now, a, j, t, e.Reason)
-	default:
+	default: // stopped, lapsed or lost; replaces the failureBackoff of stopRun
 		t.avoidAgent(a, now+rejectionBackoff)
 	}
 	j.setPhase(id.Step, id.Index, waiting)
--- a/owner/retry_after.go
+++ b/owner/retry_after.go
@@ -3,28 +3,30 @@
 import "time"
 
 // Callers whose jobs were not done are asked to submit them again at spread times, so that
-// retries use a small share of the targets' room. Callers that all returned at once would be
-// refused again. Retries of the most urgent priority come first.
+// resubmitted jobs use a small share of the targets' room. If all callers submitted at once,
+// most would be refused again. Resubmissions of the most urgent priority come first.
 const (
-	// resubmissionShare is the share of the work rate that retried jobs may use.
+	// resubmissionShare is the share of the work rate that resubmitted jobs may use.
 	resubmissionShare = 0.2
-	// minRetryAfter and maxRetryAfter bound the retry-after time: an earlier retry would meet
-	// the same backlog, and by a later one the load may long have dropped.
+	// minRetryAfter and maxRetryAfter bound the retry-after time. An earlier resubmission would
+	// meet the same backlog; a later one would delay the job although the load may have dropped.
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// RetryAfter is the retry-after time while the load is unknown: the entry has no
-	// configuration, too many jobs, or no target has accepted work yet.
+	// RetryAfter is the retry-after time of jobs for which none can be computed: no target has
+	// accepted work yet, the entry has no configuration, or it has too many jobs.
 	RetryAfter = time.Second
 )
 
-// resubmissionSchedule holds the times, on the entry's clock, up to which retries are assigned: those
-// of the most urgent priority, and all.
+// resubmissionSchedule assigns times to the resubmissions of refused and given-up jobs. Times are
+// on the entry's clock.
 type resubmissionSchedule struct {
+	// until is the time up to which resubmissions are assigned, urgentUntil the time up to which
+	// those of the most urgent priority are.
 	urgentUntil, until time.Duration
 }
 
-// next assigns a retry to a job of the given work, in core-seconds, and returns the time until
-// then. rate is the work per second that retries may bring.
+// next assigns a time to the resubmission of a job and returns how long its caller should wait.
+// rate is the work per second that may be resubmitted, in the unit of work.
 func (r *resubmissionSchedule) next(now time.Duration, work, rate float64, urgent bool) time.Duration {
 	if rate <= 0 {
 		return RetryAfter
@@ -40,7 +42,7 @@
 	return start - now
 }
 
-// retryAfter returns when j's caller should submit it again.
+// retryAfter returns how long j's caller should wait before submitting it again.
 func (o *Owner) retryAfter(now time.Duration, j *job) time.Duration {
 	return j.queue.resubmissions.next(now, j.desc.Work(), resubmissionShare*j.queue.lastWorkRate, j.desc.Priority == 0)
 }
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -10,7 +10,7 @@
 )
 
 // Settlements inform the homes of a job that it was answered or dropped. Interests inform this
-// entry that another entry waits for one of its jobs.
+// entry that another entry waits for one of its jobs or cancels it.
 
 // answerOf converts the answer in a home's reply.
 func answerOf(r claim.Reply) Answer {
@@ -66,9 +66,9 @@
 	}
 }
 
-// receiveInterest handles a notice that another entry waits for a job, or that a caller there
-// cancels it. A frame is sent back in any case, which proves to the home that this entry is
-// alive.
+// receiveInterest handles a home's notice that another entry waits for a job, or that a caller
+// of another entry cancels it. A frame is sent back in any case, which shows the home that this
+// entry is alive.
 func (o *Owner) receiveInterest(now time.Duration, a *agent, interest claim.Interest) {
 	o.markDirty(a)
 	j := o.jobs[interest.Job]
@@ -89,8 +89,8 @@
 	}
 }
 
-// Leave sends all pending settlements and makes later ones be sent at once. It is called before
-// the process exits.
+// Leave sends all pending settlements. Later ones no longer wait for the next heartbeat. It is
+// called before the process exits.
 func (o *Owner) Leave(now time.Duration) {
 	o.shuttingDown = true
 	for _, a := range o.byName {
--- a/owner/spec.go
+++ b/owner/spec.go
@@ -20,7 +20,7 @@
 	frameBytes = 120
 )
 
-// uplink estimates the send queue of the host's link. The owner's lock protects it.
+// uplink estimates the send queue of the host's link.
 type uplink struct {
 	rate   float64       // bytes per second; zero if unknown, and then taken as unlimited
 	freeAt time.Duration // when everything sent so far has left
@@ -56,8 +56,8 @@
 	return time.Duration(float64(bytes) / u.rate * float64(time.Second))
 }
 
-// linkDelay returns the time until the link has sent the orders of the waiting jobs and of a
-// new one.
+// linkDelay returns the time until the link has sent its queue and what the jobs that wait for
+// the service of a new job still need (jobBytes). The new job itself does not count.
 func (o *Owner) linkDelay(now time.Duration, desc task.Job) time.Duration {
 	if o.link.rate <= 0 {
 		return 0
@@ -79,8 +79,8 @@
 	return specBytes + 2*frameBytes + tasks*(orderBytes+2*frameBytes)
 }
 
-// retryAfter returns when the caller of a job that was refused for lack of bandwidth should
-// submit it again.
+// retryAfter returns how long the caller of a job that was refused for lack of bandwidth should
+// wait before submitting it again.
 func (u *uplink) retryAfter(now time.Duration, desc task.Job) time.Duration {
 	jobSize := float64(jobBytes(desc.Tasks(), len(desc.Spec)))
 	return u.resubmissions.next(now, jobSize, resubmissionShare*u.rate, desc.Priority == 0)
--- a/owner/suspension.go
+++ b/owner/suspension.go
@@ -7,12 +7,12 @@
 )
 
 // A process may be suspended for seconds, alone or with its host. Meanwhile agents stop its
-// runs and close its connections, and its homes grant its jobs to other entries. When it
-// resumes, it has read none of this.
+// runs and close its connections, and its homes grant its jobs to other entries. When the
+// process resumes, its state still shows the runs, connections and claims from before.
 
 const (
-	// minSuspensionTime is the minimum delay of a tick for the process to count as suspended: by then
-	// the agents that it uses have closed its connections.
+	// minSuspensionTime is the minimum time between two ticks after which the process counts as
+	// suspended: by then the agents in use have closed its connections.
 	minSuspensionTime = peer.Silence
 	// resumeIsolationTime is how long the process counts as isolated after it resumes, while
 	// it reconnects to all agents. Homes chosen before that could differ from those of other
@@ -20,9 +20,10 @@
 	resumeIsolationTime = 300 * time.Millisecond
 )
 
-// checkSuspension detects a suspension, before any other decision of the tick, and resets the
-// state: all connections are closed and all jobs claimed again. Orders sent after the process
-// resumed and before this tick carry no fresh lease (node.Entry.send), so agents reject them.
+// checkSuspension detects a suspension, before any other decision of the tick. It removes the
+// homes of all jobs, so that they are claimed again, and SilentTooLong then reports all
+// connections made before. Orders sent after the process resumed and before this tick carry no
+// renewed lease (node.Entry.send), so agents reject them.
 func (o *Owner) checkSuspension(now time.Duration) {
 	if o.lastTickAt == 0 || now-o.lastTickAt < minSuspensionTime || o.TrustStopped {
 		return
@@ -37,7 +38,8 @@
 	}
 }
 
-// predatesSuspension reports whether the connection to a was made before the last suspension.
+// predatesSuspension reports whether the connection to a was made before the process last
+// resumed.
 func (o *Owner) predatesSuspension(a *agent) bool {
 	return a.connectedAt < o.resumedAt
 }
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -9,7 +9,7 @@
 )
 
 // An entry watches a few agents, which report each change of their targets' room. The other
-// agents send only rare heartbeats. If the watched agents have no room, others are asked for
+// agents send only heartbeats, unless they run tasks of the entry. If the watched agents have no room, others are asked for
 // room and watched from then on. Agents below peer.LevelWatch are always watched.
 const (
 	// minWatched is the number of agents watched while jobs are submitted.
@@ -101,8 +101,8 @@
 	}
 }
 
-// endEvacuatedWatches stops watching targets in evacuated halls that run no task of this entry,
-// which makes room for other watches.
+// endEvacuatedWatches stops watching agents that run no task of this entry and whose targets are
+// in evacuated halls, which makes room for other watches.
 func (o *Owner) endEvacuatedWatches() {
 	for _, a := range slices.Clone(o.watched) {
 		if a.evacuated && a.level >= peer.LevelWatch && len(a.tasks) == 0 {
@@ -111,8 +111,8 @@
 	}
 }
 
-// leastUsed returns the least recently used agent whose watch may end, or nil. Ejected targets
-// stay watched so that they are probed.
+// leastUsed returns the least recently used agent whose watch may end, or nil. Agents with
+// ejected targets stay watched so that the targets are probed.
 func (o *Owner) leastUsed(now time.Duration) *agent {
 	var least *agent
 	for _, a := range o.watched {
@@ -126,8 +126,7 @@
 	return least
 }
 
-// pickUnwatched returns an unwatched agent that meets the condition, or nil, and prefers own
-// agents. The search starts at a random agent so that entries spread over the agents.
+// pickUnwatched returns an unwatched agent that meets the condition, own agents first, or nil. The search starts at a random agent so that entries spread over the agents.
 func (o *Owner) pickUnwatched(condition func(*agent) bool) *agent {
 	if len(o.watched) == len(o.byName) {
 		return nil
@@ -157,10 +156,11 @@
 	return peer.LevelBase
 }
 
-// SilentTooLong reports whether the connection to an agent should be closed. A connection
-// without runs is closed soon after a claim was left unanswered, since a new connection may
-// work where the old one has stalled. So is the connection to an unresponsive agent of a
-// suspected hall.
+// SilentTooLong reports whether the connection to an agent should be closed. Connections made
+// before the last suspension and those to unresponsive agents of a suspected hall are closed at
+// once. If the agent is silent and runs no task, the connection is closed after ClaimTimeout,
+// since a new connection may work where the old one has stalled. peer.SilentTooLong decides on
+// all others.
 func (o *Owner) SilentTooLong(now time.Duration, name string) bool {
 	a := o.agents[name]
 	if a == nil || !a.connected {
