--- a/owner/bounds_test.go
+++ b/owner/bounds_test.go
@@ -19,8 +19,8 @@
 	return m.HeapAlloc
 }
 
-// Guards against unbounded memory: 3,500 jobs at an entry with 1,200 full agents may use 16 MB,
-// a quarter of the process's limit, and those beyond maxJobs are refused.
+// Guards against unbounded memory: jobs beyond maxJobs must be refused, and the others must stay
+// below the limit at an entry with many full agents.
 func TestMemoryIsBounded(t *testing.T) {
 	const limit = 16 << 20 // bytes
 	before := bytesInUse()
@@ -43,7 +43,7 @@
 	used := bytesInUse() - before
 	assert.Equal(t, o.Jobs(), maxJobs)
 	assert.Equal(t, refused, 3500-maxJobs)
-	assert.Assert(t, used < limit, "%d bytes", used)
+	assert.Assert(t, used < limit, "%d bytes in use, more than the limit", used)
 	t.Logf("%.1f MB with 1,200 agents and %d jobs of 8 tasks", float64(used)/(1<<20), o.Jobs())
 	runtime.KeepAlive(o)
 }
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -118,7 +118,8 @@
 	}
 }
 
-// A job that another entry holds must not start here, nor be refused as not run.
+// Guards against a second start of a job that another entry holds, and against refusing such a
+// job as if nothing had run.
 func TestHeldJobIsJoinedAndNotStarted(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
@@ -188,7 +189,8 @@
 	assert.Equal(t, len(b.allStarts()), 1)
 }
 
-// Guards against a stop of running tasks if the other entry has started nothing.
+// Guards against a stop of running tasks for an entry that has started nothing, and against an
+// entry that does not release a job it has not started.
 func TestRunningJobContinuesAfterTransfer(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
@@ -198,7 +200,7 @@
 	b.advance(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 
-	b.submit(jobOf("2", 1)) // the entry that has started nothing
+	b.submit(jobOf("2", 1)) // here, this entry has started nothing
 	homes = b.homesOf("2")
 	b.reply(homes[0], claim.Reply{Job: "2", State: claim.Granted})
 	b.reply(homes[1], claim.Reply{Job: "2", State: claim.Held})
@@ -208,7 +210,8 @@
 	assert.Equal(t, len(last.Claims), 1) // joins the job at the home
 }
 
-// Guards against a job that waits forever for a silent home.
+// Guards against a job that waits forever for a silent home, and a home that stays excluded after
+// it has sent a frame.
 func TestSilentHomeIsReplacedAndRestored(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	b.submit(jobOf("1", 1))
@@ -232,7 +235,7 @@
 	assert.Equal(t, b.Stats().SilentHomes, uint64(1))
 }
 
-// While most agents are silent, other entries may choose other homes for the same jobs.
+// Guards against new jobs at an isolated entry: other entries may choose other homes for them.
 func TestIsolatedEntryStartsNoNewJobs(t *testing.T) {
 	b := newClaimHarness(t, 5)
 	for n := range 20 {
@@ -246,7 +249,7 @@
 	}
 	assert.Assert(t, b.Isolated())
 	for n := range 20 {
-		if b.jobs[fmt.Sprint(n)] != nil {
+		if b.jobs[fmt.Sprint(n)] != nil { // not refused since
 			b.grantAll(fmt.Sprint(n))
 		}
 	}
@@ -296,10 +299,12 @@
 	assert.Equal(t, b.Jobs(), 0)
 }
 
+// Guards against cancellations that do not reach the entry that owns the job, and against callers
+// that get no answer if no home replies.
 func TestCancellationReachesOtherEntries(t *testing.T) {
 	b := newClaimHarness(t, 6)
 	var answers []bool
-	cancel := func(id string) { b.CancelJob(b.now, id, func(known bool) { answers = append(answers, known) }) }
+	cancel := func(id string) { b.CancelJob(b.now, id, func(cancelled bool) { answers = append(answers, cancelled) }) }
 	reply := func(id string, state claim.State) {
 		for _, a := range b.byName {
 			for _, f := range b.frames[a.name] {
@@ -353,7 +358,7 @@
 	for _, f := range b.frames[from.name] {
 		last = max(last, f.UsedReservation)
 	}
-	assert.Equal(t, last, uint64(8)) // returned
+	assert.Equal(t, last, uint64(8)) // reservation returned
 }
 
 // Guards against answers that are lost when the process exits.
--- a/owner/estimates_test.go
+++ b/owner/estimates_test.go
@@ -48,8 +48,8 @@
 // estimate.
 func TestFirstTaskDurationCorrectsObjective(t *testing.T) {
 	o := newTestOwner(1)
-	spec := task.Job{Queue: "q", Service: "s", ObjectiveFactor: 2, Steps: []task.Step{{Count: 4, Estimate: 100 * ms}}}
-	j := newJob(0, o.withEstimates(spec, 1))
+	desc := task.Job{Queue: "q", Service: "s", ObjectiveFactor: 2, Steps: []task.Step{{Count: 4, Estimate: 100 * ms}}}
+	j := newJob(0, o.withEstimates(desc, 1))
 	j.queue = o.queue("s")
 	before := j.objectiveAt
 	for n := range 4 {
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -130,8 +130,8 @@
 	assert.Equal(t, len(b.starts("sulph")), 1)
 }
 
-// Agents in the hall are informed at once, the others with their next frame, and each only
-// once.
+// Guards against evacuations that are sent late to agents in the hall, never to the others, or
+// more than once.
 func TestEvacuationReachesAffectedAgentsFirst(t *testing.T) {
 	b := newWatchHarness(t, 20)
 	for k, a := range b.byName {
@@ -163,7 +163,8 @@
 	assert.Equal(t, b.frames["new"][0].Evacuations.Revision, uint64(7))
 }
 
-// An entry without access to the store forwards an agent's notice to the others, but not back.
+// Guards against evacuations that do not reach agents while the store is unavailable: an entry
+// must forward an agent's notice to the other agents, but not back to that agent.
 func TestEvacuationIsForwardedToOtherAgents(t *testing.T) {
 	b := newHallHarness(t, "a", "b", "c")
 	b.frames = make(map[string][]*peer.Frame)
--- a/owner/hall_outage_test.go
+++ b/owner/hall_outage_test.go
@@ -31,8 +31,8 @@
 
 func all(int) bool { return true }
 
-// A suspected hall gets no heartbeats, its connections are closed, and one frame ends the
-// suspicion.
+// Guards against tasks that stay in a lost hall: the hall must get no heartbeats and its
+// connections must be closed until one of its agents sends a frame.
 func TestUnresponsiveHallIsSuspected(t *testing.T) {
 	b := newClaimHarness(t, 8)
 	b.lastJobAt = b.now // keeps agents watched
@@ -52,12 +52,12 @@
 	assert.Equal(t, b.HallsSuspected(), 0)
 }
 
-// Guards against suspicion of a hall with one responsive agent, or by an entry that is cut off
-// itself.
+// Guards against a suspicion of a hall with one responsive agent, or by an entry that is itself
+// cut off.
 func TestHallIsNotSuspectedOnPartialSilence(t *testing.T) {
 	for name, responds := range map[string]func(int) bool{
-		"one of the hall": func(k int) bool { return k == 0 || !inFirstHall(k) },
-		"nobody":          func(int) bool { return false },
+		"one agent of the hall": func(k int) bool { return k == 0 || !inFirstHall(k) },
+		"no agent":              func(int) bool { return false },
 	} {
 		b := newClaimHarness(t, 8)
 		b.lastJobAt = b.now
@@ -70,7 +70,7 @@
 }
 
 // Jobs that can't wait for ClearTime are given up at once; others must continue.
-func TestHopelessJobsInSuspectedHallAreGivenUp(t *testing.T) {
+func TestJobsTooLateForClearTimeAreGivenUp(t *testing.T) {
 	b := newClaimHarness(t, 8)
 	b.lastJobAt = b.now
 	b.advanceWith(time.Second, all)
@@ -79,11 +79,11 @@
 		short, long := jobOf(fmt.Sprint("short-", n), 1), jobOf(fmt.Sprint("long-", n), 1)
 		long.ObjectiveFactor = 30
 		for _, j := range []string{short.ID, long.ID} {
-			spec := short
+			desc := short
 			if j == long.ID {
-				spec = long
+				desc = long
 			}
-			b.submit(spec)
+			b.submit(desc)
 			b.grantAll(j)
 		}
 	}
@@ -115,17 +115,17 @@
 	assert.Assert(t, givenUp > 0)
 }
 
-// An entry that reaches its own hall must start jobs; one that reaches a few agents of each
-// must not.
+// Guards against isolation of an entry that reaches most agents of one hall, and against an entry
+// that reaches only a few agents of each hall and is not isolated.
 func TestEntryWithReachableHallIsNotIsolated(t *testing.T) {
 	for name, c := range map[string]struct {
 		responds func(k int) bool
 		isolated bool
 	}{
-		"its own hall":           {func(k int) bool { return k%3 == 0 }, false},
-		"a few agents of each":   {func(k int) bool { return k < 3 }, true},
-		"half of its own hall":   {func(k int) bool { return k%6 == 0 }, true},
-		"all but one of its own": {func(k int) bool { return k%3 == 0 && k > 0 }, false},
+		"one hall":                  {func(k int) bool { return k%3 == 0 }, false},
+		"a few agents of each hall": {func(k int) bool { return k < 3 }, true},
+		"half of one hall":          {func(k int) bool { return k%6 == 0 }, true},
+		"one hall except one agent": {func(k int) bool { return k%3 == 0 && k > 0 }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t)
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -61,10 +61,10 @@
 	return b.Submit(b.now, j, func(a Answer) { b.answers[j.ID] = a })
 }
 
-// cancel cancels a job on a caller's request and returns whether it was known at once.
-func (b *harness) cancel(id string) (known bool) {
-	b.CancelJob(b.now, id, func(k bool) { known = k })
-	return known
+// cancel cancels a job on a caller's request and returns whether it was cancelled at once.
+func (b *harness) cancel(id string) (cancelled bool) {
+	b.CancelJob(b.now, id, func(c bool) { cancelled = c })
+	return cancelled
 }
 
 // starts returns the start orders sent to an agent.
@@ -110,7 +110,7 @@
 	assert.Equal(t, b.answers["1"].Kind, Completed)
 }
 
-func TestFasterTargetIsChosen(t *testing.T) {
+func TestFasterHealthyTargetIsChosen(t *testing.T) {
 	b := newHarness(t, "a", "b")
 	b.reportState("a", 4000, 0.8, peer.Healthy)
 	b.reportState("b", 4000, 1.25, peer.Healthy)
@@ -252,15 +252,15 @@
 	assert.Equal(t, b.Jobs(), 0)
 }
 
-// A refusal promises that nothing ran: a started job must be given up instead.
+// A refusal guarantees that nothing ran, so a started job must be given up instead.
 func TestStartedJobIsNotRefused(t *testing.T) {
 	b := newHarness(t, "a")
-	b.submit(jobOf("begun", 5)) // four fit
-	b.submit(jobOf("waits", 1))
+	b.submit(jobOf("started", 5)) // room for four of its tasks
+	b.submit(jobOf("waiting", 1))
 	b.advance(3 * time.Second)
-	assert.Equal(t, b.answers["waits"].Kind, Refused)
-	assert.Assert(t, b.answers["waits"].Retry > 0)
-	assert.Equal(t, b.answers["begun"].Kind, GivenUp)
+	assert.Equal(t, b.answers["waiting"].Kind, Refused)
+	assert.Assert(t, b.answers["waiting"].Retry > 0)
+	assert.Equal(t, b.answers["started"].Kind, GivenUp)
 }
 
 func TestOverdueRunIsRetriedOnlyAfterItsEnd(t *testing.T) {
@@ -313,7 +313,7 @@
 	assert.Assert(t, !b.cancel("1"))
 }
 
-// Guards against work for a caller that will have left, for example after a late resend.
+// Guards against runs for a caller whose timeout expires before they can end.
 func TestJobIsRefusedWhenCallerTimeoutIsTooShort(t *testing.T) {
 	b := newHarness(t, "a")
 	j := jobOf("1", 2)
--- a/owner/rate_test.go
+++ b/owner/rate_test.go
@@ -10,8 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// The work rate is the capacity of the targets, 16 cores each, times this entry's share of the
-// room in use.
+// Guards against a work rate that counts room used by other entries. It is the capacity of the
+// targets, 16 cores each, times this entry's share of the room in use.
 func TestWorkRateExcludesRoomOfOthers(t *testing.T) {
 	state := func(o *Owner, agent string, freeCPU int, health peer.Health) {
 		o.Receive(0, agent, &peer.Frame{State: &peer.State{
@@ -55,7 +55,7 @@
 	assert.Equal(t, o.workRate(0, o.queue("s")), 16*4.0/20)
 }
 
-// TestStartSpanIsZeroWithoutBacklog checks the time between the first and the last start of a job's tasks.
+// Guards against jobs that become more urgent by their number of tasks although none has to wait.
 func TestStartSpanIsZeroWithoutBacklog(t *testing.T) {
 	q := &serviceQueue{workRate: 10, nonEmptySince: time.Second}
 	now := time.Second + minBacklogTime
--- a/owner/retry_after_test.go
+++ b/owner/retry_after_test.go
@@ -10,8 +10,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Targets accept 2 core-seconds of retried work a second, and each job has one, so retries are
-// 500 ms apart.
+// Guards against resubmissions at the same time: with one core-second for each job, and two
+// accepted per second, they must be 500 ms apart.
 func TestResubmissionsAreSpread(t *testing.T) {
 	const rate, work = 2.0, 1.0
 	var r resubmissionSchedule
@@ -31,7 +31,7 @@
 	}
 }
 
-// Guards against a retry-after time without load data while no target accepts work.
+// Guards against retry-after times that ignore the last work rate while no target accepts work.
 func TestLastWorkRateIsKeptWithoutTargets(t *testing.T) {
 	o := newTestOwner()
 	q := o.queue("s")
--- a/owner/retry_test.go
+++ b/owner/retry_test.go
@@ -9,7 +9,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// A rejection by the agent needs no backoff, as the agent reports its state in the same frame.
+// Guards against repeated orders to a target that rejects them. A rejection by the agent itself
+// needs no backoff, as the agent reports its state in the same frame.
 func TestTargetRejectionBacksOffTask(t *testing.T) {
 	for why, backsOff := range map[code.Code]bool{
 		code.RunNoRoom: false, code.RunNotTaking: false, code.RunStaleOwner: false,
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -11,6 +11,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
+// Guards against unbounded memory and send queues.
 func TestJobBeyondLimitsIsNotAdmitted(t *testing.T) {
 	assert.Equal(t, admit(0, 0), code.OK)
 	assert.Equal(t, admit(maxJobs-1, maxLinkDelay), code.OK)
@@ -18,9 +19,9 @@
 	assert.Equal(t, admit(0, maxLinkDelay+1), code.JobLinkFull)
 }
 
-// Under MostServed, a job that can still be late must not be refused, nor one that has waited
-// for a quarter of its objective.
-func TestMostServedRefusesOnlyHopelessJobsEarly(t *testing.T) {
+// Under MostServed, a job must not be refused while it can meet its late objective, nor after it
+// has waited for maxRefusalShare of its objective.
+func TestMostServedRefusesOnlyLateJobsWithinWindow(t *testing.T) {
 	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms, untilLatestLateStart: 900 * ms}
 	with := func(change func(*queuePosition)) queuePosition {
 		p := usual
@@ -44,8 +45,7 @@
 	}
 }
 
-// TestMoreUrgentJobRanksFirst checks which of two jobs is served first. The default job has 200 ms of work
-// left, a margin factor of 1.2, and its objective in 500 ms, so its latest start is in 260 ms.
+// Guards against serving a less urgent job first.
 func TestMoreUrgentJobRanksFirst(t *testing.T) {
 	usual := rankInputs{now: time.Second, objectiveAt: 1500 * ms, lateObjectiveAt: 2500 * ms, remaining: 200 * ms,
 		spread: math.Log(1.2) / marginDeviations}
@@ -54,7 +54,7 @@
 		change(&u)
 		return u
 	}
-	assert.Equal(t, usual.latestStart().Round(ms), 1260*ms)
+	assert.Equal(t, usual.latestStart().Round(ms), 1260*ms) // 1500 ms - 1.2 * 200 ms
 	for _, c := range []struct {
 		name          string
 		first, second rankInputs
@@ -74,7 +74,7 @@
 	}
 }
 
-// TestBetterTargetCostsLess checks which of two targets a task of 100 ms is placed on.
+// Guards against placing a task on a worse target while a better one has room.
 func TestBetterTargetCostsLess(t *testing.T) {
 	s := task.Step{Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}
 	usual := candidate{speed: 1, capacity: task.Needs{CPU: 16000}, free: task.Needs{CPU: 16000}}
@@ -98,9 +98,9 @@
 	assert.Equal(t, usual.cost(task.Step{Estimate: 100 * ms}, 1.5), 0.1, "a task without needs has no last-room cost")
 }
 
-// The default job arrived at 1 s, has a late objective of 1 s, 300 ms of work left and no
-// caller deadline.
-func TestOnlyHopelessJobsAreEnded(t *testing.T) {
+// Guards against refusing or giving up jobs that can still be done in time, and against keeping
+// jobs that can't.
+func TestOnlyJobsOutOfTimeAreEnded(t *testing.T) {
 	usual := deadlineState{arrived: time.Second, lateObjectiveAt: 2 * time.Second, remaining: 300 * ms}
 	for _, c := range []struct {
 		name   string
@@ -129,12 +129,12 @@
 	}
 }
 
-// TestOnlyDelayedJobsAreRefusedInBacklog checks when a waiting job is refused because of the jobs ahead.
+// Guards against refusing a job whose turn comes in time, or keeping one that delays others.
 func TestOnlyDelayedJobsAreRefusedInBacklog(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		place queuePosition
-		want  bool
+		name     string
+		position queuePosition
+		want     bool
 	}{
 		{"turn comes in time", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 200 * ms}, false},
 		{"turn comes too late", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 201 * ms}, true},
@@ -142,14 +142,16 @@
 		{"missed its objective, so did all ahead", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, wait: time.Second}, false},
 		{"missed its objective, a job ahead has not, no wait", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, earlierJobMeets: true}, true},
 	} {
-		assert.Equal(t, c.place.shouldRefuse(), c.want, c.name)
+		assert.Equal(t, c.position.shouldRefuse(), c.want, c.name)
 	}
 }
 
+// Guards against stopping or failing runs too early or never.
 func TestRunsEndOnlyBeyondOverdueAndAttemptLimits(t *testing.T) {
 	assert.Assert(t, !runOverdue(350*ms, 100*ms, 1, 0.15, 0))
 	assert.Assert(t, runOverdue(351*ms, 100*ms, 1, 0.15, 0))
 	assert.Assert(t, !runOverdue(600*ms, 100*ms, 0.5, 0.15, 0), "a slow target gets more time")
+	// exp(overdueDeviations * 0.4) * 100 ms + overdueSlack is 838.9 ms.
 	assert.Assert(t, !runOverdue(838*ms, 100*ms, 1, 0.4, 0), "a larger estimation error gives more time")
 	assert.Assert(t, runOverdue(840*ms, 100*ms, 1, 0.4, 0))
 
--- a/owner/suspension_test.go
+++ b/owner/suspension_test.go
@@ -44,7 +44,7 @@
 	assert.Equal(t, len(b.allStarts()), starts+1)
 }
 
-// Guards against a reset on a host whose CPU quota pauses it for about 100 ms.
+// Guards against a reset on a host whose CPU quota pauses the process for about 100 ms.
 func TestLateTickIsNotASuspension(t *testing.T) {
 	b := newClaimHarness(t, 4)
 	b.submit(jobOf("0123456789abcdef", 1))
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -210,8 +210,8 @@
 	assert.DeepEqual(t, b.requested(), []string{"side-010"})
 }
 
-// A job near its data takes the reservation before a more urgent one; jobs not allowed there
-// must not.
+// Guards against a reservation used by a more urgent job far from its data, or by a job that may
+// not run there.
 func TestReservationPrefersJobWithLocalData(t *testing.T) {
 	b := newWatchHarness(t, 3)
 	b.reportLabel("side-000", "rack-1", 0)
