--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -95,7 +95,8 @@
 	b.endAll(task.EndDone)
 	assert.Equal(t, b.answers["1"].Kind, Completed)
 	for _, a := range homes {
-		assert.DeepEqual(t, b.settled(a), []claim.Settlement{{Job: "1", Outcome: claim.Completed, Why: code.JobAllDone, Clear: true}})
+		assert.DeepEqual(t, b.settled(a),
+			[]claim.Settlement{{Job: "1", Outcome: claim.Completed, Why: code.JobAllDone, Clear: true}})
 	}
 }
 
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -16,7 +16,8 @@
 	defer o.flush(now)
 	a := o.agents[name]
 	if a == nil {
-		a = &agent{name: name, hash: claim.Hash(name), tasks: make(map[task.ID]*job), droppedRuns: make(map[task.ID]int)}
+		a = &agent{name: name, hash: claim.Hash(name), tasks: make(map[task.ID]*job),
+			droppedRuns: make(map[task.ID]int)}
 		o.agents[name] = a
 		o.byName = insertByName(o.byName, a)
 	}
--- a/owner/crash.go
+++ b/owner/crash.go
@@ -115,7 +115,8 @@
 
 // recordCrash records that a target crashed during a run of t.
 func (o *Owner) recordCrash(now time.Duration, a *agent, j *job, ref task.Ref, t *taskState) {
-	t.crashes = append(t.crashes, crash{agent: a, at: a.stoppedAcceptingAt, exclusive: slices.Contains(t.exclusiveRuns, ref.Run)})
+	t.crashes = append(t.crashes,
+		crash{agent: a, at: a.stoppedAcceptingAt, exclusive: slices.Contains(t.exclusiveRuns, ref.Run)})
 	t.exclusiveUntil = now + exclusiveWaitTime
 	j.crashSuspect = true
 	o.logCrash(ref, t, a)
--- a/owner/decision_bench_test.go
+++ b/owner/decision_bench_test.go
@@ -40,7 +40,8 @@
 				asked, orders = asked[:0], orders[:0]
 				o.Submit(now, jobOf(fmt.Sprint(n), 1), func(Answer) {})
 				agent := asked[0]
-				o.Receive(now, agent, &peer.Frame{State: state, Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 4000, MemoryMB: 100}}})
+				o.Receive(now, agent, &peer.Frame{State: state,
+					Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 4000, MemoryMB: 100}}})
 				o.Receive(now, agent, &peer.Frame{Ended: []peer.Ended{{
 					Ref: task.Ref{Task: orders[0].Task, Run: 1}, End: task.EndDone, Took: 100 * ms}}})
 				for _, other := range asked[1:] {
@@ -53,7 +54,8 @@
 
 // halfFull returns the state of a target in a hall with half of its room free.
 func halfFull(hall string) *peer.State {
-	return &peer.State{Profile: &peer.Profile{Service: "trackd", Hall: hall, Capacity: task.Needs{CPU: 16000, MemoryMB: 100}},
+	return &peer.State{Profile: &peer.Profile{Service: "trackd", Hall: hall,
+		Capacity: task.Needs{CPU: 16000, MemoryMB: 100}},
 		Free: task.Needs{CPU: 8000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: 1}
 }
 
--- a/owner/estimates_test.go
+++ b/owner/estimates_test.go
@@ -30,14 +30,16 @@
 func TestObjectiveCountsLongestTask(t *testing.T) {
 	guess := 100 * ms
 	job := func(tasks int) task.Job {
-		return task.Job{Queue: "q", Service: "s", ObjectiveFactor: 2, Steps: []task.Step{{Count: tasks, Estimate: guess}}}
+		return task.Job{Queue: "q", Service: "s", ObjectiveFactor: 2,
+			Steps: []task.Step{{Count: tasks, Estimate: guess}}}
 	}
 	o := newTestOwner(1, 1, 1)
 	one := o.withEstimates(job(1), o.usualSpeed("s"))
 	eight := o.withEstimates(job(8), o.usualSpeed("s"))
 	assert.Equal(t, one.Objective().Round(ms), 2*guess)
 	assert.Assert(t, eight.Objective() > 5*one.Objective()/4, eight.Objective())
-	assert.Equal(t, eight.Steps[0].Estimate, one.Steps[0].Estimate, "the estimate of one task does not depend on their number")
+	assert.Equal(t, eight.Steps[0].Estimate, one.Steps[0].Estimate,
+		"the estimate of one task does not depend on their number")
 
 	o = newTestOwner(0.25, 0.5, 0.5) // tasks take twice the guess; one target is slow
 	one = o.withEstimates(job(1), o.usualSpeed("s"))
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -16,8 +16,9 @@
 // reportStateIn has an agent report an empty target in a hall.
 func (b *harness) reportStateIn(agent, hall string, labels ...string) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
-		Profile: &peer.Profile{Target: "i", Service: "trackd", Hall: hall, Labels: labels, Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free:    task.Needs{CPU: 4000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+		Profile: &peer.Profile{Target: "i", Service: "trackd", Hall: hall, Labels: labels,
+			Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
+		Free: task.Needs{CPU: 4000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
 // newHallHarness returns an owner with one agent in each hall, named after the hall.
@@ -83,7 +84,8 @@
 	o := b.starts(name)[0]
 	set := evacuation.NewSet(7, []string{name})
 	b.Receive(b.now, name, &peer.Frame{Evacuations: &set, Ended: []peer.Ended{{
-		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: task.EndRejected, Reason: code.RunHallEvacuated, TargetFault: true}}})
+		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: task.EndRejected, Reason: code.RunHallEvacuated,
+		TargetFault: true}}})
 	assert.Equal(t, len(b.starts(other)), 1)
 	j := b.jobs["1"]
 	assert.Equal(t, j.steps[0].tasks[0].failures, 0)
--- a/owner/home.go
+++ b/owner/home.go
@@ -167,7 +167,8 @@
 	var silent []*agent
 	for _, j := range o.sortedJobs() {
 		for _, h := range j.homes {
-			if h.state != asked || now-h.askedAt < o.ClaimTimeout || h.agent.silentSince > 0 || h.agent.lastFrameAt > h.askedAt {
+			if h.state != asked || now-h.askedAt < o.ClaimTimeout || h.agent.silentSince > 0 ||
+				h.agent.lastFrameAt > h.askedAt {
 				continue
 			}
 			h.agent.silentSince = now
--- a/owner/log.go
+++ b/owner/log.go
@@ -79,7 +79,8 @@
 
 // logCrash logs that a target crashed during a run of a task.
 func (o *Owner) logCrash(ref task.Ref, t *taskState, a *agent) {
-	o.log(event.TaskSuspect, slog.String("task", ref.Task.String()), slog.Int("run", ref.Run), slog.String("agent", a.name), slog.Int("crashes", len(t.crashes)))
+	o.log(event.TaskSuspect, slog.String("task", ref.Task.String()), slog.Int("run", ref.Run),
+		slog.String("agent", a.name), slog.Int("crashes", len(t.crashes)))
 }
 
 // logAnswered logs the answer to a job.
@@ -111,7 +112,8 @@
 
 // logSuspended logs how long the process was suspended.
 func (o *Owner) logSuspended(now time.Duration) {
-	o.log(event.EntryStopped, slog.Int64("stopped_ms", (now-o.lastTickAt).Milliseconds()), slog.Int("jobs", len(o.jobs)))
+	o.log(event.EntryStopped, slog.Int64("stopped_ms", (now-o.lastTickAt).Milliseconds()),
+		slog.Int("jobs", len(o.jobs)))
 }
 
 // logYielded logs that the runs of a job are stopped because another entry holds it.
@@ -121,12 +123,14 @@
 
 // logCancelPassed logs the result of a cancellation that was forwarded to the job's homes.
 func (o *Owner) logCancelPassed(id string, cancelled bool, took time.Duration) {
-	o.log(event.JobCancelPassed, slog.String("job", id), slog.Bool("known", cancelled), event.Milliseconds("took_ms", took))
+	o.log(event.JobCancelPassed, slog.String("job", id), slog.Bool("known", cancelled),
+		event.Milliseconds("took_ms", took))
 }
 
 // logIsolation logs that this entry became isolated or is no longer isolated.
 func (o *Owner) logIsolation(known, missing int) {
-	o.log(event.EntryIsolated, slog.Bool("isolated", o.isolated), slog.Int("agents", known), slog.Int("missing", missing))
+	o.log(event.EntryIsolated, slog.Bool("isolated", o.isolated), slog.Int("agents", known),
+		slog.Int("missing", missing))
 }
 
 // logHomeSilent logs that an agent left a claim unanswered.
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -47,7 +47,8 @@
 func (b *harness) reportState(agent string, cpu int, speed float64, health peer.Health) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true,
+		SeenSeq: b.seq}})
 }
 
 // jobOf returns a job of one step with the given number of tasks of one core and 100 ms each.
@@ -129,7 +130,8 @@
 	last := b.frames["a"][len(b.frames["a"])-1]
 	assert.Assert(t, last.RoomRequest != nil)
 	assert.Equal(t, last.RoomRequest.Total.CPU, 2000)
-	b.Receive(b.now, "a", &peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
+	b.Receive(b.now, "a",
+		&peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
 	last = b.frames["a"][len(b.frames["a"])-1]
 	assert.Equal(t, last.UsedReservation, uint64(7))
 	assert.Equal(t, len(last.Starts), 1)      // the second task does not fit
@@ -144,7 +146,8 @@
 	long.Steps[0].Estimate = time.Second
 	b.submit(long)
 	b.submit(jobOf("short", 1))
-	b.Receive(b.now, "a", &peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 1000, MemoryMB: 100}}})
+	b.Receive(b.now, "a",
+		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 1000, MemoryMB: 100}}})
 	orders := b.starts("a")
 	assert.Equal(t, orders[len(orders)-1].Task.Job, "short")
 }
@@ -152,7 +155,8 @@
 func TestStepWaitsForDependencies(t *testing.T) {
 	b := newHarness(t, "a")
 	j := jobOf("1", 2)
-	j.Steps = append(j.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
+	j.Steps = append(j.Steps,
+		task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
 	b.submit(j)
 	assert.Equal(t, len(b.starts("a")), 2)
 	b.reportEnd("a", b.starts("a")[0], task.EndDone, code.RunListed)
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -190,7 +190,8 @@
 	a.usedAt = now
 	a.out.Starts = append(a.out.Starts, o.order(now, j, id, t.run, a))
 	o.markDirty(a)
-	a.pending = append(a.pending, pendingOrder{needs: t.needs(now, j.desc.Steps[step], a)}) // flush sets the sequence number
+	// flush sets the sequence number of the pending order.
+	a.pending = append(a.pending, pendingOrder{needs: t.needs(now, j.desc.Steps[step], a)})
 	o.stats.Starts++
 	o.logPlaced(now, j, id, t, a)
 }
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -112,7 +112,8 @@
 // miss even its late objective, and only within the window from minRefusalShare to
 // maxRefusalShare of its objective.
 func (p queuePosition) shouldRefuseMostServed() bool {
-	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) || p.waited > time.Duration(maxRefusalShare*float64(p.objective)) {
+	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) ||
+		p.waited > time.Duration(maxRefusalShare*float64(p.objective)) {
 		return false
 	}
 	return p.wait > p.untilLatestLateStart
--- a/owner/release.go
+++ b/owner/release.go
@@ -15,7 +15,8 @@
 	if a == nil {
 		return true
 	}
-	if len(a.out.Settled) > 0 || a.watching || a.reserved != nil || a.clearAt > 0 || len(a.tasks) > 0 || len(a.droppedRuns) > 0 {
+	if len(a.out.Settled) > 0 || a.watching || a.reserved != nil || a.clearAt > 0 || len(a.tasks) > 0 ||
+		len(a.droppedRuns) > 0 {
 		return false
 	}
 	for _, j := range o.jobs {
@@ -81,7 +82,8 @@
 	}
 	for _, s := range j.desc.Steps {
 		for _, label := range []string{s.Label, s.Rack} {
-			if label != "" && !slices.ContainsFunc(o.byName, func(a *agent) bool { return a.connected && a.labels[label] }) {
+			if label != "" &&
+				!slices.ContainsFunc(o.byName, func(a *agent) bool { return a.connected && a.labels[label] }) {
 				o.missingLabel = true
 			}
 		}
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -68,7 +68,8 @@
 func (o *Owner) requestCandidates(now time.Duration, j *job, step, index, count int) []*agent {
 	var legacy []*agent
 	eligible := func(a *agent) bool {
-		return !a.roomRequested && a.state.Health != peer.Ejected && o.allowed(now, j, step, &j.steps[step].tasks[index], a)
+		return !a.roomRequested && a.state.Health != peer.Ejected &&
+			o.allowed(now, j, step, &j.steps[step].tasks[index], a)
 	}
 	for _, a := range o.watched {
 		if a.level < peer.LevelWatch && a.usable(now, j.desc.Service) && eligible(a) {
@@ -100,7 +101,8 @@
 
 // withoutRoom returns up to count watched agents without enough known free room, which may have
 // room soon.
-func (o *Owner) withoutRoom(now time.Duration, service string, s task.Step, meets func(*agent) bool, count int) []*agent {
+func (o *Owner) withoutRoom(now time.Duration, service string, s task.Step, meets func(*agent) bool,
+	count int) []*agent {
 	list := o.watchedWhere(now, service, func(a *agent) bool { return !s.Needs.Fits(a.freeRoom()) && meets(a) })
 	return list[:max(0, min(len(list), count))]
 }
--- a/owner/retry_test.go
+++ b/owner/retry_test.go
@@ -22,6 +22,7 @@
 		state := &j.steps[0].tasks[0]
 		o.recordRejection(0, o.agents["a"], j, state, why)
 		assert.Equal(t, !o.allowed(rejectionBackoff/2, j, 0, state, o.agents["a"]), backsOff, why.String())
-		assert.Equal(t, j.started(), backsOff, "the job counts as started only if the order reached the target: "+why.String())
+		assert.Equal(t, j.started(), backsOff,
+			"the job counts as started only if the order reached the target: "+why.String())
 	}
 }
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -22,7 +22,8 @@
 // Under MostServed, a job must not be refused while it can meet its late objective, nor after it
 // has waited for maxRefusalShare of its objective.
 func TestMostServedRefusesOnlyLateJobsWithinWindow(t *testing.T) {
-	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms, untilLatestLateStart: 900 * ms}
+	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms,
+		untilLatestLateStart: 900 * ms}
 	with := func(change func(*queuePosition)) queuePosition {
 		p := usual
 		change(&p)
@@ -36,9 +37,11 @@
 		{"can meet its objective", with(func(p *queuePosition) { p.wait = 50 * ms }), false, false},
 		{"can meet its late objective", with(func(p *queuePosition) { p.wait = 500 * ms }), true, false},
 		{"misses its late objective", with(func(p *queuePosition) { p.wait = time.Second }), true, true},
-		{"missed its objective, a job ahead has not", with(func(p *queuePosition) { p.missesObjective, p.earlierJobMeets = true, true }), true, false},
+		{"missed its objective, a job ahead has not",
+			with(func(p *queuePosition) { p.missesObjective, p.earlierJobMeets = true, true }), true, false},
 		{"has just arrived", with(func(p *queuePosition) { p.wait, p.waited = time.Second, 40*ms }), false, false},
-		{"has waited longer than the refusal window", with(func(p *queuePosition) { p.wait, p.waited = time.Second, 130*ms }), true, false},
+		{"has waited longer than the refusal window",
+			with(func(p *queuePosition) { p.wait, p.waited = time.Second, 130*ms }), true, false},
 	} {
 		assert.Equal(t, c.p.shouldRefuse(), c.worth, c.name)
 		assert.Equal(t, c.p.shouldRefuseMostServed(), c.served, c.name)
@@ -63,11 +66,14 @@
 		{"more work left", with(func(u *rankInputs) { u.remaining += 10 * ms }), usual},
 		{"larger estimation error", with(func(u *rankInputs) { u.spread *= 2 }), usual},
 		{"longer start span", with(func(u *rankInputs) { u.startSpan = 10 * ms }), usual},
-		{"most urgent priority", usual, with(func(u *rankInputs) { u.priority, u.objectiveAt = 1, u.objectiveAt-20*ms })},
+		{"most urgent priority", usual,
+			with(func(u *rankInputs) { u.priority, u.objectiveAt = 1, u.objectiveAt-20*ms })},
 		{"next priority", with(func(u *rankInputs) { u.priority = 1 }), with(func(u *rankInputs) { u.priority = 2 })},
 		{"started job", with(func(u *rankInputs) { u.started, u.objectiveAt = true, u.objectiveAt+30*ms }), usual},
-		{"can meet its objective", with(func(u *rankInputs) { u.objectiveAt += time.Minute }), with(func(u *rankInputs) { u.objectiveAt = u.now })},
-		{"late jobs: earlier late objective", with(func(u *rankInputs) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+600*ms }),
+		{"can meet its objective", with(func(u *rankInputs) { u.objectiveAt += time.Minute }),
+			with(func(u *rankInputs) { u.objectiveAt = u.now })},
+		{"late jobs: earlier late objective",
+			with(func(u *rankInputs) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+600*ms }),
 			with(func(u *rankInputs) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+700*ms })},
 	} {
 		assert.Assert(t, c.first.rank() < c.second.rank(), c.name)
@@ -89,9 +95,11 @@
 	}{
 		{"faster target", with(func(c *candidate) { c.speed = 1.2 }), usual},
 		{"emptier target", usual, with(func(c *candidate) { c.free.CPU = 8000 })},
-		{"more room than the task needs", with(func(c *candidate) { c.free.CPU = 2000 }), with(func(c *candidate) { c.free.CPU = 1000 })},
+		{"more room than the task needs", with(func(c *candidate) { c.free.CPU = 2000 }),
+			with(func(c *candidate) { c.free.CPU = 1000 })},
 		{"near the data", usual, with(func(c *candidate) { c.far = true })},
-		{"slow but not ejected", with(func(c *candidate) { c.speed = minSpeed }), with(func(c *candidate) { c.ejected = true })},
+		{"slow but not ejected", with(func(c *candidate) { c.speed = minSpeed }),
+			with(func(c *candidate) { c.ejected = true })},
 	} {
 		assert.Assert(t, c.first.cost(s, 1.5) < c.second.cost(s, 1.5), c.name)
 	}
@@ -111,14 +119,20 @@
 		{"enough time", 1700 * ms, nil, code.OK},
 		{"optimistic remaining time just fits", 1790 * ms, nil, code.OK},
 		{"misses its late objective", 1791 * ms, nil, code.JobOutOfTime},
-		{"caller deadline before the end", 1100 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.JobCallerLeaves},
+		{"caller deadline before the end", 1100 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms },
+			code.JobCallerLeaves},
 		{"caller deadline after the end", 1090 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.OK},
-		{"started, before the answer margin", 1279 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.OK},
-		{"started, at the answer margin", 1280 * ms, func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerLeaves},
-		{"started, tasks wait, at the limit", 2200 * ms, func(p *deadlineState) { p.started, p.hasStartable = true, true }, code.OK},
-		{"started, tasks wait, past the limit", 2201 * ms, func(p *deadlineState) { p.started, p.hasStartable = true, true }, code.JobTooLate},
+		{"started, before the answer margin", 1279 * ms,
+			func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.OK},
+		{"started, at the answer margin", 1280 * ms,
+			func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerLeaves},
+		{"started, tasks wait, at the limit", 2200 * ms,
+			func(p *deadlineState) { p.started, p.hasStartable = true, true }, code.OK},
+		{"started, tasks wait, past the limit", 2201 * ms,
+			func(p *deadlineState) { p.started, p.hasStartable = true, true }, code.JobTooLate},
 		{"started, all tasks run, at the limit", 2600 * ms, func(p *deadlineState) { p.started = true }, code.OK},
-		{"started, all tasks run, past the limit", 2601 * ms, func(p *deadlineState) { p.started = true }, code.JobTooLate},
+		{"started, all tasks run, past the limit", 2601 * ms, func(p *deadlineState) { p.started = true },
+			code.JobTooLate},
 	} {
 		p := usual
 		p.now = c.at
@@ -136,11 +150,16 @@
 		position queuePosition
 		want     bool
 	}{
-		{"turn comes in time", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 200 * ms}, false},
-		{"turn comes too late", queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 201 * ms}, true},
-		{"has just arrived, long wait", queuePosition{waited: 49 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: time.Second}, false},
-		{"missed its objective, so did all ahead", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, wait: time.Second}, false},
-		{"missed its objective, a job ahead has not, no wait", queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, earlierJobMeets: true}, true},
+		{"turn comes in time",
+			queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 200 * ms}, false},
+		{"turn comes too late",
+			queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: 201 * ms}, true},
+		{"has just arrived, long wait",
+			queuePosition{waited: 49 * ms, objective: 500 * ms, untilLatestStart: 200 * ms, wait: time.Second}, false},
+		{"missed its objective, so did all ahead",
+			queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, wait: time.Second}, false},
+		{"missed its objective, a job ahead has not, no wait",
+			queuePosition{waited: 100 * ms, objective: 500 * ms, missesObjective: true, earlierJobMeets: true}, true},
 	} {
 		assert.Equal(t, c.position.shouldRefuse(), c.want, c.name)
 	}
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -84,7 +84,8 @@
 		o.cancelIfAbandoned(now, j)
 	case o.dropped[interest.Job] != nil:
 		o.dropped[interest.Job].remoteWaiter = interest.Waits
-	case interest.Waits && !slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == interest.Job }):
+	case interest.Waits &&
+		!slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == interest.Job }):
 		o.sendSettlement(a, claim.Settlement{Job: interest.Job, Clear: true}, true)
 	}
 }
--- a/owner/tick.go
+++ b/owner/tick.go
@@ -42,7 +42,8 @@
 
 // sortedQueues returns the queues by service, in a deterministic order.
 func (o *Owner) sortedQueues() []*serviceQueue {
-	return slices.SortedFunc(maps.Values(o.queues), func(a, b *serviceQueue) int { return strings.Compare(a.service, b.service) })
+	return slices.SortedFunc(maps.Values(o.queues),
+		func(a, b *serviceQueue) int { return strings.Compare(a.service, b.service) })
 }
 
 // sortedJobs returns the jobs by id, in a deterministic order.
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -9,8 +9,9 @@
 )
 
 // An entry watches a few agents, which report each change of their targets' room. The other
-// agents send only heartbeats, unless they run tasks of the entry. If the watched agents have no room, others are asked for
-// room and watched from then on. Agents below peer.LevelWatch are always watched.
+// agents send only heartbeats, unless they run tasks of the entry. If the watched agents have
+// no room, others are asked for room and watched from then on. Agents below peer.LevelWatch are
+// always watched.
 const (
 	// minWatched is the number of agents watched while jobs are submitted.
 	minWatched = 12
@@ -116,7 +117,8 @@
 func (o *Owner) leastUsed(now time.Duration) *agent {
 	var least *agent
 	for _, a := range o.watched {
-		if a.level < peer.LevelWatch || len(a.tasks) > 0 || now-a.usedAt < watchRetention || a.state.Health == peer.Ejected {
+		if a.level < peer.LevelWatch || len(a.tasks) > 0 || now-a.usedAt < watchRetention ||
+			a.state.Health == peer.Ejected {
 			continue
 		}
 		if least == nil || a.usedAt < least.usedAt {
@@ -126,7 +128,8 @@
 	return least
 }
 
-// pickUnwatched returns an unwatched agent that meets the condition, own agents first, or nil. The search starts at a random agent so that entries spread over the agents.
+// pickUnwatched returns an unwatched agent that meets the condition, own agents first, or nil.
+// The search starts at a random agent so that entries spread over the agents.
 func (o *Owner) pickUnwatched(condition func(*agent) bool) *agent {
 	if len(o.watched) == len(o.byName) {
 		return nil
