--- a/owner/claim.go
+++ b/owner/claim.go
@@ -86,9 +86,9 @@
 // each hold the claim at one home, the entry whose home has the lower rank keeps the job.
 //
 // If j is started here and the claim is granted at a home of lower rank, this entry keeps j, and
-// the other entry will release its claim. If j is started but no such home has granted the claim, j is contested
-// (checkContested). If j is not started here, this entry joins it and releases its claims at
-// the homes of higher rank than the one that replied.
+// the other entry will release its claim. If j is started here but no such home has granted the
+// claim, j is contested (checkContested). If j is not started here, this entry joins it and
+// releases its claims at the homes of higher rank than the one that replied.
 func (o *Owner) handleHeld(now time.Duration, j *job, a *agent) {
 	rank := claim.RankOf(j.hash, a.hash)
 	first := slices.IndexFunc(j.homes, func(h home) bool { return h.state == granted })
--- a/owner/crash.go
+++ b/owner/crash.go
@@ -29,7 +29,7 @@
 	exclusiveWaitTime = 200 * time.Millisecond
 	// correlationWindow is the time within which crashes of several targets count as one event.
 	// Such an event, like the loss of a rack or of power, is not attributed to tasks if it
-	// affects at least correlatedShare of the connected agents and at least minCorrelated
+	// affects at least correlatedShare of the agents (correlated) and at least minCorrelated
 	// agents.
 	//
 	// A job of many tasks may crash as many targets at once. A crash under a task with the
@@ -133,9 +133,9 @@
 	}
 }
 
-// crashesTooOften reports whether the job of t should fail. A crash under a task that
-// had the target to itself counts at once, any other one after correlationWindow and only if it
-// was not correlated.
+// crashesTooOften reports whether the job of t should fail. A crash under a task that had the
+// target to itself counts at once, any other one after correlationWindow and only if it was not
+// correlated.
 func (o *Owner) crashesTooOften(now time.Duration, t *taskState) bool {
 	count, exclusive := 0, false
 	for _, c := range t.crashes {
--- a/owner/home.go
+++ b/owner/home.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// loseHome removes a from the homes of all jobs after its connection was lost or it became
-// silent, and claims the jobs at other agents. A silent agent that is still connected is
-// informed that the claims it has not granted are void.
+// loseHome removes a from the homes of jobs and claims the jobs at other agents. If the connection
+// to a was lost, it does so for all jobs. If a is silent but connected, it does so only for the
+// jobs whose claim a has not answered, and informs a that these claims are void.
 func (o *Owner) loseHome(now time.Duration, a *agent) {
 	for _, j := range o.sortedJobs() {
 		k := slices.IndexFunc(j.homes, func(h home) bool { return h.agent == a })
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -6,15 +6,15 @@
 	"github.com/beaconpoint/beaconpoint/claim"
 )
 
-// An entry from which most agents are silent or lost considers itself isolated. It starts no
-// job that it had not claimed before, since other entries may choose other homes for the same
-// job.
+// An entry counts as isolated if most agents are silent or lost and no data hall is mostly
+// reachable. It then starts no job that it had not claimed before, since other entries may choose
+// other homes for the same job.
 //
-// An entry is partitioned, not isolated, if most agents are silent or lost but a whole data hall
-// is reachable, so that work can continue in that hall. Entries in other halls may be partitioned
-// as well. A partitioned entry starts a new job only if it reaches one of the homes that a fully
-// connected entry would choose, because conflicting claims are detected there. The other jobs
-// wait until the unreachable agents have been silent for isolationTime.
+// An entry is partitioned, not isolated, if most agents are silent or lost but a data hall is
+// mostly reachable, so that work can continue in that hall. Entries in other halls may be
+// partitioned as well. A partitioned entry starts a new job only if it has claimed the job at one
+// of the homes that a fully connected entry would choose, because conflicting claims are detected
+// there. The other jobs wait until the unreachable agents have been silent for isolationTime.
 
 // isolationTime is how long a silent or lost agent counts toward isolation. After that it is
 // taken to be down, and the remaining halls resume service.
@@ -131,7 +131,7 @@
 	return best
 }
 
-// Isolated reports whether this entry considers itself cut off from most agents.
+// Isolated reports whether this entry counts as isolated.
 func (o *Owner) Isolated() bool {
 	return o.isolated
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -131,12 +131,14 @@
 	// lastNoContactAt is the last tick at which the latest frame from any agent was older than
 	// maxContactAge.
 	lastNoContactAt time.Duration
-	// isolated reports whether most agents are silent or lost.
+	// isolated reports whether most agents are silent or lost and no data hall is mostly
+	// reachable, or isolatedUntil has not passed.
 	isolated bool
-	// partitioned reports whether most agents are silent or lost, but a whole data hall is
+	// partitioned reports whether most agents are silent or lost, but a data hall is mostly
 	// reachable.
 	partitioned bool
-	// isolatedUntil ends the isolation that follows the first connection or a suspension.
+	// isolatedUntil is the end of the isolation that follows the first connection or a
+	// suspension.
 	isolatedUntil time.Duration
 	// lastTickAt is the time of the last tick, lastLateTickAt that of the last late one.
 	lastTickAt, lastLateTickAt time.Duration
--- a/owner/rank.go
+++ b/owner/rank.go
@@ -42,32 +42,32 @@
 
 // latestStart returns the latest time at which the rest of the job should start to meet its
 // objective.
-func (u rankInputs) latestStart() time.Duration {
-	margin := math.Exp(marginDeviations * u.spread)
-	return u.objectiveAt - time.Duration(margin*float64(u.remaining)) - u.startSpan
+func (r rankInputs) latestStart() time.Duration {
+	margin := math.Exp(marginDeviations * r.spread)
+	return r.objectiveAt - time.Duration(margin*float64(r.remaining)) - r.startSpan
 }
 
 // latestLateStart returns the latest time at which the rest of the job should start to meet its
 // late objective.
-func (u rankInputs) latestLateStart() time.Duration {
-	return u.latestStart() + u.lateObjectiveAt - u.objectiveAt
+func (r rankInputs) latestLateStart() time.Duration {
+	return r.latestStart() + r.lateObjectiveAt - r.objectiveAt
 }
 
 // rank returns the sort key of the job: the lowest rank is served first. It is the adjusted
 // latest start time while the job can meet its objective. After that it is the adjusted latest
 // start for the late objective, without safety margin and start span, plus lateRankOffset.
-func (u rankInputs) rank() time.Duration {
+func (r rankInputs) rank() time.Duration {
 	var shift time.Duration
-	if u.priority > 0 {
-		shift += lowerPriorityDelay + time.Duration(u.priority)*priorityDelay
+	if r.priority > 0 {
+		shift += lowerPriorityDelay + time.Duration(r.priority)*priorityDelay
 	}
-	if u.started {
+	if r.started {
 		shift -= startedAdvance
 	}
-	if latest := u.latestStart(); u.now <= latest {
+	if latest := r.latestStart(); r.now <= latest {
 		return latest + shift
 	}
-	return lateRankOffset + u.lateObjectiveAt - u.remaining + shift
+	return lateRankOffset + r.lateObjectiveAt - r.remaining + shift
 }
 
 // rankInputs returns the inputs of j's rank at now, with the start span of the last call of
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -53,28 +53,28 @@
 	usual := rankInputs{now: time.Second, objectiveAt: 1500 * ms, lateObjectiveAt: 2500 * ms, remaining: 200 * ms,
 		spread: math.Log(1.2) / marginDeviations}
 	with := func(change func(*rankInputs)) rankInputs {
-		u := usual
-		change(&u)
-		return u
+		r := usual
+		change(&r)
+		return r
 	}
 	assert.Equal(t, usual.latestStart().Round(ms), 1260*ms) // 1500 ms - 1.2 * 200 ms
 	for _, c := range []struct {
 		name          string
 		first, second rankInputs
 	}{
-		{"less time left", with(func(u *rankInputs) { u.objectiveAt -= 10 * ms }), usual},
-		{"more work left", with(func(u *rankInputs) { u.remaining += 10 * ms }), usual},
-		{"larger estimation error", with(func(u *rankInputs) { u.spread *= 2 }), usual},
-		{"longer start span", with(func(u *rankInputs) { u.startSpan = 10 * ms }), usual},
+		{"less time left", with(func(r *rankInputs) { r.objectiveAt -= 10 * ms }), usual},
+		{"more work left", with(func(r *rankInputs) { r.remaining += 10 * ms }), usual},
+		{"larger estimation error", with(func(r *rankInputs) { r.spread *= 2 }), usual},
+		{"longer start span", with(func(r *rankInputs) { r.startSpan = 10 * ms }), usual},
 		{"most urgent priority", usual,
-			with(func(u *rankInputs) { u.priority, u.objectiveAt = 1, u.objectiveAt-20*ms })},
-		{"next priority", with(func(u *rankInputs) { u.priority = 1 }), with(func(u *rankInputs) { u.priority = 2 })},
-		{"started job", with(func(u *rankInputs) { u.started, u.objectiveAt = true, u.objectiveAt+30*ms }), usual},
-		{"can meet its objective", with(func(u *rankInputs) { u.objectiveAt += time.Minute }),
-			with(func(u *rankInputs) { u.objectiveAt = u.now })},
+			with(func(r *rankInputs) { r.priority, r.objectiveAt = 1, r.objectiveAt-20*ms })},
+		{"next priority", with(func(r *rankInputs) { r.priority = 1 }), with(func(r *rankInputs) { r.priority = 2 })},
+		{"started job", with(func(r *rankInputs) { r.started, r.objectiveAt = true, r.objectiveAt+30*ms }), usual},
+		{"can meet its objective", with(func(r *rankInputs) { r.objectiveAt += time.Minute }),
+			with(func(r *rankInputs) { r.objectiveAt = r.now })},
 		{"late jobs: earlier late objective",
-			with(func(u *rankInputs) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+600*ms }),
-			with(func(u *rankInputs) { u.objectiveAt, u.lateObjectiveAt = u.now, u.now+700*ms })},
+			with(func(r *rankInputs) { r.objectiveAt, r.lateObjectiveAt = r.now, r.now+600*ms }),
+			with(func(r *rankInputs) { r.objectiveAt, r.lateObjectiveAt = r.now, r.now+700*ms })},
 	} {
 		assert.Assert(t, c.first.rank() < c.second.rank(), c.name)
 	}
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -103,10 +103,10 @@
 }
 
 // setRemoteWaiter records whether another entry waits for j at a home.
-func (j *job) setRemoteWaiter(a *agent, wanted bool) {
+func (j *job) setRemoteWaiter(a *agent, waits bool) {
 	for k := range j.homes {
 		if j.homes[k].agent == a {
-			j.homes[k].remoteWaiter = wanted
+			j.homes[k].remoteWaiter = waits
 		}
 	}
 }
