--- a/owner/connection.go
+++ b/owner/connection.go
@@ -16,7 +16,8 @@
 	defer o.flush(now)
 	a := o.agents[name]
 	if a == nil {
-		a = &agent{name: name, hash: claim.Hash(name), tasks: make(map[task.ID]*job), droppedRuns: make(map[task.ID]int)}
+		a = &agent{name: name, hash: claim.Hash(name), tasks: make(map[task.ID]*job),
+			droppedRuns: make(map[task.ID]int)}
 		o.agents[name] = a
 		o.byName = insertByName(o.byName, a)
 	}
@@ -93,7 +94,7 @@
 	a.silentSince = 0
 	if f.Hello != nil {
 		a.level = f.Hello.Level
-		a.wasHome = a.level >= peer.LevelClaim
+		a.supportsClaims = a.level >= peer.LevelClaim
 	}
 	if f.Hello != nil || wasSilent {
 		o.claimJobsAt(now, a)
--- a/owner/estimates.go
+++ b/owner/estimates.go
@@ -9,25 +9,25 @@
 )
 
 // A step's Estimate applies to a target of speed 1; the expected duration on a target is the
-// estimate divided by its speed. Objectives are clock times: a step's Longest applies to a
-// target of the usual speed.
+// estimate divided by its speed. A step's Longest, from which objectives are derived, is already
+// divided by the usual speed.
 
 // withEstimates returns the job with its callers' guesses replaced by estimates.
-func (o *Owner) withEstimates(spec task.Job, usualSpeed float64) task.Job {
-	e := o.estimator(spec.Queue)
-	steps := slices.Clone(spec.Steps)
+func (o *Owner) withEstimates(desc task.Job, usualSpeed float64) task.Job {
+	e := o.estimator(desc.Queue)
+	steps := slices.Clone(desc.Steps)
 	for k := range steps {
 		s := &steps[k]
 		s.Guess = s.Estimate
 		setEstimate(s, e, e.Likely(s.Guess), usualSpeed)
 	}
-	spec.Steps = steps
-	return spec
+	desc.Steps = steps
+	return desc
 }
 
 // setSpreads sets the expected estimation error of the steps of a new job.
 func (o *Owner) setSpreads(j *job) {
-	spread := o.estimator(j.spec.Queue).Spread()
+	spread := o.estimator(j.desc.Queue).Spread()
 	for k := range j.steps {
 		j.steps[k].spread = spread
 	}
@@ -50,19 +50,19 @@
 }
 
 // learn records how long a task took on a's target. The first task of a step to end corrects
-// the estimate of the others. The queue's estimator gets all durations of a step at once, since
-// the tasks that end first are the shortest.
+// the estimate of the others. The estimator of the configured queue gets all durations of a step
+// at once, since the tasks that end first are the shortest.
 func (o *Owner) learn(j *job, step int, a *agent, took time.Duration) {
 	s := &j.steps[step]
-	e := o.estimator(j.spec.Queue)
+	e := o.estimator(j.desc.Queue)
 	s.durations = append(s.durations, time.Duration(float64(took)*a.speed()))
 	if len(s.durations) == 1 {
-		setEstimate(&j.spec.Steps[step], e, e.FromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
+		setEstimate(&j.desc.Steps[step], e, e.FromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
 		j.setObjectives()
 		s.spread = e.TaskSpread()
 	}
 	if len(s.durations) == len(s.tasks) {
-		e.Learn(j.spec.Steps[step].Guess, s.durations...)
+		e.Learn(j.desc.Steps[step].Guess, s.durations...)
 	}
 }
 
--- a/owner/outage.go
+++ b/owner/hall_outage.go
@@ -19,9 +19,9 @@
 	// unresponsiveTime is the silence after which an agent in use counts as unresponsive: two
 	// heartbeats.
 	unresponsiveTime = 220 * time.Millisecond
-	// maxContactAge is the maximum time since the last frame from any agent. If this entry
-	// itself is cut off, the agents of one hall become unresponsive up to a heartbeat before
-	// those of the others.
+	// maxContactAge is the maximum age of the latest frame from any agent for a suspicion. If
+	// this entry is cut off itself, no frame arrives, but the agents of one hall may become
+	// unresponsive before those of the others.
 	maxContactAge = 60 * time.Millisecond
 	// minUnresponsive is the minimum number of unresponsive agents for a suspicion, since one
 	// or two agents fail independently.
@@ -41,7 +41,8 @@
 	return h.responsive == 0 && h.unresponsive >= minUnresponsive && now-lastContactAt <= maxContactAge
 }
 
-// unresponsive reports whether a frame from a is overdue.
+// unresponsive reports whether a frame from a is overdue. An idle connection counts only if a
+// has left a claim unanswered or was lost within lostAgentTime.
 func (a *agent) unresponsive(now time.Duration) bool {
 	switch {
 	case !a.connected:
@@ -52,9 +53,9 @@
 	return a.used() && now-max(a.lastFrameAt, a.watchedSince) > unresponsiveTime
 }
 
-// checkHalls updates the suspected halls. An entry suspects none while it is isolated, after a
-// late tick, or shortly after a time without any frames: the first frames after its own outage
-// may all come from one hall.
+// checkHalls updates the suspected halls. No hall becomes suspected while this entry is isolated,
+// after a late tick, or shortly after a time without any frames, because the first frames after
+// an outage of this entry may all come from one hall.
 func (o *Owner) checkHalls(now time.Duration) {
 	contacts := make(map[string]hallContact)
 	lastContactAt := time.Duration(0)
@@ -72,17 +73,17 @@
 	if now-lastContactAt > maxContactAge {
 		o.lastNoContactAt = now
 	}
-	mayJudge := !o.isolated && now-o.lastLateTickAt >= o.ClaimTimeout && now-o.lastNoContactAt >= unresponsiveTime
+	maySuspect := !o.isolated && now-o.lastLateTickAt >= o.ClaimTimeout && now-o.lastNoContactAt >= unresponsiveTime
 	for _, hall := range slices.Sorted(maps.Keys(contacts)) {
 		h := contacts[hall]
-		suspected := o.suspected[hall]
+		suspected := o.suspectedHalls[hall]
 		switch {
-		case hall == "":
+		case hall == "": // no hall reported
 		case suspected && h.responsive > 0:
-			delete(o.suspected, hall)
+			delete(o.suspectedHalls, hall)
 			o.logHallFound(hall)
-		case !suspected && mayJudge && h.shouldSuspect(now, lastContactAt):
-			o.suspected[hall] = true
+		case !suspected && maySuspect && h.shouldSuspect(now, lastContactAt):
+			o.suspectedHalls[hall] = true
 			o.stats.HallsSuspected++
 			o.logHallSuspected(hall, h)
 			o.handleSuspectedHall(now, hall)
@@ -119,12 +120,12 @@
 
 // hallSuspected reports whether a is in a suspected hall.
 func (o *Owner) hallSuspected(a *agent) bool {
-	return len(o.suspected) > 0 && o.suspected[a.profile.Hall]
+	return len(o.suspectedHalls) > 0 && o.suspectedHalls[a.profile.Hall]
 }
 
 // HallsSuspected returns the number of halls that are suspected to be lost.
 func (o *Owner) HallsSuspected() int {
-	return len(o.suspected)
+	return len(o.suspectedHalls)
 }
 
 // logHallSuspected logs that a hall is suspected to be lost, with the number of unresponsive
--- a/owner/home.go
+++ b/owner/home.go
@@ -12,13 +12,12 @@
 // Homes are the agents at which a job is claimed. Silent ones are replaced.
 
 const (
-	// DefaultHomes is the number of homes of a job. With two, one home may restart and lose its
-	// claims.
+	// DefaultHomes is the number of homes of a job, so that the claims survive the restart of
+	// one home.
 	DefaultHomes = 2
 	// DefaultClaimTimeout is how long an agent may leave a claim unanswered before it counts as
-	// silent and is replaced as home. It exceeds the pauses of a host with a CPU quota, about
-	// 100 ms: entries that replace different agents may choose different homes for the same
-	// job.
+	// silent and is replaced as home. It exceeds the pauses of a host with a CPU quota, because
+	// entries that replace different agents may choose different homes for the same job.
 	DefaultClaimTimeout = 120 * time.Millisecond
 )
 
@@ -48,7 +47,7 @@
 
 // mayBeHome reports whether jobs may be claimed at a.
 func (a *agent) mayBeHome() bool {
-	return a.home && a.answers()
+	return a.eligibleHome && a.answers()
 }
 
 // homesExist reports whether an agent that supports claims is connected, silent or not.
@@ -115,7 +114,7 @@
 	if j.callerDeadline > 0 {
 		lifetime = max(time.Millisecond, j.callerDeadline-now)
 	}
-	a.out.Claims = append(a.out.Claims, claim.Claim{Job: j.spec.ID, Lasts: lifetime, Begun: j.started()})
+	a.out.Claims = append(a.out.Claims, claim.Claim{Job: j.desc.ID, Lasts: lifetime, Begun: j.started()})
 	o.markDirty(a)
 }
 
@@ -133,9 +132,9 @@
 	}
 }
 
-// loseHome removes a from the homes of all jobs after its connection was lost or it became
-// silent, and claims the jobs at other agents. A silent agent that is still connected is
-// informed that the claims it has not granted are void.
+// loseHome removes a from the homes of jobs and claims the jobs at other agents. If the connection
+// to a was lost, it does so for all jobs. If a is silent but connected, it does so only for the
+// jobs whose claim a has not answered, and informs a that these claims are void.
 func (o *Owner) loseHome(now time.Duration, a *agent) {
 	for _, j := range o.sortedJobs() {
 		k := slices.IndexFunc(j.homes, func(h home) bool { return h.agent == a })
@@ -143,7 +142,7 @@
 			continue
 		}
 		j.homes = slices.Delete(j.homes, k, k+1)
-		o.sendSettlement(a, claim.Settlement{Job: j.spec.ID, Clear: true}, false)
+		o.sendSettlement(a, claim.Settlement{Job: j.desc.ID, Clear: true}, false)
 		if o.cancelIfAbandoned(now, j) {
 			continue
 		}
@@ -152,8 +151,9 @@
 	}
 }
 
-// checkSilentHomes marks the agents silent that have left a claim unanswered for ClaimTimeout.
-// After a late tick it marks none for that long, because received frames may still be unread.
+// checkSilentHomes marks agents as silent if they have left a claim unanswered for ClaimTimeout,
+// and claims the jobs elsewhere. After a late tick it marks none for that long, because received
+// frames may still be unread. It also records the time of the tick and updates isolation.
 func (o *Owner) checkSilentHomes(now time.Duration) {
 	onTime := now-o.lastTickAt <= 2*TickInterval
 	o.lastTickAt = now
@@ -162,12 +162,13 @@
 	}
 	if now-o.lastLateTickAt < o.ClaimTimeout {
 		o.checkIsolation(now)
-		return // received frames may still be unread
+		return
 	}
 	var silent []*agent
 	for _, j := range o.sortedJobs() {
 		for _, h := range j.homes {
-			if h.state != asked || now-h.askedAt < o.ClaimTimeout || h.agent.silentSince > 0 || h.agent.lastFrameAt > h.askedAt {
+			if h.state != asked || now-h.askedAt < o.ClaimTimeout || h.agent.silentSince > 0 ||
+				h.agent.lastFrameAt > h.askedAt {
 				continue
 			}
 			h.agent.silentSince = now
@@ -176,7 +177,7 @@
 			silent = append(silent, h.agent)
 		}
 	}
-	o.checkIsolation(now) // before any job gets other homes
+	o.checkIsolation(now) // before loseHome chooses other homes
 	for _, a := range silent {
 		o.loseHome(now, a)
 	}
--- a/owner/job.go
+++ b/owner/job.go
@@ -14,12 +14,14 @@
 //	placed    -> done       its run has ended with success
 //	placed    -> uncertain  the connection to its agent was lost
 //	uncertain -> waiting    none of its runs can be active any more
+//	placed    -> waiting    the job is left to another entry; the run is recorded as dropped
+//	uncertain -> waiting    likewise
 type phase uint8
 
 const (
 	waiting   phase = iota // to be started
 	placed                 // ordered at an agent
-	uncertain              // ordered at an agent that was lost: a run may be active
+	uncertain              // ordered at an agent that was lost; the run may be active
 	done                   // ended with success
 )
 
@@ -34,7 +36,7 @@
 	// failures counts failed runs, taskFailures those that were not the target's fault.
 	failures, taskFailures int
 	tries                  int // runs that may have begun, for logs
-	losses                 int // runs whose target crashed or fell silent
+	losses                 int // runs whose target crashed, fell silent or did not have them
 	// crashes lists runs whose target crashed. Until exclusiveUntil, the task runs only on an
 	// otherwise empty target.
 	crashes        []crash
@@ -59,7 +61,7 @@
 
 // job is a job of this entry. Times are on the entry's clock.
 type job struct {
-	spec       task.Job
+	desc       task.Job
 	callers    map[uint64]func(Answer) // callers that wait for the answer
 	steps      []stepState
 	unfinished int // tasks that are not done
@@ -73,8 +75,8 @@
 	hash      uint64
 	homes     []home
 	claimedAt time.Duration
-	// contestedAt is when another entry was found to hold the lowest-ranked home while tasks of
-	// the job are started here, zero if none was.
+	// contestedAt is when another entry was found to hold the claim at the lowest-ranked home
+	// while the job was started here, zero if none was.
 	contestedAt time.Duration
 	// homeCount is the number of homes that the job should have.
 	homeCount int
@@ -88,34 +90,34 @@
 	// before that.
 	firstOrder, lastOrder time.Duration
 	// orders counts the orders that may have reached a target.
-	orders    int
-	specAgent string   // the agent that last received the spec
-	failedAt  []string // agents at which a run of the job has failed
-	suspect   bool     // a target has crashed under a task of the job
+	orders       int
+	specAgent    string   // the agent that last received the spec
+	failedAt     []string // agents at which a run of the job has failed
+	crashSuspect bool     // a target has crashed under a task of the job
 
-	queue *queue // the queue of its service
-	index int    // in the queue's heap, -1 if not queued
-	// rank orders the queue, lowest first, and depends on startSpan. Both date from the last
-	// call of rankAt.
+	queue *serviceQueue // the queue of its service
+	index int           // in the queue's heap, -1 if not queued
+	// rank orders the queue, lowest first, and depends on startSpan. It is not the rank of a
+	// home. startSpan dates from the last call of rankAt.
 	rank, startSpan time.Duration
 }
 
 // newJob returns a job that arrived at now.
-func newJob(now time.Duration, spec task.Job) *job {
+func newJob(now time.Duration, desc task.Job) *job {
 	j := &job{
-		spec:       spec,
+		desc:       desc,
 		arrived:    now,
-		steps:      make([]stepState, len(spec.Steps)),
-		unfinished: spec.Tasks(),
+		steps:      make([]stepState, len(desc.Steps)),
+		unfinished: desc.Tasks(),
 		callers:    make(map[uint64]func(Answer)),
 		index:      -1,
-		hash:       claim.Hash(spec.ID),
+		hash:       claim.Hash(desc.ID),
 	}
 	j.setObjectives()
-	if spec.CallerTimeout > 0 {
-		j.callerDeadline = now + spec.CallerTimeout
+	if desc.CallerTimeout > 0 {
+		j.callerDeadline = now + desc.CallerTimeout
 	}
-	for k, s := range spec.Steps {
+	for k, s := range desc.Steps {
 		j.steps[k] = stepState{tasks: make([]taskState, s.Count), waiting: s.Count, unfinished: s.Count}
 	}
 	return j
@@ -123,8 +125,8 @@
 
 // setObjectives derives the objectives from the current estimates.
 func (j *job) setObjectives() {
-	j.objectiveAt = j.arrived + j.spec.Objective()
-	j.lateObjectiveAt = j.arrived + j.spec.LateObjective()
+	j.objectiveAt = j.arrived + j.desc.Objective()
+	j.lateObjectiveAt = j.arrived + j.desc.LateObjective()
 }
 
 // started reports whether a task of j may have been started on a target.
@@ -150,7 +152,7 @@
 
 // ready reports whether all dependencies of a step are done.
 func (j *job) ready(step int) bool {
-	for _, earlier := range j.spec.Steps[step].DependsOn {
+	for _, earlier := range j.desc.Steps[step].DependsOn {
 		if j.steps[earlier].unfinished > 0 {
 			return false
 		}
@@ -184,8 +186,8 @@
 	return 0, 0, false
 }
 
-// waitingTasks returns the number of tasks of j that can be started now.
-func (j *job) waitingTasks() int {
+// startableTasks returns the number of waiting tasks of j whose dependencies are done.
+func (j *job) startableTasks() int {
 	count := 0
 	for k := range j.steps {
 		if j.steps[k].waiting > 0 && j.ready(k) {
@@ -195,22 +197,22 @@
 	return count
 }
 
-// startableWork returns the work of the tasks of j that can be started now, in core-seconds.
+// startableWork returns the work of the startable tasks of j, in core-seconds.
 func (j *job) startableWork() float64 {
 	sum := 0.0
 	for k := range j.steps {
 		if j.steps[k].waiting > 0 && j.ready(k) {
-			sum += work(j.spec.Steps[k], j.steps[k].waiting)
+			sum += work(j.desc.Steps[k], j.steps[k].waiting)
 		}
 	}
 	return sum
 }
 
-// waitingWork returns the work of all waiting tasks of j, in core-seconds.
+// waitingWork returns the work of all waiting tasks of j, startable or not, in core-seconds.
 func (j *job) waitingWork() float64 {
 	sum := 0.0
 	for k := range j.steps {
-		sum += work(j.spec.Steps[k], j.steps[k].waiting)
+		sum += work(j.desc.Steps[k], j.steps[k].waiting)
 	}
 	return sum
 }
@@ -223,7 +225,7 @@
 // remaining returns the estimate of the longest chain of unfinished steps, on a target of the
 // usual speed.
 func (j *job) remaining() time.Duration {
-	return j.spec.ChainOf(func(step int) bool { return j.steps[step].unfinished > 0 })
+	return j.desc.ChainOf(func(step int) bool { return j.steps[step].unfinished > 0 })
 }
 
 // spread returns the spread of the first unfinished step.
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -47,7 +47,8 @@
 func (b *harness) reportState(agent string, cpu int, speed float64, health peer.Health) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true,
+		SeenSeq: b.seq}})
 }
 
 // jobOf returns a job of one step with the given number of tasks of one core and 100 ms each.
@@ -61,10 +62,10 @@
 	return b.Submit(b.now, j, func(a Answer) { b.answers[j.ID] = a })
 }
 
-// cancel cancels a job on a caller's request and returns whether it was known at once.
-func (b *harness) cancel(id string) (known bool) {
-	b.CancelJob(b.now, id, func(k bool) { known = k })
-	return known
+// cancel cancels a job on a caller's request and returns whether it was cancelled at once.
+func (b *harness) cancel(id string) (cancelled bool) {
+	b.CancelJob(b.now, id, func(c bool) { cancelled = c })
+	return cancelled
 }
 
 // starts returns the start orders sent to an agent.
@@ -110,7 +111,7 @@
 	assert.Equal(t, b.answers["1"].Kind, Completed)
 }
 
-func TestFasterTargetIsChosen(t *testing.T) {
+func TestFasterHealthyTargetIsChosen(t *testing.T) {
 	b := newHarness(t, "a", "b")
 	b.reportState("a", 4000, 0.8, peer.Healthy)
 	b.reportState("b", 4000, 1.25, peer.Healthy)
@@ -129,7 +130,8 @@
 	last := b.frames["a"][len(b.frames["a"])-1]
 	assert.Assert(t, last.RoomRequest != nil)
 	assert.Equal(t, last.RoomRequest.Total.CPU, 2000)
-	b.Receive(b.now, "a", &peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
+	b.Receive(b.now, "a",
+		&peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
 	last = b.frames["a"][len(b.frames["a"])-1]
 	assert.Equal(t, last.UsedReservation, uint64(7))
 	assert.Equal(t, len(last.Starts), 1)      // the second task does not fit
@@ -144,7 +146,8 @@
 	long.Steps[0].Estimate = time.Second
 	b.submit(long)
 	b.submit(jobOf("short", 1))
-	b.Receive(b.now, "a", &peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 1000, MemoryMB: 100}}})
+	b.Receive(b.now, "a",
+		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 1000, MemoryMB: 100}}})
 	orders := b.starts("a")
 	assert.Equal(t, orders[len(orders)-1].Task.Job, "short")
 }
@@ -152,7 +155,8 @@
 func TestStepWaitsForDependencies(t *testing.T) {
 	b := newHarness(t, "a")
 	j := jobOf("1", 2)
-	j.Steps = append(j.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
+	j.Steps = append(j.Steps,
+		task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
 	b.submit(j)
 	assert.Equal(t, len(b.starts("a")), 2)
 	b.reportEnd("a", b.starts("a")[0], task.EndDone, code.RunListed)
@@ -229,9 +233,9 @@
 	b := newHarness(t, "a", "b")
 	b.reportState("b", 4000, 0.9, peer.Healthy)
 	j := jobOf("1", 1)
-	waiter := b.submit(j)
+	caller := b.submit(j)
 	b.Disconnected(b.now, b.now, "a")
-	b.Cancel(b.now, "1", waiter)
+	b.Cancel(b.now, "1", caller)
 	b.advance(500 * ms)
 	j.ObjectiveFactor = 100
 	b.submit(j)
@@ -242,8 +246,8 @@
 
 func TestRunsStopWhenCallerDisconnects(t *testing.T) {
 	b := newHarness(t, "a")
-	waiter := b.submit(jobOf("1", 2))
-	b.Cancel(b.now, "1", waiter)
+	caller := b.submit(jobOf("1", 2))
+	b.Cancel(b.now, "1", caller)
 	var stops []task.Ref
 	for _, f := range b.frames["a"] {
 		stops = append(stops, f.Stops...)
@@ -252,15 +256,15 @@
 	assert.Equal(t, b.Jobs(), 0)
 }
 
-// A refusal promises that nothing ran: a started job must be given up instead.
+// A refusal guarantees that nothing ran, so a started job must be given up instead.
 func TestStartedJobIsNotRefused(t *testing.T) {
 	b := newHarness(t, "a")
-	b.submit(jobOf("begun", 5)) // four fit
-	b.submit(jobOf("waits", 1))
+	b.submit(jobOf("started", 5)) // room for four of its tasks
+	b.submit(jobOf("waiting", 1))
 	b.advance(3 * time.Second)
-	assert.Equal(t, b.answers["waits"].Kind, Refused)
-	assert.Assert(t, b.answers["waits"].Retry > 0)
-	assert.Equal(t, b.answers["begun"].Kind, GivenUp)
+	assert.Equal(t, b.answers["waiting"].Kind, Refused)
+	assert.Assert(t, b.answers["waiting"].Retry > 0)
+	assert.Equal(t, b.answers["started"].Kind, GivenUp)
 }
 
 func TestOverdueRunIsRetriedOnlyAfterItsEnd(t *testing.T) {
@@ -313,7 +317,7 @@
 	assert.Assert(t, !b.cancel("1"))
 }
 
-// Guards against work for a caller that will have left, for example after a late resend.
+// Guards against runs for a caller whose timeout expires before they can end.
 func TestJobIsRefusedWhenCallerTimeoutIsTooShort(t *testing.T) {
 	b := newHarness(t, "a")
 	j := jobOf("1", 2)
@@ -344,7 +348,7 @@
 	}
 }
 
-func TestStagesAndCausesAreReported(t *testing.T) {
+func TestAnsweredJobReportsStagesAndCause(t *testing.T) {
 	b := newHarness(t, "a")
 	took := make(map[stage.Stage][]time.Duration)
 	var causes []code.Code
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -16,14 +16,13 @@
 	// lastRoomWeight is the relative cost of taking a target's last room, for which orders of
 	// other entries may compete.
 	lastRoomWeight = 1.0
-	// ejectedPenalty, in seconds, sorts ejected targets last: it exceeds the duration of any
-	// task.
+	// ejectedPenalty, in seconds, is the cost added to an ejected target.
 	ejectedPenalty = 10.0
 )
 
 // candidate is a target that may run a task and has room for it.
 type candidate struct {
-	speed          float64    // relative to the usual speed
+	speed          float64    // relative to the reference speed 1
 	capacity, free task.Needs // as last reported; pending orders are subtracted from free
 	far            bool       // the task's data is elsewhere
 	ejected        bool
@@ -56,28 +55,28 @@
 	return min(1, float64(needs.CPU)/float64(max(1, room.CPU)))
 }
 
-// chooseAgent returns the agent to which the task should be ordered. It returns nil if room
+// chooseAgent returns the agent at which the task should be ordered. It returns nil if room
 // should be reserved first, because no watched agent has room or its room may be taken before
 // the order arrives.
 func (o *Owner) chooseAgent(now time.Duration, j *job, step, index int) *agent {
-	s := j.spec.Steps[step]
+	s := j.desc.Steps[step]
 	t := &j.steps[step].tasks[index]
 	var best *agent
 	var least float64
-	uncertain := false
+	reservationMayHelp := false
 	for _, a := range o.watched {
-		if !a.usable(now, j.spec.Service) || !t.needs(now, s, a).Fits(a.freeRoom()) || !o.allowed(now, j, step, t, a) {
+		if !a.usable(now, j.desc.Service) || !t.needs(now, s, a).Fits(a.freeRoom()) || !o.allowed(now, j, step, t, a) {
 			continue
 		}
 		if !a.roomCertain() || a.level >= peer.LevelWatch && a.far(s) {
-			uncertain = true // a reservation may find room, or a target nearer to the data
+			reservationMayHelp = true // a reservation may find room, or a target nearer to the data
 			continue
 		}
 		if cost := a.candidate(s).cost(s, o.FarFactor); best == nil || cost < least {
 			best, least = a, cost
 		}
 	}
-	if best != nil && best.state.Health == peer.Ejected && uncertain {
+	if best != nil && best.state.Health == peer.Ejected && reservationMayHelp {
 		return nil
 	}
 	return best
@@ -85,7 +84,7 @@
 
 // roomCertain reports whether the known room will still be there when an order arrives: only an
 // empty target qualifies, as other entries compete for any other room. Agents below
-// peer.LevelWatch get orders wherever room is reported.
+// peer.LevelWatch get orders whenever they report room.
 func (a *agent) roomCertain() bool {
 	return a.level < peer.LevelWatch || a.freeRoom() == a.profile.Capacity
 }
@@ -109,7 +108,7 @@
 // allowed reports whether the task may run at a: no backoff applies, the target has the
 // required label, and the step's limit of tasks per target is not reached.
 func (o *Owner) allowed(now time.Duration, j *job, step int, t *taskState, a *agent) bool {
-	s := j.spec.Steps[step]
+	s := j.desc.Steps[step]
 	if t.avoid == a.name && now < t.avoidUntil {
 		return false
 	}
@@ -133,19 +132,19 @@
 
 // schedule starts the waiting tasks of a queue for which there is room, and requests room for
 // the rest.
-func (o *Owner) schedule(now time.Duration, q *queue) {
-	q.trackBacklog(now)
+func (o *Owner) schedule(now time.Duration, q *serviceQueue) {
+	q.updateNonEmptySince(now)
 	for {
 		j := q.peek(now)
 		if j == nil {
 			return
 		}
-		if !o.startTasks(now, j) && !o.deferSuspect(now, j) {
+		if !o.startTasks(now, j) && !o.deferCrashSuspect(now, j) {
 			break
 		}
 		q.remove(j)
 	}
-	q.trackBacklog(now)
+	q.updateNonEmptySince(now)
 	o.requestRoom(now, q)
 }
 
@@ -186,23 +185,24 @@
 	if t.needsEmptyTarget(now) {
 		t.exclusiveRuns = append(t.exclusiveRuns, t.run)
 	}
-	id := task.ID{Job: j.spec.ID, Step: step, Index: index}
+	id := task.ID{Job: j.desc.ID, Step: step, Index: index}
 	a.tasks[id] = j
 	a.usedAt = now
 	a.out.Starts = append(a.out.Starts, o.order(now, j, id, t.run, a))
 	o.markDirty(a)
-	a.pending = append(a.pending, pendingOrder{needs: t.needs(now, j.spec.Steps[step], a)}) // flush sets the sequence number
+	// flush sets the sequence number of the pending order.
+	a.pending = append(a.pending, pendingOrder{needs: t.needs(now, j.desc.Steps[step], a)})
 	o.stats.Starts++
 	o.logPlaced(now, j, id, t, a)
 }
 
 // order returns the order for a run of a task at a.
 func (o *Owner) order(now time.Duration, j *job, id task.ID, run int, a *agent) task.Order {
-	s := j.spec.Steps[id.Step]
+	s := j.desc.Steps[id.Step]
 	order := task.Order{
 		Task:            id,
 		Run:             run,
-		Spec:            j.spec.Spec,
+		Spec:            j.desc.Spec,
 		Needs:           j.find(id).needs(now, s, a),
 		Estimate:        s.Estimate,
 		Guess:           s.Guess,
--- a/owner/order.go
+++ b/owner/rank.go
@@ -6,7 +6,7 @@
 )
 
 // Waiting jobs are served in the order of their latest start times, adjusted by priority and by
-// whether the job has started. Jobs that can no longer meet their objective come after all jobs
+// whether the job has started. Jobs that can no longer meet their objective come after those
 // that can.
 const (
 	// marginDeviations is the safety margin of the remaining work, in standard deviations of
@@ -22,12 +22,11 @@
 	startedAdvance = 40 * time.Millisecond
 )
 
-// lateRankOffset is added to the rank of jobs that can no longer meet their objective. It
-// exceeds all other components of a rank.
+// lateRankOffset is added to the rank of jobs that can no longer meet their objective.
 const lateRankOffset = time.Hour
 
-// urgency holds the inputs of a job's rank in its queue. Times are on the entry's clock.
-type urgency struct {
+// rankInputs holds the inputs of a job's rank in its queue. Times are on the entry's clock.
+type rankInputs struct {
 	now                          time.Duration
 	objectiveAt, lateObjectiveAt time.Duration
 	// remaining is the estimate of the longest chain of unfinished steps.
@@ -43,55 +42,58 @@
 
 // latestStart returns the latest time at which the rest of the job should start to meet its
 // objective.
-func (u urgency) latestStart() time.Duration {
-	margin := math.Exp(marginDeviations * u.spread)
-	return u.objectiveAt - time.Duration(margin*float64(u.remaining)) - u.startSpan
+func (r rankInputs) latestStart() time.Duration {
+	margin := math.Exp(marginDeviations * r.spread)
+	return r.objectiveAt - time.Duration(margin*float64(r.remaining)) - r.startSpan
 }
 
 // latestLateStart returns the latest time at which the rest of the job should start to meet its
 // late objective.
-func (u urgency) latestLateStart() time.Duration {
-	return u.latestStart() + u.lateObjectiveAt - u.objectiveAt
+func (r rankInputs) latestLateStart() time.Duration {
+	return r.latestStart() + r.lateObjectiveAt - r.objectiveAt
 }
 
 // rank returns the sort key of the job: the lowest rank is served first. It is the adjusted
-// latest start time, or a key above all of these if the job can no longer meet its objective.
-func (u urgency) rank() time.Duration {
+// latest start time while the job can meet its objective. After that it is the adjusted latest
+// start for the late objective, without safety margin and start span, plus lateRankOffset.
+func (r rankInputs) rank() time.Duration {
 	var shift time.Duration
-	if u.priority > 0 {
-		shift += lowerPriorityDelay + time.Duration(u.priority)*priorityDelay
+	if r.priority > 0 {
+		shift += lowerPriorityDelay + time.Duration(r.priority)*priorityDelay
 	}
-	if u.started {
+	if r.started {
 		shift -= startedAdvance
 	}
-	if latest := u.latestStart(); u.now <= latest {
+	if latest := r.latestStart(); r.now <= latest {
 		return latest + shift
 	}
-	return lateRankOffset + u.lateObjectiveAt - u.remaining + shift
+	return lateRankOffset + r.lateObjectiveAt - r.remaining + shift
 }
 
-// urgency returns the inputs of j's rank at now. The span of its starts dates from the last
-// call of rankAt.
-func (j *job) urgency(now time.Duration) urgency {
-	return urgency{
+// rankInputs returns the inputs of j's rank at now, with the start span of the last call of
+// rankAt.
+func (j *job) rankInputs(now time.Duration) rankInputs {
+	return rankInputs{
 		now:             now,
 		objectiveAt:     j.objectiveAt,
 		lateObjectiveAt: j.lateObjectiveAt,
 		remaining:       j.remaining(),
 		spread:          j.spread(),
 		startSpan:       j.startSpan,
-		priority:        j.spec.Priority,
+		priority:        j.desc.Priority,
 		started:         j.started(),
 	}
 }
 
-// rankAt returns j's rank at now and updates the span of its starts.
+// rankAt returns j's rank at now and updates its start span.
 func (j *job) rankAt(now time.Duration) time.Duration {
-	j.startSpan = j.queue.startSpan(now, j.waitingTasks(), j.startableWork())
-	return j.urgency(now).rank()
+	j.startSpan = j.queue.startSpan(now, j.startableTasks(), j.startableWork())
+	return j.rankInputs(now).rank()
 }
 
-// missesObjective reports whether j could no longer meet its objective when it was last ranked.
+// missesObjective reports whether j's rank is at least lateRankOffset. Ranks are times on the
+// entry's clock: this holds for the jobs that could no longer meet their objective when they
+// were last ranked, and for any job whose adjusted latest start is at lateRankOffset or later.
 func (j *job) missesObjective() bool {
 	return j.rank >= lateRankOffset
 }
--- a/owner/release.go
+++ b/owner/release.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// Queries of the process that selects the agents to connect to (package reach).
+// Queries and commands of the process that selects the agents to connect to (package reach).
 
 // Releasable reports whether the connection to an agent is not needed: this entry has no run,
-// watch, claim or dropped run there.
+// dropped run, watch, kept reservation, claim or pending settlement there, and does not wait for
+// its runs to be clear.
 func (o *Owner) Releasable(name string) bool {
 	a := o.agents[name]
 	if a == nil {
 		return true
 	}
-	if len(a.out.Settled) > 0 || a.watching || a.reserved != nil || a.clearAt > 0 || len(a.tasks) > 0 || len(a.droppedRuns) > 0 {
+	if len(a.out.Settled) > 0 || a.watching || a.reserved != nil || a.clearAt > 0 || len(a.tasks) > 0 ||
+		len(a.droppedRuns) > 0 {
 		return false
 	}
 	for _, j := range o.jobs {
@@ -22,8 +24,8 @@
 			return false
 		}
 	}
-	for _, e := range o.dropped {
-		if slices.Contains(e.homes, a) {
+	for _, d := range o.dropped {
+		if slices.Contains(d.homes, a) {
 			return false
 		}
 	}
@@ -52,7 +54,7 @@
 
 // refreshRoles queries IsHome and IsOwn for one agent.
 func (o *Owner) refreshRoles(a *agent) {
-	a.home = o.IsHome == nil || o.IsHome(a.name)
+	a.eligibleHome = o.IsHome == nil || o.IsHome(a.name)
 	a.own = o.IsOwn == nil || o.IsOwn(a.name)
 }
 
@@ -62,7 +64,7 @@
 	return a != nil && len(a.tasks) > 0
 }
 
-// Short reports whether a queue is backlogged.
+// Short reports whether the queue of a service is backlogged.
 func (o *Owner) Short(now time.Duration) bool {
 	for _, q := range o.queues {
 		if q.backlogged(now) {
@@ -78,17 +80,18 @@
 	if !o.Partial {
 		return
 	}
-	for _, s := range j.spec.Steps {
+	for _, s := range j.desc.Steps {
 		for _, label := range []string{s.Label, s.Rack} {
-			if label != "" && !slices.ContainsFunc(o.byName, func(a *agent) bool { return a.connected && a.labels[label] }) {
+			if label != "" &&
+				!slices.ContainsFunc(o.byName, func(a *agent) bool { return a.connected && a.labels[label] }) {
 				o.missingLabel = true
 			}
 		}
 	}
 }
 
-// TakeMissingLabel reports whether a job has required a label that no connected agent has since
-// the last call.
+// TakeMissingLabel reports whether, since the last call, a job has required a label or a rack
+// that no connected agent had.
 func (o *Owner) TakeMissingLabel() bool {
 	missing := o.missingLabel
 	o.missingLabel = false
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -9,24 +9,25 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// minRankGain is by how much a job must be more urgent than the one known to an agent for the
-// request to be updated. It limits the frames sent during a backlog.
+// minRankGain is the minimum difference between the ranks of the first job and of the job in a
+// pending request at which the request is updated. It limits the frames sent during a backlog.
 const minRankGain = 10 * time.Millisecond
 
 const (
-	// requestsPerTask is the number of agents asked at first for each waiting task.
+	// requestsPerTask is the number of agents asked at first for each startable task.
 	requestsPerTask = 2
-	// requestInterval is the interval at which one more agent is asked: a few round trips.
+	// requestInterval is the interval at which one more agent is asked, a few round trips.
 	requestInterval = 3 * time.Millisecond
-	// requestIntervalFactor is the minimum interval in transmission times of a request, which
-	// leaves room for orders on narrow links.
+	// requestIntervalFactor is the minimum of that interval as a multiple of the transmission
+	// time of a request, which leaves bandwidth for orders on narrow links.
 	requestIntervalFactor = 10
 )
 
-// requestRoom asks agents to reserve room for the first job of a queue: a few for each waiting
-// task, and more over time. Agents with a pending request are informed when a more urgent job
-// waits.
-func (o *Owner) requestRoom(now time.Duration, q *queue) {
+// requestRoom asks agents to reserve room for the first job of a queue. The number of agents with
+// a pending request grows with the startable tasks of the whole queue and with the time for which
+// the queue has not been empty (requestLimit). Pending requests are updated if the first job is
+// more urgent than the one they were sent for.
+func (o *Owner) requestRoom(now time.Duration, q *serviceQueue) {
 	j := q.peek(now)
 	if j == nil {
 		return
@@ -52,13 +53,13 @@
 }
 
 // requestLimit returns the maximum number of agents with a pending request.
-func (o *Owner) requestLimit(now time.Duration, q *queue) int {
+func (o *Owner) requestLimit(now time.Duration, q *serviceQueue) int {
 	perTask := requestsPerTask
 	if o.linkBusy(now) {
 		perTask = 1
 	}
 	interval := max(requestInterval, requestIntervalFactor*o.link.transmitTime(frameBytes))
-	return perTask*q.waitingTasks(len(o.byName)) + int((now-q.backlogSince)/interval)
+	return perTask*q.startableTasks(len(o.byName)) + int((now-q.nonEmptySince)/interval)
 }
 
 // requestCandidates returns up to count agents to ask for room for a task, those near its data
@@ -67,23 +68,24 @@
 func (o *Owner) requestCandidates(now time.Duration, j *job, step, index, count int) []*agent {
 	var legacy []*agent
 	eligible := func(a *agent) bool {
-		return !a.roomRequested && a.state.Health != peer.Ejected && o.allowed(now, j, step, &j.steps[step].tasks[index], a)
+		return !a.roomRequested && a.state.Health != peer.Ejected &&
+			o.allowed(now, j, step, &j.steps[step].tasks[index], a)
 	}
 	for _, a := range o.watched {
-		if a.level < peer.LevelWatch && a.usable(now, j.spec.Service) && eligible(a) {
+		if a.level < peer.LevelWatch && a.usable(now, j.desc.Service) && eligible(a) {
 			legacy = append(legacy, a)
 		}
 	}
-	s := j.spec.Steps[step]
+	s := j.desc.Steps[step]
 	near := func(a *agent) bool { return eligible(a) && !a.far(s) }
-	list := o.withRoom(now, j.spec.Service, s, near, count)
-	list = append(list, o.unwatchedAgents(j.spec.Service, near, count-len(list))...)
+	list := o.withRoom(now, j.desc.Service, s, near, count)
+	list = append(list, o.unwatchedAgents(j.desc.Service, near, count-len(list))...)
 	if s.Rack != "" {
 		far := func(a *agent) bool { return eligible(a) && a.far(s) }
-		list = append(list, o.withRoom(now, j.spec.Service, s, far, count-len(list))...)
-		list = append(list, o.unwatchedAgents(j.spec.Service, far, count-len(list))...)
+		list = append(list, o.withRoom(now, j.desc.Service, s, far, count-len(list))...)
+		list = append(list, o.unwatchedAgents(j.desc.Service, far, count-len(list))...)
 	}
-	list = append(list, o.withoutRoom(now, j.spec.Service, s, eligible, count-len(list))...)
+	list = append(list, o.withoutRoom(now, j.desc.Service, s, eligible, count-len(list))...)
 	return append(list, legacy...)
 }
 
@@ -99,7 +101,8 @@
 
 // withoutRoom returns up to count watched agents without enough known free room, which may have
 // room soon.
-func (o *Owner) withoutRoom(now time.Duration, service string, s task.Step, meets func(*agent) bool, count int) []*agent {
+func (o *Owner) withoutRoom(now time.Duration, service string, s task.Step, meets func(*agent) bool,
+	count int) []*agent {
 	list := o.watchedWhere(now, service, func(a *agent) bool { return !s.Needs.Fits(a.freeRoom()) && meets(a) })
 	return list[:max(0, min(len(list), count))]
 }
@@ -132,22 +135,22 @@
 
 // addRoomRequest adds a request for room to the next frame, with the needs of the step's tasks
 // and the total demand of the queue.
-func (o *Owner) addRoomRequest(now time.Duration, q *queue, a *agent, j *job, step int) {
+func (o *Owner) addRoomRequest(now time.Duration, q *serviceQueue, a *agent, j *job, step int) {
 	a.roomRequested = true
 	a.requestRank = j.rank
 	a.usedAt = now
 	o.markDirty(a)
 	a.out.RoomRequest = &peer.RoomRequest{
 		Slack: j.rank - now,
-		Needs: j.spec.Steps[step].Needs,
+		Needs: j.desc.Steps[step].Needs,
 		Total: q.demand(a.profile.Capacity),
 	}
 }
 
 // useReservation starts tasks in the room that a has reserved for this entry. If the next task
-// does not fit, the rest is returned and room is requested again. If the queue has only jobs
-// with pending claims, the reservation is kept until one is claimed or reservationHoldTime has
-// passed.
+// does not fit, the rest is returned and room is requested again. If no job may start at a, but
+// the queue has an unclaimed job, the reservation is kept until a job is claimed or
+// reservationKeepTime has passed.
 func (o *Owner) useReservation(now time.Duration, a *agent, r *peer.Reservation) {
 	a.reserved = nil
 	if o.nextJobFor(now, o.queue(a.profile.Service), a) == nil && o.hasPendingClaims(o.queue(a.profile.Service)) {
@@ -172,7 +175,7 @@
 			q.remove(j)
 			continue
 		}
-		needs := j.spec.Steps[step].Needs
+		needs := j.desc.Steps[step].Needs
 		if !needs.Fits(room) {
 			o.addRoomRequest(now, q, a, j, step)
 			return
@@ -182,13 +185,13 @@
 	}
 }
 
-// hasPendingClaims reports whether a job of the queue has pending claims.
-func (o *Owner) hasPendingClaims(q *queue) bool {
+// hasPendingClaims reports whether at least one job of the queue is not claimed yet.
+func (o *Owner) hasPendingClaims(q *serviceQueue) bool {
 	return slices.ContainsFunc(q.waiting, func(j *job) bool { return !o.claimed(j) })
 }
 
-// useHeldReservations uses the kept reservations after a job of the queue was claimed.
-func (o *Owner) useHeldReservations(now time.Duration, q *queue) {
+// useKeptReservations uses the kept reservations after a job of the queue was claimed.
+func (o *Owner) useKeptReservations(now time.Duration, q *serviceQueue) {
 	for _, a := range o.watched {
 		if a.reserved != nil && a.profile.Service == q.service {
 			o.useReservation(now, a, a.reserved)
@@ -196,10 +199,10 @@
 	}
 }
 
-// releaseHeldReservations returns the reservations kept for longer than reservationHoldTime.
-func (o *Owner) releaseHeldReservations(now time.Duration) {
+// releaseKeptReservations returns the reservations kept for at least reservationKeepTime.
+func (o *Owner) releaseKeptReservations(now time.Duration) {
 	for _, a := range o.watched {
-		if a.reserved != nil && now-a.reservedAt >= reservationHoldTime {
+		if a.reserved != nil && now-a.reservedAt >= reservationKeepTime {
 			a.out.UsedReservation = a.reserved.ID
 			a.reserved = nil
 			a.roomRequested = false
@@ -208,38 +211,40 @@
 	}
 }
 
-// nextJobFor returns the job of the queue to start at a, or nil: the most urgent job, unless
-// its next task may not run there or is far from its data, and another claimed job fits better.
-func (o *Owner) nextJobFor(now time.Duration, q *queue, a *agent) *job {
+// nextJobFor returns the job of the queue to start at a, or nil. The first job is returned if it
+// is claimed and its next task may run at a near its data. Otherwise the claimed job with the
+// best fit is returned, the most urgent one of those with an equal fit.
+func (o *Owner) nextJobFor(now time.Duration, q *serviceQueue, a *agent) *job {
 	first := q.peek(now)
 	if first == nil || o.claimed(first) && o.fit(now, first, a) == fitsLocal {
 		return first
 	}
 	var best *job
 	for _, j := range q.waiting {
-		fit := o.fit(now, j, a)
-		if fit == noFit || !o.claimed(j) {
+		rating := o.fit(now, j, a)
+		if rating == noFit || !o.claimed(j) {
 			continue
 		}
-		if best == nil || fit > o.fit(now, best, a) || fit == o.fit(now, best, a) && j.rank < best.rank {
+		if best == nil || rating > o.fit(now, best, a) || rating == o.fit(now, best, a) && j.rank < best.rank {
 			best = j
 		}
 	}
 	return best
 }
 
-// fit rates whether the next task of a job may run at an agent, and whether its data is there.
-type fit uint8
+// fitRating rates whether the next task of a job may run at an agent, and whether its data is
+// there.
+type fitRating uint8
 
 const (
-	noFit fit = iota
+	noFit fitRating = iota
 	fitsRemote
 	fitsLocal
 )
 
 // fit rates how well the next task of j fits a. A job without a next task fits, so that the
 // caller removes it from the queue.
-func (o *Owner) fit(now time.Duration, j *job, a *agent) fit {
+func (o *Owner) fit(now time.Duration, j *job, a *agent) fitRating {
 	step, index, ok := j.nextTask()
 	switch {
 	case !ok:
@@ -248,7 +253,7 @@
 		return noFit // a reservation does not cover an entire target
 	case !o.allowed(now, j, step, &j.steps[step].tasks[index], a):
 		return noFit
-	case a.far(j.spec.Steps[step]):
+	case a.far(j.desc.Steps[step]):
 		return fitsRemote
 	}
 	return fitsLocal
--- a/owner/retry_test.go
+++ b/owner/retry_test.go
@@ -9,7 +9,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// A rejection by the agent needs no backoff, as the agent reports its state in the same frame.
+// Guards against repeated orders to a target that rejects them. A rejection by the agent itself
+// needs no backoff, as the agent reports its state in the same frame.
 func TestTargetRejectionBacksOffTask(t *testing.T) {
 	for why, backsOff := range map[code.Code]bool{
 		code.RunNoRoom: false, code.RunNotTaking: false, code.RunStaleOwner: false,
@@ -21,6 +22,7 @@
 		state := &j.steps[0].tasks[0]
 		o.recordRejection(0, o.agents["a"], j, state, why)
 		assert.Equal(t, !o.allowed(rejectionBackoff/2, j, 0, state, o.agents["a"]), backsOff, why.String())
-		assert.Equal(t, j.started(), backsOff, "the job counts as started only if the order reached the target: "+why.String())
+		assert.Equal(t, j.started(), backsOff,
+			"the job counts as started only if the order reached the target: "+why.String())
 	}
 }
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -10,7 +10,7 @@
 )
 
 // Settlements inform the homes of a job that it was answered or dropped. Interests inform this
-// entry that another entry waits for one of its jobs.
+// entry that another entry waits for one of its jobs or cancels it.
 
 // answerOf converts the answer in a home's reply.
 func answerOf(r claim.Reply) Answer {
@@ -35,22 +35,22 @@
 // Refusals are sent at once unless the link is busy, since the caller may soon submit the job
 // again.
 func (o *Owner) settle(now time.Duration, j *job, a Answer) {
-	s := claim.Settlement{Job: j.spec.ID, Outcome: outcomeOf(a.Kind), Why: a.Why, Retry: a.Retry}
+	s := claim.Settlement{Job: j.desc.ID, Outcome: outcomeOf(a.Kind), Why: a.Why, Retry: a.Retry}
 	s.Ran = s.Outcome == claim.None && j.mayHaveRun()
 	s.Losses = j.losses()
-	e := o.dropped[j.spec.ID]
-	s.Clear = e == nil
+	d := o.dropped[j.desc.ID]
+	s.Clear = d == nil
 	for _, h := range j.homes {
-		if e != nil && !slices.Contains(e.homes, h.agent) {
-			e.homes = append(e.homes, h.agent)
+		if d != nil && !slices.Contains(d.homes, h.agent) {
+			d.homes = append(d.homes, h.agent)
 		}
 		if s.Clear || s.Outcome != claim.None {
 			o.sendSettlement(h.agent, s, j.hasRemoteWaiter() || j.earlierRun || a.Kind == Refused && !o.linkBusy(now))
 		}
 	}
-	if e != nil {
-		e.remoteWaiter = e.remoteWaiter || j.hasRemoteWaiter()
-		e.losses = s.Losses
+	if d != nil {
+		d.remoteWaiter = d.remoteWaiter || j.hasRemoteWaiter()
+		d.losses = s.Losses
 	}
 }
 
@@ -66,9 +66,9 @@
 	}
 }
 
-// receiveInterest handles a notice that another entry waits for a job, or that a caller there
-// cancels it. A frame is sent back in any case, which proves to the home that this entry is
-// alive.
+// receiveInterest handles a home's notice that another entry waits for a job, or that a caller
+// of another entry cancels it. A frame is sent back in any case, which shows the home that this
+// entry is alive.
 func (o *Owner) receiveInterest(now time.Duration, a *agent, interest claim.Interest) {
 	o.markDirty(a)
 	j := o.jobs[interest.Job]
@@ -84,13 +84,14 @@
 		o.cancelIfAbandoned(now, j)
 	case o.dropped[interest.Job] != nil:
 		o.dropped[interest.Job].remoteWaiter = interest.Waits
-	case interest.Waits && !slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == interest.Job }):
+	case interest.Waits &&
+		!slices.ContainsFunc(a.out.Settled, func(s claim.Settlement) bool { return s.Job == interest.Job }):
 		o.sendSettlement(a, claim.Settlement{Job: interest.Job, Clear: true}, true)
 	}
 }
 
-// Leave sends all pending settlements and makes later ones be sent at once. It is called before
-// the process exits.
+// Leave sends all pending settlements. Later ones no longer wait for the next heartbeat. It is
+// called before the process exits.
 func (o *Owner) Leave(now time.Duration) {
 	o.shuttingDown = true
 	for _, a := range o.byName {
@@ -102,10 +103,10 @@
 }
 
 // setRemoteWaiter records whether another entry waits for j at a home.
-func (j *job) setRemoteWaiter(a *agent, wanted bool) {
+func (j *job) setRemoteWaiter(a *agent, waits bool) {
 	for k := range j.homes {
 		if j.homes[k].agent == a {
-			j.homes[k].remoteWaiter = wanted
+			j.homes[k].remoteWaiter = waits
 		}
 	}
 }
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -42,7 +42,8 @@
 
 // reserve has an agent send a reservation.
 func (b *harness) reserve(agent string, cpu int) {
-	b.Receive(b.now, agent, &peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: cpu, MemoryMB: 100}}})
+	b.Receive(b.now, agent,
+		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: cpu, MemoryMB: 100}}})
 }
 
 // Guards against requests to all agents: two at first, and one more per requestInterval.
@@ -105,9 +106,9 @@
 func TestSilentConnectionTimesOut(t *testing.T) {
 	b := newWatchHarness(t, 1)
 	const name = "side-000"
-	heard := b.now
-	assert.Assert(t, !b.SilentTooLong(heard+peer.IdleSilence, name))
-	assert.Assert(t, b.SilentTooLong(heard+peer.IdleSilence+1, name))
+	lastFrameAt := b.now
+	assert.Assert(t, !b.SilentTooLong(lastFrameAt+peer.IdleSilence, name))
+	assert.Assert(t, b.SilentTooLong(lastFrameAt+peer.IdleSilence+1, name))
 	b.now += time.Second
 	b.submit(jobOf("j", 1))
 	assert.Assert(t, !b.SilentTooLong(b.now+peer.Silence, name))
@@ -175,8 +176,9 @@
 // reportLabel has an agent report that its target has a label.
 func (b *harness) reportLabel(agent, label string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
-		Profile: &peer.Profile{Target: "i", Service: "trackd", Labels: []string{label}, Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+		Profile: &peer.Profile{Target: "i", Service: "trackd", Labels: []string{label},
+			Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
+		Free: task.Needs{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
 // Guards against requests to watched agents far from the data while others hold it.
@@ -210,8 +212,8 @@
 	assert.DeepEqual(t, b.requested(), []string{"side-010"})
 }
 
-// A job near its data takes the reservation before a more urgent one; jobs not allowed there
-// must not.
+// Guards against a reservation used by a more urgent job far from its data, or by a job that may
+// not run there.
 func TestReservationPrefersJobWithLocalData(t *testing.T) {
 	b := newWatchHarness(t, 3)
 	b.reportLabel("side-000", "rack-1", 0)
