--- a/supervisor/baseline.go
+++ b/supervisor/baseline.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// baseline is what is usual of a target: how long its runs take over their estimates,
-// as mean and variance of the logarithm. It learns late and slowly, so that a target that
-// turns slow differs from it.
+// baseline is the normal ratio of run time to estimate on a target, as mean and variance of
+// its logarithm. It is learned late and slowly, so that a target that becomes slow deviates
+// from it.
 type baseline struct {
-	runs           float64 // learned from, baselineRuns at the most
+	runs           float64 // number of runs learned from, at most baselineRuns
 	mean, variance float64
 }
 
-// add takes a run into the baseline.
+// add updates the baseline with the log ratio of one run.
 func (b *baseline) add(ratio float64) {
 	b.runs = min(b.runs+1, baselineRuns)
 	weight := 1 / (b.runs + priorRuns)
@@ -19,7 +19,7 @@
 	b.variance = (1 - weight) * (b.variance + weight*d*d)
 }
 
-// spread returns the standard deviation.
+// spread returns the standard deviation of the log ratio.
 func (b *baseline) spread() float64 {
 	return math.Sqrt(b.variance)
 }
--- a/supervisor/call.go
+++ b/supervisor/call.go
@@ -8,24 +8,24 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Incarnation is one life of a target.
+// Incarnation identifies one process of a target, from its start to its end.
 type Incarnation struct {
 	ID string
-	// Born is when it started, in Unix milliseconds by its own time of day; zero where that
-	// is not told. It only tells the lives under one id apart, and orders nothing.
+	// Born is the start time in Unix milliseconds by the target's wall clock; zero if
+	// unknown. It only distinguishes processes with the same id and defines no order.
 	Born int64
 }
 
-// is reports whether both are the same life, as far as is told.
+// is reports whether both are the same incarnation, as far as their start times are known.
 func (i Incarnation) is(o Incarnation) bool {
 	return i.ID == o.ID && (i.Born == o.Born || i.Born == 0 || o.Born == 0)
 }
 
 // StartCall orders the target to start a run.
 type StartCall struct {
-	Incarnation Incarnation // that is meant
+	Incarnation Incarnation // addressee
 	Order       task.Order
-	Deadline    time.Duration // of the lease, on the target's clock
+	Deadline    time.Duration // end of the lease, on the target's clock
 	Token       uint64        // fencing token
 }
 
@@ -33,70 +33,70 @@
 type StopCall struct {
 	Incarnation Incarnation
 	Ref         task.Ref // its task is zero for a run that this agent did not order
-	Name        string   // of the task, as the target knows it
+	Name        string   // task name used by the target
 	Token       uint64
 }
 
-// RenewCall renews the target's lease and asks what runs and what has ended. The
-// target may hold back its answer until a run ends (a long poll).
+// RenewCall renews the target's lease and requests its active and ended runs. The target
+// may delay its answer until a run ends (long polling).
 type RenewCall struct {
 	Incarnation Incarnation
 	Token       uint64
-	Deadline    time.Duration // on the target's clock; zero renews nothing
-	LastSeen    uint64        // number of the last end that was applied
-	Wait        time.Duration // how long the answer may be held back at most
-	sent        time.Duration // on the agent's clock
+	Deadline    time.Duration // on the target's clock; zero does not renew the lease
+	LastSeen    uint64        // sequence number of the last end applied
+	Wait        time.Duration // longest time that the target may delay its answer
+	sent        time.Duration // send time, on the agent's clock
 }
 
-// RunLists are what the target answers to a renewal.
+// RunLists is the target's answer to a renewal.
 type RunLists struct {
-	// Born is that of the incarnation which answers; zero where it is not told.
+	// Born is the start time of the answering incarnation; zero if unknown.
 	Born    int64
 	Running []RunningRow
 	Ended   []EndedRow
 }
 
-// RunningRow is a run that is at work on the target.
+// RunningRow is a run that is active on the target.
 type RunningRow struct {
-	Name string // of the task
+	Name string // task name
 	Run  int
 }
 
 // EndedRow is a run that has ended on the target.
 type EndedRow struct {
-	N    uint64 // rises from 1 in each incarnation
-	Name string // of the task
+	N    uint64 // sequence number, from 1 in each incarnation
+	Name string // task name
 	Run  int
-	End  task.End // EndNone where the target's word for it is not known
+	End  task.End // EndNone if the target reported an unknown kind of end
 }
 
-// Outcome is how the target answered a call.
+// Outcome is the result of a call to the target.
 type Outcome uint8
 
 // Outcomes of a call.
 const (
-	// Accepted means that it was done, now or before.
+	// Accepted means that the call was carried out, now or earlier.
 	Accepted Outcome = iota
-	// NoAnswer means that the call may have been done or may be done yet.
+	// NoAnswer means that the call may have been carried out, or still may be.
 	NoAnswer
 	// RefusedToken means that the target has seen a higher fencing token.
 	RefusedToken
-	// RefusedOld means that the target has stopped or ended a run with this number
-	// or a higher one.
+	// RefusedOld means that the target has stopped or ended a run with this number or a
+	// higher one.
 	RefusedOld
-	// RefusedLate means that the call came after its deadline.
+	// RefusedLate means that the call arrived after its deadline.
 	RefusedLate
-	// RefusedRoom means that the run does not fit.
+	// RefusedRoom means that the target lacks the resources for the run.
 	RefusedRoom
-	// RefusedUnhealthy means that the target does nothing at the moment.
+	// RefusedUnhealthy means that the target is temporarily unable to start runs.
 	RefusedUnhealthy
-	// RefusedMalformed means that the target does not understand the call.
+	// RefusedMalformed means that the target could not parse the call.
 	RefusedMalformed
 	// WrongIncarnation means that another incarnation of the target answered.
 	WrongIncarnation
 )
 
-// outcomeCodes are the outcomes' reasons for a run not to begin.
+// outcomeCodes maps each outcome to the reason why the run did not start.
 var outcomeCodes = [...]code.Code{
 	Accepted:         code.OK,
 	NoAnswer:         code.RunAbsent,
@@ -109,7 +109,7 @@
 	WrongIncarnation: code.RunTargetGone,
 }
 
-// Code returns the outcome's reason for a run not to begin.
+// Code returns the reason why the run did not start.
 func (o Outcome) Code() code.Code {
 	if int(o) < len(outcomeCodes) {
 		return outcomeCodes[o]
@@ -120,33 +120,33 @@
 // Reply is the answer to a call.
 type Reply struct {
 	Outcome  Outcome
-	Clock    time.Duration // the target's own, where HasClock says so
+	Clock    time.Duration // reading of the target's clock, valid if HasClock
 	HasClock bool
-	// Err is why there is no answer, for logs; nil for all other outcomes.
+	// Err is the error behind NoAnswer, for logs; nil for all other outcomes.
 	Err error
 }
 
-// Report is what a target's heartbeat says.
+// Report is the content of a target's heartbeat.
 type Report struct {
-	ID       string // of the incarnation
-	Born     int64  // of the incarnation; zero where it is not told
+	ID       string // incarnation id
+	Born     int64  // start time of the incarnation; zero if unknown
 	Service  string
 	Hall     string
 	Labels   []string
 	Capacity task.Needs
 	Draining bool
-	Cold     time.Duration // for how much longer the target is slow from its start
-	Clock    time.Duration // the target's own, where HasClock says so
+	Cold     time.Duration // remaining warm-up time
+	Clock    time.Duration // reading of the target's clock, valid if HasClock
 	HasClock bool
-	Seq      uint64 // rises with each report of an incarnation
+	Seq      uint64 // increases with each report of an incarnation
 }
 
-// incarnation returns which life of the target reports.
+// incarnation returns the incarnation that sent the report.
 func (r Report) incarnation() Incarnation {
 	return Incarnation{ID: r.ID, Born: r.Born}
 }
 
-// profile returns what entries are told of the target.
+// profile returns the part of the report that is sent to entries.
 func (r Report) profile() peer.Profile {
 	return peer.Profile{Target: r.ID, Service: r.Service, Hall: r.Hall, Labels: r.Labels, Capacity: r.Capacity}
 }
--- a/supervisor/claim.go
+++ b/supervisor/claim.go
@@ -7,9 +7,10 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// Claims of jobs: the agent is a home of some (package claim), whatever its target does.
+// Claims of the jobs that have this agent as a home (package claim). They do not depend on
+// the state of the target.
 
-// newClaims returns the registry of the jobs of which this agent is a home.
+// newClaims returns the registry of the jobs that have this agent as a home.
 func (s *Supervisor) newClaims() *claim.Registry {
 	g := claim.NewRegistry(peer.ClearTime, s.Log)
 	g.Reply = func(id claim.ConnID, r claim.Reply) {
@@ -33,8 +34,8 @@
 	return g
 }
 
-// receiveClaims handles what an entry says of jobs. What it settles comes before what it
-// claims: a job that was given up may be claimed again.
+// receiveClaims handles the settlements and claims of an entry. Settlements come first,
+// since a job that was given up may be claimed again in the same frame.
 func (s *Supervisor) receiveClaims(now time.Duration, c *session, f *peer.Frame) {
 	for _, settled := range f.Settled {
 		s.claims.Settle(now, c.holder(), settled)
@@ -44,12 +45,12 @@
 	}
 }
 
-// holder returns the entry of c as the holder of claims.
+// holder returns the entry of c as a holder of claims.
 func (c *session) holder() claim.Holder {
 	return claim.Holder{Name: c.name, Boot: c.boot}
 }
 
-// Claims returns what this agent counts as a home.
+// Claims returns the counters of the claim registry.
 func (s *Supervisor) Claims() claim.Stats {
 	return s.claims.Stats()
 }
--- a/supervisor/health.go
+++ b/supervisor/health.go
@@ -8,107 +8,102 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Outlier detection. A target is ejected when the runs of several different jobs
-// fail, are slow or are overdue there. What is slow goes by how far the target's runs
-// have been off their estimates so far (baseline): a single job says little where they
-// are off by much. An ejected target gets single probes; after each that ends well it
-// gets twice as many at once, and after probesToRecover it is back.
+// Outlier detection. A target is ejected when the runs of several jobs fail, are slow or
+// are overdue on it. Slowness is judged relative to the target's normal deviation from the
+// estimates (baseline), so that inaccurate estimates require more evidence. An ejected
+// target receives single probe runs; each success doubles the number of concurrent probes,
+// and after probesToRecover successes the target has recovered.
 const (
-	// keptEnds is how many of the last ends are looked at.
-	keptEnds = 24
-	// ejectFailedJobs is how many different jobs must have failed among the last
-	// failureWindow ends for the target to be ejected. Half and double: no difference.
+	// maxEndRecords is the number of recent ends that are evaluated.
+	maxEndRecords = 24
+	// A target is ejected when ejectFailedJobs different jobs have failed among the last
+	// failureWindow ends.
 	ejectFailedJobs = 4
 	failureWindow   = 6
-	// The target is slow when the runs of the last slowMinJobs different jobs, or of
-	// more, took ejectSlowFactor times as long as usual on average, and so much longer
-	// that the mean is slowDeviations of its own standard deviations off.
+	// A target is slow when the runs of the last slowMinJobs or more different jobs took on
+	// average ejectSlowFactor times as long as normal, and the mean exceeds the baseline by
+	// slowDeviations standard deviations of the mean.
 	ejectSlowFactor = 2.5
 	slowDeviations  = 5.0
 	slowMinJobs     = 4
-	// A run at work is overdue after its likely time, times what ejectOverdueDeviations
-	// standard deviations make and ejectOverdueFactor at the least, and
-	// ejectOverdueSlack more. The overdue runs of ejectOverdueJobs different jobs, and
-	// of ejectOverdueShare of all jobs at work there, eject the target.
+	// An active run is overdue after its expected time, times the greater of
+	// ejectOverdueFactor and ejectOverdueDeviations standard deviations, plus
+	// ejectOverdueSlack. Overdue runs of ejectOverdueJobs different jobs eject the target
+	// if these are at least ejectOverdueShare of all jobs active there.
 	ejectOverdueDeviations = 2.0
 	ejectOverdueFactor     = 2.0
 	ejectOverdueSlack      = 30 * time.Millisecond
 	ejectOverdueJobs       = 3
 	ejectOverdueShare      = 1.0 / 3
-	// probeDeviations is by how many standard deviations a probe may be slow, and
-	// ejectSlowFactor times in any case.
+	// A probe is slow beyond probeDeviations standard deviations, and beyond
+	// ejectSlowFactor.
 	probeDeviations = 2.0
-	// What is assumed of a target's runs before any has ended: that they take as long
-	// as estimated, or 2.2 times longer or shorter. It counts like priorRuns runs.
-	// Measured over 48 drawn scenes without a trouble: with 0.5 eight ejected targets
-	// for up to 23 s, with 0.8 two for up to 5 s.
+	// priorSpread is the standard deviation of the log ratio assumed for a new target; it
+	// counts as much as priorRuns runs.
 	priorSpread = 0.8
 	priorRuns   = 8
-	// baselineRuns is how many runs the baseline looks back over: many more than make
-	// a target slow.
+	// baselineRuns is the number of runs that the baseline covers: many more than it takes
+	// to find a target slow.
 	baselineRuns = 200
-	// probeInterval is the time between the first probes. Half and double: no difference.
+	// probeInterval is the time between the first probes.
 	probeInterval = 300 * time.Millisecond
-	// trialTime is how long after its ejection, or after a probe that did not end well, an
-	// ejected target is on trial: entries are told that it is healthy, so that it gets
-	// probes also where nobody needs its room, but it gets no more than probes. Without it
-	// 3 of 300 drawn scenes without a trouble had a sound target ejected for 6 to 11 s, to
-	// their end.
-	trialTime = 2 * time.Second
-	// probesToRecover is how many probes in a row must end well. Half and double: no difference.
+	// trialDelay is how long after its ejection or an unsuccessful probe an ejected target
+	// goes on trial: it is reported to entries as healthy, to receive probes even if its
+	// resources are not needed, but still admits only probes.
+	trialDelay = 2 * time.Second
+	// probesToRecover is the number of consecutive probes that must succeed.
 	probesToRecover = 3
-	// speedWeight is the weight of one end in the learned speed. Half: no
-	// difference; double earned 0.0027 more (s.e. 0.0011) on the emulator.
+	// speedWeight is the weight of one end in the learned speed.
 	speedWeight = 0.08
-	// A run counts for the learned speed only if the time of its end is known to
-	// 1/maxUncertaintyShare of how long it took. Half and double: no difference.
+	// A run counts for the learned speed only if the uncertainty of its end is less than
+	// 1/maxUncertaintyShare of its duration.
 	maxUncertaintyShare = 3
-	// minRunTime is the shortest time of a run that is told apart.
+	// minRunTime is the shortest run time that is distinguished.
 	minRunTime = time.Millisecond
 )
 
-// health says whether a target is ejected, and how fast it is. It judges by the
-// ends of runs and by runs that are overdue.
+// health is the ejection state and the learned speed of a target, judged by ended and
+// overdue runs.
 type health struct {
 	ejected bool
-	why     code.Code   // of the last change
-	ends    []endRecord // the last keptEnds, the oldest first
+	why     code.Code   // reason for the last change
+	ends    []endRecord // the last maxEndRecords ends, oldest first
 
 	lastProbeAt time.Duration
-	lastBadAt   time.Duration // when it was ejected, or a probe did not end well
+	lastBadAt   time.Duration // when the target was ejected, or the last probe failed
 	onTrial     bool
-	goodProbes  int // in a row
+	goodProbes  int // consecutive
 
-	// slowness is the moving average of the logarithm of the time that runs took
-	// over the caller's guess.
-	slowness float64
-	baseline baseline
+	// logSlowdown is the moving average of the log ratio of run time to the caller's
+	// estimate.
+	logSlowdown float64
+	baseline    baseline
 }
 
 // endRecord is the end of one run.
 type endRecord struct {
 	job    string
 	failed bool
-	// ratio is the logarithm of the time that it took at the least over the estimate.
-	ratio float64
-	// usual is the same with the time until its end was listed, if usualKnown: that
-	// time is known well enough.
-	usual      float64
-	usualKnown bool
+	// minRatio is the log ratio of the shortest possible run time to the estimate.
+	minRatio float64
+	// maxRatio is the log ratio of the time until the end was listed to the estimate;
+	// precise is set if that time is close enough to the run time.
+	maxRatio float64
+	precise  bool
 }
 
-// newHealth returns the health of a target of which nothing is known.
+// newHealth returns the health of a new target.
 func newHealth() health {
 	return health{lastProbeAt: -time.Hour, baseline: baseline{variance: priorSpread * priorSpread}}
 }
 
-// speed returns the learned speed, 1 being as guessed.
+// speed returns the learned speed; at 1, runs take as long as the callers' estimates.
 func (h *health) speed() float64 {
-	return math.Exp(-h.slowness)
+	return math.Exp(-h.logSlowdown)
 }
 
-// admits reports whether the target may get one more run while the given number of
-// probes are at work there.
+// admits reports whether the target may receive another run while the given number of
+// probes are active.
 func (h *health) admits(now time.Duration, probes int) bool {
 	if !h.ejected {
 		return true
@@ -116,15 +111,16 @@
 	return probes < 1<<h.goodProbes && (h.goodProbes > 0 || now-h.lastProbeAt >= probeInterval)
 }
 
-// checkTrial begins or ends the trial of an ejected target. It reports whether it did.
+// checkTrial begins or ends the trial of an ejected target. It reports whether that
+// changed.
 func (h *health) checkTrial(now time.Duration) bool {
 	before := h.onTrial
-	h.onTrial = h.ejected && now-h.lastBadAt >= trialTime
+	h.onTrial = h.ejected && now-h.lastBadAt >= trialDelay
 	return h.onTrial != before
 }
 
-// bad records that the target was ejected, or that a probe did not end well.
-func (h *health) bad(now time.Duration) {
+// resetTrial ends the trial after an ejection or an unsuccessful probe.
+func (h *health) resetTrial(now time.Duration) {
 	h.lastBadAt = now
 	h.onTrial = false
 }
@@ -137,65 +133,63 @@
 	return h.ejected
 }
 
-// recordRefusal records that the target refused a start as unhealthy. It reports
-// whether it was ejected for it.
+// recordRefusal records a start that the target refused as unhealthy. It reports whether
+// the target was ejected as a result.
 func (h *health) recordRefusal(now time.Duration, job string) bool {
 	h.add(endRecord{job: job, failed: true})
 	return h.evaluate()
 }
 
-// recordEnd records the end of a run, which took at least as long as it was seen at
-// work and at most until its end was listed. It reports whether the target was
-// ejected or has recovered.
-func (h *health) recordEnd(r *run, end task.End, least, most time.Duration) bool {
+// recordEnd records the end of a run. minTook is the time for which it was seen active,
+// maxTook the time until its end was listed. It reports whether the target was ejected or
+// has recovered.
+func (h *health) recordEnd(r *run, end task.End, minTook, maxTook time.Duration) bool {
 	e := endRecord{
-		job:        r.order.Task.Job,
-		failed:     end == task.EndFailed,
-		ratio:      logRatio(max(least, minRunTime), r.order.Estimate),
-		usual:      logRatio(max(most, minRunTime), r.order.Estimate),
-		usualKnown: end == task.EndDone && most-least < most/maxUncertaintyShare,
+		job:      r.order.Task.Job,
+		failed:   end == task.EndFailed,
+		minRatio: logRatio(max(minTook, minRunTime), r.order.Estimate),
+		maxRatio: logRatio(max(maxTook, minRunTime), r.order.Estimate),
+		precise:  end == task.EndDone && maxTook-minTook < maxTook/maxUncertaintyShare,
 	}
-	if r.coldness > 0 { // what is expected of a cold target is no fault, and says little of it
-		e.ratio -= r.coldSlowness
-		e.usualKnown = false
+	if r.coldFraction > 0 { // discount the expected slowdown of a cold target
+		e.minRatio -= r.coldLogSlowdown
+		e.precise = false
 	}
 	if e.failed && r.order.FailedElsewhere {
-		return false // it says nothing of this target
+		return false // the job is at fault, not this target
 	}
 	h.add(e)
 	if h.ejected {
 		return r.probe && h.recordProbe(e)
 	}
-	if e.usualKnown {
-		h.learnSpeed(r.order.Guess, most)
+	if e.precise {
+		h.learnSpeed(r.order.Guess, maxTook)
 	}
 	return h.evaluate()
 }
 
-// learnSpeed takes the time of a run into the learned speed. It is learned against
-// the callers' guesses: against learned estimates the two would drift together.
-// Measured and reverted: learned against estimates, the trackers' trouble-1 fell
-// from 0.644 to 0.373.
+// learnSpeed updates the learned speed with the time of a run. It is learned against the
+// callers' estimates; against learned estimates the two would drift together.
 func (h *health) learnSpeed(guess, took time.Duration) {
-	h.slowness += speedWeight * (logRatio(took, guess) - h.slowness)
+	h.logSlowdown += speedWeight * (logRatio(took, guess) - h.logSlowdown)
 }
 
-// add keeps one more end. The baseline learns from those that go: they have not
-// ejected the target.
+// add appends an end. Ends that leave the window update the baseline, since they have not
+// led to an ejection.
 func (h *health) add(e endRecord) {
 	h.ends = append(h.ends, e)
-	if len(h.ends) <= keptEnds {
+	if len(h.ends) <= maxEndRecords {
 		return
 	}
-	if oldest := h.ends[0]; oldest.usualKnown && !h.ejected {
-		h.baseline.add(oldest.usual)
+	if oldest := h.ends[0]; oldest.precise && !h.ejected {
+		h.baseline.add(oldest.maxRatio)
 	}
 	h.ends = h.ends[1:]
 }
 
-// recordProbe counts a probe. It reports whether the target has recovered.
+// recordProbe records the end of a probe. It reports whether the target has recovered.
 func (h *health) recordProbe(e endRecord) bool {
-	if e.failed || e.ratio-h.baseline.mean > max(math.Log(ejectSlowFactor), probeDeviations*h.baseline.spread()) {
+	if e.failed || e.minRatio-h.baseline.mean > max(math.Log(ejectSlowFactor), probeDeviations*h.baseline.spread()) {
 		h.goodProbes = 0
 		return false
 	}
@@ -210,8 +204,7 @@
 	return true
 }
 
-// evaluate ejects the target if its last ends ask for it. It reports whether it
-// did.
+// evaluate ejects the target if its recent ends require it. It reports whether it did.
 func (h *health) evaluate() bool {
 	if h.ejected {
 		return false
@@ -231,9 +224,9 @@
 	return false
 }
 
-// slow reports whether the runs of the last jobs, each by its latest end, took so much
-// longer than usual that chance does not explain it. Where one of them failed it says
-// nothing.
+// slow reports whether the latest runs of the last jobs, one per job, took so much longer
+// than normal that chance is not a plausible cause. A failure among them makes the result
+// false.
 func (h *health) slow() bool {
 	seen := make(map[string]bool)
 	sum := 0.0
@@ -246,7 +239,7 @@
 			continue
 		}
 		seen[e.job] = true
-		sum += e.ratio - h.baseline.mean
+		sum += e.minRatio - h.baseline.mean
 		jobs := float64(len(seen))
 		deviation := h.baseline.spread() * math.Sqrt(jobs)
 		if jobs >= slowMinJobs && sum > jobs*math.Log(ejectSlowFactor) && sum > slowDeviations*deviation {
@@ -256,37 +249,37 @@
 	return false
 }
 
-// logRatio returns the logarithm of the time that a run took over an estimate.
+// logRatio returns the logarithm of run time over estimate.
 func logRatio(took, estimate time.Duration) float64 {
 	return math.Log(float64(took) / float64(max(estimate, minRunTime)))
 }
 
-// checkOverdue ejects the target if the runs of several jobs were overdue when its
-// lists were last asked for, at listedAt: what ended since is not known, so that a
-// lost answer makes no run overdue. It reports whether it did.
+// checkOverdue ejects the target if the runs of several jobs were overdue at listedAt, when
+// its lists were last requested. Later ends are unknown, so that a lost answer makes no run
+// overdue. It reports whether it ejected the target.
 func (h *health) checkOverdue(listedAt time.Duration, running []*run) bool {
 	if h.ejected {
 		return false
 	}
-	overdue, atWork := make(map[string]bool), make(map[string]bool)
+	overdue, active := make(map[string]bool), make(map[string]bool)
 	for _, r := range running {
-		atWork[r.order.Task.Job] = true
-		if listedAt-r.began > h.overdueAfter(r.order, r.coldSlowness) {
+		active[r.order.Task.Job] = true
+		if listedAt-r.startedAt > h.overdueAfter(r.order, r.coldLogSlowdown) {
 			overdue[r.order.Task.Job] = true
 		}
 	}
-	if len(overdue) >= ejectOverdueJobs && float64(len(overdue)) >= ejectOverdueShare*float64(len(atWork)) {
+	if len(overdue) >= ejectOverdueJobs && float64(len(overdue)) >= ejectOverdueShare*float64(len(active)) {
 		return h.eject(code.TargetOverdue)
 	}
 	return false
 }
 
-// overdueAfter returns how long after its start a run is overdue, which began on a target
-// that was so much slower for being cold.
-func (h *health) overdueAfter(o task.Order, coldSlowness float64) time.Duration {
-	likely := float64(o.Estimate) * math.Exp(h.slowness+coldSlowness)
+// overdueAfter returns how long after its start a run is overdue, given the logarithm of
+// its cold slowdown.
+func (h *health) overdueAfter(o task.Order, coldLogSlowdown float64) time.Duration {
+	expected := float64(o.Estimate) * math.Exp(h.logSlowdown+coldLogSlowdown)
 	factor := max(ejectOverdueFactor, math.Exp(ejectOverdueDeviations*h.baseline.spread()))
-	return time.Duration(factor*likely) + ejectOverdueSlack
+	return time.Duration(factor*expected) + ejectOverdueSlack
 }
 
 // eject ejects the target and returns true.
--- a/supervisor/health_test.go
+++ b/supervisor/health_test.go
@@ -96,7 +96,7 @@
 	for k := range 4 * ejectOverdueJobs {
 		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, Estimate: 100 * ms}}
 		if k >= ejectOverdueJobs {
-			r.began = 900 * ms
+			r.startedAt = 900 * ms
 		}
 		running = append(running, r)
 	}
@@ -110,7 +110,7 @@
 func TestEstimatesThatErrMoreNeedMoreEvidence(t *testing.T) {
 	jobsUntilEjected := func(times, spread float64) int {
 		h := knownHealth(spread)
-		for k := range keptEnds {
+		for k := range maxEndRecords {
 			if end(&h, fmt.Sprint(k), task.EndDone, times, false) {
 				return k + 1
 			}
@@ -189,7 +189,7 @@
 	b.announceHealth(b.now)
 	told := func() peer.Health { return b.state(b.now, b.sessions[1]).Health }
 	assert.Equal(t, told(), peer.Ejected)
-	b.now += trialTime - ms
+	b.now += trialDelay - ms
 	b.Tick(b.now)
 	assert.Equal(t, told(), peer.Ejected)
 	b.now += ms
--- a/supervisor/incarnation.go
+++ b/supervisor/incarnation.go
@@ -8,39 +8,39 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// keptEnded is how many incarnations that are over an agent remembers: a heartbeat may be
-// held up for seconds, in which a target hardly restarts so often. Not measured.
-const keptEnded = 8
+// maxEndedIncarnations is the number of ended incarnations that are remembered. A heartbeat
+// may be delayed for seconds; a target does not restart this often in that time.
+const maxEndedIncarnations = 8
 
-// maxHeartbeatAge is how long after its last heartbeat a target gets no more work.
-// Targets send one each 1.5 s, so that two may be lost. Their room may have shrunk since: the
-// platform's pages allow 4.5 s until that must hold. 3 s and 12 s: no difference.
+// maxHeartbeatAge is how long after its last heartbeat a target receives no more work.
+// Targets send a heartbeat every 1.5 s, and two may be lost. It is below the 4.5 s after
+// which the platform requires a smaller capacity to be respected.
 const maxHeartbeatAge = 4 * time.Second
 
-// target is the incarnation of the target that is up.
+// target is the current incarnation of the target.
 type target struct {
-	report   *Report       // the newest, nil while no incarnation is known
-	reportAt time.Duration // when it came
-	profile  *peer.Profile // of the newest report; another pointer when it changes
-	// cleared says that no run of an earlier agent is left on the incarnation.
+	report   *Report       // latest report; nil while no incarnation is known
+	reportAt time.Duration // arrival of report
+	profile  *peer.Profile // from the latest report; replaced, not modified, on a change
+	// cleared is set once no run of an earlier agent is left on the incarnation.
 	cleared bool
-	// token is this agent's fencing token, zero before it has one.
+	// token is this agent's fencing token; zero until it has one.
 	token uint64
-	// lastSeen is the number of the last end that was taken from the lists.
+	// lastSeen is the sequence number of the last end taken from the lists.
 	lastSeen uint64
-	// candidate is a report of another incarnation, nil where there is none: either a new
-	// one is up, or a heartbeat of an earlier one was held up. The next answer to a call
-	// tells. candidateAt is when it came.
+	// candidate is a report of another incarnation that arrived at candidateAt, or nil.
+	// Either a new incarnation has started, or the heartbeat of an earlier one was delayed;
+	// the next answer to a call decides.
 	candidate   *Report
 	candidateAt time.Duration
-	// rebornID is the id under which the target has restarted, while runs of the life before
-	// are left whose end is not certain; else empty.
-	rebornID string
-	// ended are the last incarnations that are known to be over.
+	// restartedID is the id under which the target has restarted, while runs of the
+	// previous process have not certainly ended; otherwise empty.
+	restartedID string
+	// ended holds the latest incarnations known to be over.
 	ended []Incarnation
 }
 
-// id returns the id of the incarnation, empty where none is known.
+// id returns the id of the current incarnation, or an empty string.
 func (t *target) id() string {
 	if t.report == nil {
 		return ""
@@ -48,7 +48,7 @@
 	return t.report.ID
 }
 
-// incarnation returns the incarnation that is up, the zero one where none is known.
+// incarnation returns the current incarnation, or the zero value.
 func (t *target) incarnation() Incarnation {
 	if t.report == nil {
 		return Incarnation{}
@@ -56,18 +56,18 @@
 	return t.report.incarnation()
 }
 
-// accepting reports whether the target may be given work: it is known, reports
-// itself, answers, is not draining, holds no run of an earlier agent, its data hall is not
-// evacuated, and its agent does not stop.
+// accepting reports whether the target may be given work: it is known, sends heartbeats,
+// answers calls, is not draining and has no run of an earlier agent; its data hall is not
+// evacuated, and its agent is not shutting down.
 func (s *Supervisor) accepting(now time.Duration) bool {
 	t := &s.target
 	return t.report != nil && t.cleared && !t.report.Draining && !s.leaving && !s.evacuated() &&
 		now-t.reportAt < maxHeartbeatAge && !s.lease.silent(now)
 }
 
-// Heartbeat handles a target's report of itself. Reports that were overtaken by a later
-// one are ignored, and so are those of incarnations that are over. While an incarnation is
-// known, one that is new here waits until that one is shown to be over.
+// Heartbeat handles a report of a target. It ignores reports that arrive out of order or
+// come from an incarnation that is over. While an incarnation is current, the report of a
+// new one waits until the current one is shown to be over.
 func (s *Supervisor) Heartbeat(now time.Duration, r Report) {
 	defer s.flush(now)
 	t := &s.target
@@ -81,9 +81,9 @@
 		t.candidateAt = now
 		return
 	case r.Service != t.report.Service:
-		return // no target changes it: another writer's
+		return // a target does not change its service: sent by another process
 	case r.Seq < t.report.Seq && now-t.reportAt < maxHeartbeatAge:
-		return // after that a number which nobody can reach must not shut the target out
+		return // after that, an excessive number from another process must not exclude the target
 	}
 	if !t.report.Draining && r.Draining {
 		s.logDraining(r.ID)
@@ -91,10 +91,10 @@
 	if r.HasClock && !s.lease.clock.known {
 		s.lease.clock.update(r.Clock, now)
 	}
-	if before := s.warmth.coldness(now); r.Cold > 0 && before == 0 {
+	if before := s.warmup.coldFraction(now); r.Cold > 0 && before == 0 {
 		s.logCold(r)
 	}
-	s.warmth.report(now, r.Cold)
+	s.warmup.update(now, r.Cold)
 	r.Draining = r.Draining || t.report.Draining
 	t.report = &r
 	t.reportAt = now
@@ -105,31 +105,31 @@
 	s.checkEvacuation(now)
 }
 
-// beginIncarnation starts over with an incarnation that is new here.
+// beginIncarnation resets the state for a new incarnation.
 func (s *Supervisor) beginIncarnation(now time.Duration, r Report) {
 	s.logIncarnation(r.ID)
-	if s.target.rebornID != r.ID {
+	if s.target.restartedID != r.ID {
 		s.endIncarnation(now)
 	}
 	s.target.report = &r
 	s.lease.begin(now)
 }
 
-// checkCandidate begins the incarnation that has reported itself beside the present one,
-// where that one leaves its calls unanswered and has surely stopped all of its runs.
+// checkCandidate replaces the current incarnation by the candidate if the current one does
+// not answer and its lease has certainly expired.
 func (s *Supervisor) checkCandidate(now time.Duration) {
 	if s.target.candidate == nil || !s.lease.silent(now) || !s.lease.expired(now) {
 		return
 	}
 	if s.target.candidate.ID == s.target.id() {
-		s.reborn(now, "heartbeat")
+		s.targetRestarted(now, "heartbeat")
 		return
 	}
 	s.endIncarnation(now)
 	s.beginCandidate(now)
 }
 
-// beginCandidate begins the incarnation whose report was waiting, if any.
+// beginCandidate makes the candidate, if any, the current incarnation.
 func (s *Supervisor) beginCandidate(now time.Duration) {
 	if r := s.target.candidate; r != nil {
 		s.target.candidate = nil
@@ -137,8 +137,8 @@
 	}
 }
 
-// dropCandidate forgets a report of another incarnation that came before a call was sent
-// which the present one has answered: it was held up on its way.
+// dropCandidate discards a candidate whose report arrived before the sending of a call that
+// the current incarnation has answered: the report was delayed.
 func (s *Supervisor) dropCandidate(sent time.Duration) {
 	if t := &s.target; t.candidate != nil && t.candidateAt <= sent {
 		s.logHeartbeatHeldUp(t.candidate.ID)
@@ -146,17 +146,17 @@
 	}
 }
 
-// endIncarnation ends the present incarnation and with it all of its runs.
+// endIncarnation ends the current incarnation and all of its runs.
 func (s *Supervisor) endIncarnation(now time.Duration) {
-	s.tellCrashed()
+	s.reportCrashed()
 	for _, r := range s.sortedRuns() {
-		s.finish(now, r, task.EndLost, s.target.endOf(r))
+		s.finish(now, r, task.EndLost, s.target.lossReason(r))
 	}
-	s.target.rebornID = ""
+	s.target.restartedID = ""
 	s.forgetIncarnation(now)
 }
 
-// forgetIncarnation forgets all that held for the present incarnation.
+// forgetIncarnation discards all state of the current incarnation.
 func (s *Supervisor) forgetIncarnation(now time.Duration) {
 	s.target.report = nil
 	s.target.cleared = false
@@ -164,12 +164,12 @@
 	s.target.lastSeen = 0
 	s.lease.end()
 	s.health = newHealth()
-	s.warmth.report(now, 0) // what was learned of cold targets stays
+	s.warmup.update(now, 0) // the learned cold slowdown is kept
 	s.markChanged()
 }
 
-// wrongIncarnation ends the present incarnation because another one answered a
-// call that was meant for it.
+// wrongIncarnation ends the current incarnation because another one answered a call
+// addressed to it.
 func (s *Supervisor) wrongIncarnation(now time.Duration, call string) {
 	s.logIncarnationOver(call)
 	t := &s.target
@@ -178,13 +178,13 @@
 	s.beginCandidate(now)
 }
 
-// recordEnded remembers that the present incarnation is over.
+// recordEnded records that the current incarnation is over.
 func (t *target) recordEnded() {
 	t.ended = append(t.ended, t.incarnation())
-	t.ended = t.ended[max(0, len(t.ended)-keptEnded):]
+	t.ended = t.ended[max(0, len(t.ended)-maxEndedIncarnations):]
 }
 
-// Deregister handles the target's notice that it is shutting down.
+// Deregister handles the target's announcement that it is shutting down.
 func (s *Supervisor) Deregister(now time.Duration, id string) {
 	defer s.flush(now)
 	if s.target.id() == id {
@@ -194,9 +194,9 @@
 	}
 }
 
-// awaitCleared makes the target cleared once a list that was asked for under this
-// agent's own fencing token is empty: orders of an earlier agent are refused from
-// then on, and none of its runs is left.
+// awaitCleared marks the target as cleared once a list requested under this agent's own
+// fencing token is empty: from then on the target refuses orders of earlier agents, and
+// none of their runs is left.
 func (s *Supervisor) awaitCleared(now time.Duration, c RenewCall, l *RunLists) {
 	if s.target.token == 0 && s.Rules.FencingTokens {
 		s.renewToken(now)
@@ -205,15 +205,15 @@
 	if s.Rules.AwaitCleared && (c.Token != s.target.token || len(l.Running) > 0) {
 		return
 	}
-	s.endReborn(now)
+	s.endRunsBeforeRestart(now)
 	s.target.cleared = true
 	s.logServing()
 	s.markChanged()
 }
 
-// renewToken takes a fencing token that is higher than any given before: the
-// target's own clock rises over restarts of the agent, and no token outlives the
-// incarnation.
+// renewToken chooses a fencing token higher than any given before. It is derived from the
+// target's clock, which continues across restarts of the agent; tokens are not kept beyond
+// an incarnation.
 func (s *Supervisor) renewToken(now time.Duration) {
 	reading := uint64(max(0, s.lease.clock.atLeast(now)).Milliseconds()) + 1
 	s.target.token = max(s.target.token+1, reading)
--- a/supervisor/lease.go
+++ b/supervisor/lease.go
@@ -9,87 +9,84 @@
 )
 
 const (
-	// TargetLease is how long the target runs on without a renewal.
+	// TargetLease is how long the target keeps its runs without a renewal.
 	// docs/design/platform.md has the sum of the leases.
 	TargetLease = 800 * time.Millisecond
-	// idleWait is how long the target may hold back the answer to a renewal until
-	// a run ends, while nothing runs, and busyWait while something does: an answer
-	// that is lost hides all ends until the next. Shorter ones were part of the
-	// round that raised the trackers' trouble-1 from 0.644 to 0.894
-	// (docs/measurements/platform.md); not measured alone.
+	// idleWait and busyWait limit how long the target may delay the answer to a renewal,
+	// while no run is active and while some are. busyWait is short because a lost answer
+	// delays all reports of ends until the next.
 	idleWait = 250 * time.Millisecond
 	busyWait = 30 * time.Millisecond
-	// clearingWait is that wait while the target holds runs of an earlier agent or
-	// is silent. Double: no difference.
+	// clearingWait is that limit while the target has runs of an earlier agent or is
+	// silent.
 	clearingWait = 20 * time.Millisecond
-	// silenceLimit is how long a target may leave calls unanswered before it gets
-	// no more work and its lease is left to expire: one renewal and its timeout.
-	// Half and double: no difference.
+	// silenceLimit is how long a target may leave calls unanswered before it receives no
+	// more work and its lease is no longer renewed: one renewal and its timeout.
 	silenceLimit = idleWait + 120*time.Millisecond
-	// lapseMargin is how long after its lease a run may still take to end: the
-	// stop (50 ms) and late timers.
-	lapseMargin = 70 * time.Millisecond
-	// losingRepliesTime is how long after a call was not answered, while others
-	// were, the target's replies are taken to get lost. Half and double: no difference.
-	losingRepliesTime = 3 * time.Second
-	// renewalRetry is how long after a failed renewal was sent the next is due; it
-	// doubles with each further one up to renewalRetryMax, since every try may
-	// cost a new connection. Half and double: no difference.
+	// leaseMargin is how long after the end of its lease a run may take to stop: the stop
+	// itself (50 ms) and delayed timers.
+	leaseMargin = 70 * time.Millisecond
+	// lossyDuration is how long the target is assumed to be losing replies after an
+	// unanswered call.
+	lossyDuration = 3 * time.Second
+	// renewalRetry is the interval between a failed renewal and the next; it doubles with
+	// each further failure up to renewalRetryMax, since every try may need a new
+	// connection.
 	renewalRetry    = 20 * time.Millisecond
 	renewalRetryMax = 160 * time.Millisecond
 )
 
-// lease is what the target was promised, and what is known of its answers. Times
-// are on the agent's clock but where it says otherwise.
+// lease is the state of the target's lease and of the answers it depends on. Times are on
+// the agent's clock unless stated otherwise.
 type lease struct {
 	clock clock
-	// maxDeadline is the latest deadline that the target was ever given, on its
-	// own clock: until then it may work on.
+	// maxDeadline is the latest deadline granted to the target, on its own clock; until
+	// then it may keep working.
 	maxDeadline time.Duration
 	// lastReplyAt is when the target last answered a call.
 	lastReplyAt time.Duration
-	// listedAt is when the lists that were last applied were asked for: what ended
-	// since is not known. listedBefore is that of the lists before: a run whose
-	// end is in the last lists was at work then.
-	listedAt, listedBefore time.Duration
-	// failedRenewals counts the renewals in a row that were not accepted.
+	// listedAt is when the last applied lists were requested; later ends are unknown.
+	// previousListedAt is the same for the lists before: a run that ended in the last lists
+	// was active at that time.
+	listedAt, previousListedAt time.Duration
+	// failedRenewals is the number of consecutive renewals that were not accepted.
 	failedRenewals int
-	// losingRepliesUntil is until when the target's replies are taken to get lost.
-	losingRepliesUntil time.Duration
+	// lossyUntil is until when the target is assumed to be losing replies.
+	lossyUntil time.Duration
 }
 
-// begin prepares for a new incarnation, which has just sent its heartbeat.
+// begin resets the state for a new incarnation whose first heartbeat has just arrived.
 func (l *lease) begin(now time.Duration) {
 	l.lastReplyAt = now
 	l.failedRenewals = 0
-	l.losingRepliesUntil = 0
+	l.lossyUntil = 0
 }
 
-// end forgets what the incarnation was promised, and its clock.
+// end discards the deadlines and the clock of the incarnation.
 func (l *lease) end() {
 	l.clock = clock{}
 	l.maxDeadline = 0
 }
 
-// grant returns a deadline that the target may work until, on its own clock.
+// grant returns a new deadline for the target, on the target's clock.
 func (l *lease) grant(now, length time.Duration) time.Duration {
 	deadline := l.clock.atLeast(now) + length
 	l.maxDeadline = max(l.maxDeadline, deadline)
 	return deadline
 }
 
-// silent reports whether the target has not answered for too long.
+// silent reports whether the target has not answered for longer than silenceLimit.
 func (l *lease) silent(now time.Duration) bool {
 	return now-l.lastReplyAt > silenceLimit
 }
 
-// expired reports whether the last deadline that the target was given has passed
-// for certain, so that it has stopped all of its runs.
+// expired reports whether the last deadline granted to the target has certainly passed, so
+// that it has stopped all of its runs.
 func (l *lease) expired(now time.Duration) bool {
-	return l.clock.atLeast(now) >= l.maxDeadline+lapseMargin
+	return l.clock.atLeast(now) >= l.maxDeadline+leaseMargin
 }
 
-// recordReply notes the target's reply to a call, and its clock.
+// recordReply records the time and the clock reading of a reply.
 func (l *lease) recordReply(now time.Duration, reply Reply) {
 	if reply.Outcome != NoAnswer {
 		l.lastReplyAt = now
@@ -99,24 +96,24 @@
 	}
 }
 
-// recordTimeout marks the target as losing replies, unless it has stopped replying
-// altogether. It reports whether it was not marked before.
+// recordTimeout marks the target as losing replies, unless it is silent altogether. It
+// reports whether the mark is new.
 func (l *lease) recordTimeout(now time.Duration) bool {
 	if l.silent(now) {
 		return false
 	}
 	before := l.losingReplies(now)
-	l.losingRepliesUntil = now + losingRepliesTime
+	l.lossyUntil = now + lossyDuration
 	return !before
 }
 
 // losingReplies reports whether the target is marked as losing replies.
 func (l *lease) losingReplies(now time.Duration) bool {
-	return now < l.losingRepliesUntil
+	return now < l.lossyUntil
 }
 
-// retryInterval returns how long after the last renewal was sent the next is due, zero
-// where that one was accepted.
+// retryInterval returns the interval between the last renewal and the next; zero if the
+// last one was accepted.
 func (l *lease) retryInterval() time.Duration {
 	if l.failedRenewals == 0 {
 		return 0
@@ -124,29 +121,29 @@
 	return backoff.Interval(renewalRetry, renewalRetryMax, l.failedRenewals-1)
 }
 
-// recordReply notes a reply to a call that was meant for an incarnation, if that
-// one is still up.
+// recordReply records a reply to a call addressed to an incarnation, if that one is
+// current.
 func (s *Supervisor) recordReply(now time.Duration, i Incarnation, reply Reply) {
 	if i.is(s.target.incarnation()) {
 		s.lease.recordReply(now, reply)
 	}
 }
 
-// recordTimeout notes a call that was not answered.
+// recordTimeout records an unanswered call.
 func (s *Supervisor) recordTimeout(now time.Duration) {
 	if s.lease.recordTimeout(now) {
 		s.logLosingReplies()
 	}
 }
 
-// dropLapsed ends all runs of a silent target once its lease has expired.
+// dropLapsed ends all runs of a silent target after its lease has expired.
 func (s *Supervisor) dropLapsed(now time.Duration) {
 	if len(s.runs) == 0 || !s.lease.silent(now) || !s.lease.expired(now) {
 		return
 	}
 	for _, r := range s.sortedRuns() {
-		if r.reborn {
-			continue // the lease of the new life is not known
+		if r.beforeRestart {
+			continue // the lease of the restarted process is unknown
 		}
 		s.recordLapsed(r)
 		s.finish(now, r, task.EndLapsed, code.RunTargetSilent)
--- a/supervisor/log.go
+++ b/supervisor/log.go
@@ -11,15 +11,15 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// One function a kind of line; package event says what each kind means. Durations
-// are in milliseconds.
+// One function per kind of line; package event documents the kinds. Durations are in
+// milliseconds.
 
-// log writes a line with the attributes.
+// log writes a line of the given kind.
 func (s *Supervisor) log(kind event.Kind, attrs ...slog.Attr) {
 	s.Log.LogAttrs(context.Background(), slog.LevelInfo, kind, attrs...)
 }
 
-// cause returns an attribute with why the target did not do what it was asked.
+// cause returns an attribute with the reason for an unsuccessful call.
 func (r Reply) cause() slog.Attr {
 	if r.Err != nil {
 		return slog.String("error", r.Err.Error())
@@ -27,7 +27,7 @@
 	return slog.String("why", r.Outcome.Code().String())
 }
 
-// logIncarnation says that a heartbeat came from an incarnation that is new here.
+// logIncarnation logs the heartbeat of a new incarnation.
 func (s *Supervisor) logIncarnation(id string) {
 	s.log(event.TargetIncarnation,
 		slog.String("target", id),
@@ -35,21 +35,21 @@
 		slog.Int("runs", len(s.runs)))
 }
 
-// logIncarnationOver says which call was answered by another incarnation.
+// logIncarnationOver logs which call was answered by another incarnation.
 func (s *Supervisor) logIncarnationOver(call string) {
 	s.log(event.TargetIncarnationOver,
 		slog.String("target", s.target.id()),
 		slog.String("seen_by", call))
 }
 
-// logHeartbeatHeldUp says that a heartbeat came from an incarnation that is not up.
+// logHeartbeatHeldUp logs a delayed heartbeat of an incarnation that is not current.
 func (s *Supervisor) logHeartbeatHeldUp(id string) {
 	s.log(event.HeartbeatHeldUp,
 		slog.String("target", s.target.id()),
 		slog.String("from", id))
 }
 
-// logServing says that the target takes work from now on.
+// logServing logs that the target accepts work from now on.
 func (s *Supervisor) logServing() {
 	s.log(event.TargetServing,
 		slog.String("target", s.target.id()),
@@ -57,12 +57,12 @@
 		slog.Int("cpu", s.target.report.Capacity.CPU))
 }
 
-// logDraining says that the target reports that it drains.
+// logDraining logs that the target reports that it is draining.
 func (s *Supervisor) logDraining(id string) {
 	s.log(event.TargetDraining, slog.String("target", id))
 }
 
-// logEvacuated says that the target's data hall is evacuated from now on.
+// logEvacuated logs the beginning of the evacuation of the target's data hall.
 func (s *Supervisor) logEvacuated() {
 	s.log(event.TargetEvacuated,
 		slog.String("target", s.target.id()),
@@ -71,7 +71,7 @@
 		slog.Int("runs", len(s.runs)))
 }
 
-// logReturned says that the evacuation is over.
+// logReturned logs the end of the evacuation.
 func (s *Supervisor) logReturned(now time.Duration) {
 	s.log(event.TargetReturned,
 		slog.String("target", s.target.id()),
@@ -79,7 +79,7 @@
 		event.Milliseconds("evacuated_ms", now-s.evacuatedSince))
 }
 
-// logEmpty says that no run is left on an evacuated target.
+// logEmpty logs that an evacuated target has no more runs.
 func (s *Supervisor) logEmpty(now time.Duration) {
 	s.log(event.TargetEmpty,
 		slog.String("target", s.target.id()),
@@ -87,22 +87,22 @@
 		event.Milliseconds("after_ms", now-s.evacuatedSince))
 }
 
-// logCold says that the target is slow for a while.
+// logCold logs that the target is warming up.
 func (s *Supervisor) logCold(r Report) {
 	s.log(event.TargetCold,
 		slog.String("target", r.ID),
 		event.Milliseconds("left_ms", r.Cold),
-		slog.Float64("slowdown", math.Exp(s.warmth.slowdown)))
+		slog.Float64("slowdown", math.Exp(s.warmup.fullLogSlowdown)))
 }
 
-// logDeregistered says that the target is shutting down.
+// logDeregistered logs that the target is shutting down.
 func (s *Supervisor) logDeregistered() {
 	s.log(event.TargetDeregistered,
 		slog.String("target", s.target.id()),
 		slog.Int("runs", len(s.runs)))
 }
 
-// logHealth says that the target was ejected, or has recovered.
+// logHealth logs the ejection or recovery of the target.
 func (s *Supervisor) logHealth() {
 	s.log(event.TargetHealth,
 		slog.String("target", s.target.id()),
@@ -111,27 +111,26 @@
 		slog.Int("runs", len(s.runs)))
 }
 
-// logLosingReplies says that the target left a call unanswered while it answers
-// others.
+// logLosingReplies logs that the target left a call unanswered while it answers others.
 func (s *Supervisor) logLosingReplies() {
 	s.log(event.TargetLosingReplies,
 		slog.String("target", s.target.id()),
 		slog.Int("runs", len(s.runs)))
 }
 
-// logRenewalFailed says that a renewal was not accepted, the first in a row.
+// logRenewalFailed logs the first in a series of renewals that were not accepted.
 func (s *Supervisor) logRenewalFailed(reply Reply) {
 	s.log(event.RenewalFailed, slog.String("target", s.target.id()), reply.cause())
 }
 
-// logEntryConnected says that an entry has connected.
+// logEntryConnected logs a new connection of an entry.
 func (s *Supervisor) logEntryConnected(name string, id ConnID) {
 	s.log(event.EntryConnected,
 		slog.String("entry", name),
 		slog.Uint64("conn", uint64(id)))
 }
 
-// logEntryLost says that a connection is over, and how many runs are stopped.
+// logEntryLost logs the end of a connection and the number of runs that are stopped.
 func (s *Supervisor) logEntryLost(c *session, stopped int) {
 	s.log(event.EntryLost,
 		slog.String("entry", c.name),
@@ -139,16 +138,16 @@
 		slog.Int("stopped", stopped))
 }
 
-// logOwnerLeaseOver says that a run is stopped because its entry is silent.
+// logOwnerLeaseOver logs that a run is stopped because its entry's lease has expired.
 func (s *Supervisor) logOwnerLeaseOver(now time.Duration, r *run) {
 	s.log(event.OwnerLeaseOver,
 		slog.String("entry", r.session.name),
 		slog.String("task", r.name),
 		slog.Int("run", r.order.Run),
-		event.Milliseconds("echo_age_ms", now-r.session.leaseFrom))
+		event.Milliseconds("echo_age_ms", now-r.session.leaseStart))
 }
 
-// logOrderRejected says why an order was not taken.
+// logOrderRejected logs the reason for the rejection of an order.
 func (s *Supervisor) logOrderRejected(now time.Duration, c *session, order task.Order, why code.Code) {
 	s.log(event.StartRefused,
 		slog.String("task", order.Task.String()),
@@ -157,10 +156,10 @@
 		slog.String("why", why.String()),
 		slog.Int("needs", order.Needs.CPU),
 		slog.Int("free", s.freeRoom(now, c).CPU),
-		event.Milliseconds("echo_age_ms", now-c.leaseFrom))
+		event.Milliseconds("echo_age_ms", now-c.leaseStart))
 }
 
-// logStartUnanswered says that a start was not answered.
+// logStartUnanswered logs a start without an answer.
 func (s *Supervisor) logStartUnanswered(r *run, reply Reply) {
 	s.log(event.StartUnanswered,
 		slog.String("task", r.name),
@@ -169,7 +168,7 @@
 		reply.cause())
 }
 
-// logStartRejected says that the target rejected a start.
+// logStartRejected logs that the target rejected a start.
 func (s *Supervisor) logStartRejected(r *run, reply Reply) {
 	s.log(event.StartRejected,
 		slog.String("task", r.name),
@@ -178,17 +177,17 @@
 		slog.Int("tries", r.tries))
 }
 
-// logStopping says why a run is stopped.
+// logStopping logs the reason for stopping a run.
 func (s *Supervisor) logStopping(now time.Duration, r *run) {
 	s.log(event.RunStopping,
 		slog.String("task", r.name),
 		slog.Int("run", r.order.Run),
 		slog.String("entry", r.session.name),
 		slog.String("why", r.reason.String()),
-		event.Milliseconds("age_ms", now-r.began))
+		event.Milliseconds("age_ms", now-r.startedAt))
 }
 
-// logStopFailed says that a stop was not accepted; it is sent again.
+// logStopFailed logs a stop that was not accepted and will be sent again.
 func (s *Supervisor) logStopFailed(r *run, reply Reply) {
 	s.log(event.StopFailed,
 		slog.String("task", r.name),
@@ -196,14 +195,14 @@
 		reply.cause())
 }
 
-// logUnknownEnd says that the target listed an end of a kind that is not known.
+// logUnknownEnd logs an end whose kind is unknown.
 func (s *Supervisor) logUnknownEnd(r *run) {
 	s.log(event.UnknownEnd,
 		slog.String("task", r.name),
 		slog.Int("run", r.order.Run))
 }
 
-// logEnded says how a run ended, and how that is known.
+// logEnded logs the end of a run and how it was determined.
 func (s *Supervisor) logEnded(now time.Duration, r *run, end task.End, why code.Code) {
 	s.log(event.RunEnded,
 		slog.String("task", r.name),
@@ -211,6 +210,6 @@
 		slog.String("entry", r.session.name),
 		slog.String("end", end.String()),
 		slog.String("why", why.String()),
-		event.Milliseconds("took_ms", now-r.began),
+		event.Milliseconds("took_ms", now-r.startedAt),
 		event.Milliseconds("estimate_ms", r.order.Estimate))
 }
--- a/supervisor/renewal.go
+++ b/supervisor/renewal.go
@@ -7,20 +7,20 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// maxListedEnds is how many ends the target lists at once. A full list may
-// not be whole. The platform's pages set it.
+// maxListedEnds is the platform's limit on ends per list; a list of this length may be
+// incomplete.
 const maxListedEnds = 500
 
-// NextRenewal returns the next call that renews the target's lease and asks what
-// runs and what has ended; false where no target is known. A silent target is asked
-// without a renewal, so that its lease expires for certain.
+// NextRenewal returns the next call that renews the target's lease and requests its runs;
+// false if no target is known. A silent target is queried without a renewal, so that its
+// lease expires.
 func (s *Supervisor) NextRenewal(now time.Duration) (RenewCall, bool) {
 	if s.target.report == nil {
 		return RenewCall{}, false
 	}
 	c := RenewCall{Incarnation: s.target.incarnation(), Token: s.target.token, LastSeen: s.target.lastSeen, sent: now}
 	switch {
-	case !s.lease.clock.known: // the answer tells it
+	case !s.lease.clock.known: // the answer supplies the clock
 	case !s.target.cleared, s.lease.silent(now):
 		c.Wait = clearingWait
 	default:
@@ -33,8 +33,7 @@
 	return c, true
 }
 
-// RenewalAnswered handles the answer to a renewal; lists is nil unless it was
-// accepted.
+// RenewalAnswered handles the result of a renewal; lists is nil unless it was accepted.
 func (s *Supervisor) RenewalAnswered(now time.Duration, c RenewCall, reply Reply, lists *RunLists) {
 	defer s.flush(now)
 	if !c.Incarnation.is(s.target.incarnation()) {
@@ -47,12 +46,12 @@
 		s.recordTimeout(now)
 	case Accepted:
 		s.lease.failedRenewals = 0
-		if s.rebornSince(lists) {
-			s.reborn(now, "renewal")
+		if s.restartedSince(lists) {
+			s.targetRestarted(now, "renewal")
 			break
 		}
 		s.dropCandidate(c.sent)
-		s.lapsed = nil // it was silent and has not crashed
+		s.lapsed = nil // the target was silent but has not crashed
 		s.applyLists(now, c, lists)
 	case RefusedToken:
 		s.renewToken(now)
@@ -65,24 +64,22 @@
 	s.reserveRoom(now)
 }
 
-// LosingReplies reports whether a second renewal should be kept under way beside
-// the first, so that a lost reply hides no ends. Measured with 6% of all calls
-// late: 0.899 earned without it, 0.975 with it and starts repeated after 20 ms
-// (docs/measurements/policy-platform.md).
+// LosingReplies reports whether a second renewal should be in progress in parallel, so that
+// one lost reply does not delay the reports of ends.
 func (s *Supervisor) LosingReplies(now time.Duration) bool {
 	return s.lease.losingReplies(now) && len(s.runs) > 0
 }
 
-// RenewalBackoff returns how long after the last renewal was sent the next is due
-// at the earliest, zero where that one was accepted.
+// RenewalBackoff returns the shortest time from the last renewal to the next; zero if the
+// last one was accepted.
 func (s *Supervisor) RenewalBackoff() time.Duration {
 	return s.lease.retryInterval()
 }
 
-// applyLists applies the target's lists: first the ends, then what runs, then what
-// is in neither.
+// applyLists applies the target's lists: first the ends, then the active runs, then the
+// absence of runs from both.
 func (s *Supervisor) applyLists(now time.Duration, c RenewCall, l *RunLists) {
-	s.lease.listedBefore = s.lease.listedAt
+	s.lease.previousListedAt = s.lease.listedAt
 	s.lease.listedAt = max(s.lease.listedAt, c.sent)
 	for _, e := range l.Ended {
 		s.applyEnded(now, e)
@@ -100,8 +97,8 @@
 	}
 }
 
-// applyEnded applies one listed end. Each is listed until a renewal names it as
-// seen.
+// applyEnded applies one listed end. The target lists an end until a renewal acknowledges
+// it.
 func (s *Supervisor) applyEnded(now time.Duration, e EndedRow) {
 	if e.N <= s.target.lastSeen {
 		return
@@ -122,8 +119,8 @@
 	s.finish(now, r, e.End, reason)
 }
 
-// applyRunning applies one listed run: a start that was not answered has taken
-// effect all the same. What this agent did not order is stopped.
+// applyRunning applies one listed run: an unanswered start has taken effect. Runs that this
+// agent did not order are stopped.
 func (s *Supervisor) applyRunning(now time.Duration, row RunningRow) {
 	r := s.runs[row.Name]
 	if r == nil || r.order.Run != row.Run {
@@ -133,19 +130,19 @@
 		s.Stop(StopCall{Incarnation: s.target.incarnation(), Name: row.Name, Ref: task.Ref{Run: row.Run}, Token: s.target.token})
 		return
 	}
-	r.reborn = false
+	r.beforeRestart = false
 	if !r.answered {
 		r.answered = true
-		r.began = now
-		r.markCannotBegin(now)
+		r.startedAt = now
+		r.markCannotStart(now)
 	}
 }
 
-// dropAbsent ends the runs that are in neither list, if the lists were asked for
-// after those runs could not begin any more.
+// dropAbsent ends the runs that are in neither list, if the lists were requested after
+// those runs could no longer start.
 func (s *Supervisor) dropAbsent(now time.Duration, c RenewCall, present map[string]int) {
 	for _, r := range s.sortedRuns() {
-		if present[r.name] == r.order.Run || !r.cannotBegin || r.cannotBeginSince > c.sent {
+		if present[r.name] == r.order.Run || !r.cannotStart || r.cannotStartSince > c.sent {
 			continue
 		}
 		end := task.EndRejected
--- a/supervisor/reservation.go
+++ b/supervisor/reservation.go
@@ -7,19 +7,19 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// reservationTime is how long room is reserved for an entry that requested it: a
-// round trip and a lost packet. Half and double: no difference.
-const reservationTime = 40 * time.Millisecond
+// reservationTTL is how long resources stay reserved for an entry: a round trip and one
+// lost packet.
+const reservationTTL = 40 * time.Millisecond
 
-// room is the use of the target's room. Invariant: what is used and reserved never
-// exceeds the capacity at the time when it was taken.
+// room accounts for the target's resources. Invariant: use plus reservations never exceeds
+// the capacity known at the time of each addition.
 type room struct {
 	used         task.Needs
 	reservations map[uint64]*reservation
-	lastID       uint64 // of a reservation
+	lastID       uint64 // id of the latest reservation
 }
 
-// reservation is room that only one session may use.
+// reservation holds resources for the exclusive use of one session.
 type reservation struct {
 	id      uint64
 	session *session
@@ -27,15 +27,15 @@
 	until   time.Duration
 }
 
-// roomRequest is what an entry said last of its waiting tasks.
+// roomRequest is an entry's latest request for resources for its waiting tasks.
 type roomRequest struct {
-	// deadline is when the most urgent of them should start, on the agent's clock.
+	// deadline is the latest start of the most urgent waiting task, on the agent's clock.
 	deadline time.Duration
-	needs    task.Needs // of that task
-	total    task.Needs // of all of them
+	needs    task.Needs // of the most urgent task
+	total    task.Needs // of all waiting tasks
 }
 
-// reserve reserves room for c.
+// reserve reserves resources for c.
 func (r *room) reserve(c *session, needs task.Needs, until time.Duration) *reservation {
 	r.lastID++
 	v := &reservation{id: r.lastID, session: c, room: needs, until: until}
@@ -43,8 +43,8 @@
 	return v
 }
 
-// dropOf drops the reservations of a session.
-func (r *room) dropOf(c *session) {
+// dropSession drops the reservations of a session.
+func (r *room) dropSession(c *session) {
 	for id, v := range r.reservations {
 		if v.session == c {
 			delete(r.reservations, id)
@@ -52,8 +52,8 @@
 	}
 }
 
-// freeFor returns what c may use of the capacity: what is neither in use nor
-// reserved for another session.
+// freeFor returns the part of the capacity that c may use: neither in use nor reserved for
+// another session.
 func (r *room) freeFor(c *session, capacity task.Needs) task.Needs {
 	free := capacity.Minus(r.used)
 	for _, v := range r.reservations {
@@ -64,8 +64,8 @@
 	return task.Needs{CPU: max(0, free.CPU), MemoryMB: max(0, free.MemoryMB), GPU: max(0, free.GPU)}
 }
 
-// freeRoom returns the room that c may use now; c is nil for any session. A target
-// that accepts no work has none, and an ejected one only for its probes.
+// freeRoom returns the resources that c may use now; a nil c stands for any session. A
+// target that accepts no work has none, and an ejected one only has some for its probes.
 func (s *Supervisor) freeRoom(now time.Duration, c *session) task.Needs {
 	if !s.accepting(now) || !s.health.admits(now, s.probes()) {
 		return task.Needs{}
@@ -73,7 +73,7 @@
 	return s.room.freeFor(c, s.target.report.Capacity)
 }
 
-// setRoomRequest replaces what the entry wants.
+// setRoomRequest replaces the entry's request.
 func (c *session) setRoomRequest(now time.Duration, r *peer.RoomRequest) {
 	if r == nil {
 		c.roomRequest = nil
@@ -82,28 +82,27 @@
 	c.roomRequest = &roomRequest{deadline: now + r.Slack, needs: r.Needs, total: r.Total}
 }
 
-// reserveRoom reserves free room for the entries that requested it, the most urgent
-// first, until none of the requests fits. Each entry decides what to start there
-// when the reservation reaches it.
+// reserveRoom reserves free resources for the requesting entries in order of urgency until
+// no request fits. The entry decides what to start when it receives the reservation.
 func (s *Supervisor) reserveRoom(now time.Duration) {
 	for {
 		c := s.mostUrgent(now)
 		if c == nil {
 			return
 		}
-		v := s.room.reserve(c, minNeeds(s.freeRoom(now, nil), c.roomRequest.total), now+reservationTime)
+		v := s.room.reserve(c, minNeeds(s.freeRoom(now, nil), c.roomRequest.total), now+reservationTTL)
 		c.roomRequest = nil
 		c.out.Reservation = &peer.Reservation{ID: v.id, Room: v.room}
 		c.dirty = true
 	}
 }
 
-// mostUrgent returns the session whose request fits and has the earliest deadline,
+// mostUrgent returns the session with the earliest deadline among those whose request fits,
 // or nil.
 func (s *Supervisor) mostUrgent(now time.Duration) *session {
 	free := s.freeRoom(now, nil)
 	var first *session
-	for _, c := range s.ordered {
+	for _, c := range s.sortedSessions {
 		if c.roomRequest == nil || c.out.Reservation != nil || !c.roomRequest.needs.Fits(free) || !s.leased(now, c) {
 			continue
 		}
@@ -114,7 +113,7 @@
 	return first
 }
 
-// dropExpiredReservations frees the room that was reserved and not used.
+// dropExpiredReservations frees resources that were reserved and not used in time.
 func (s *Supervisor) dropExpiredReservations(now time.Duration) {
 	for id, v := range s.room.reservations {
 		if now >= v.until {
@@ -124,7 +123,7 @@
 	}
 }
 
-// minNeeds returns the smaller of each part.
+// minNeeds returns the element-wise minimum.
 func minNeeds(a, b task.Needs) task.Needs {
 	return task.Needs{CPU: min(a.CPU, b.CPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), GPU: min(a.GPU, b.GPU)}
 }
--- /dev/null
+++ b/supervisor/restart.go
@@ -0,0 +1,51 @@
+package supervisor
+
+import (
+	"time"
+
+	"github.com/beaconpoint/beaconpoint/task"
+)
+
+// A target may restart under its old id. Calls that name the id then reach the new process,
+// and a start sent to the old process may take effect in the new one: its deadline refers
+// to the old process's clock, which was ahead, so neither the deadline nor the lease rules
+// that out. A run is therefore not over when the restart is detected. The new process is
+// queried under a higher fencing token: the runs it lists are active there, and those it
+// does not list can no longer start.
+
+// restartedSince reports whether a list requested from the current incarnation was returned
+// by a later process with the same id. If lists carry no start time, a pending heartbeat under
+// the same id is the evidence.
+func (s *Supervisor) restartedSince(l *RunLists) bool {
+	t := &s.target
+	if t.candidate != nil && t.candidate.ID == t.id() {
+		return l.Born != t.report.Born
+	}
+	return l.Born != 0 && t.report.Born != 0 && l.Born != t.report.Born
+}
+
+// targetRestarted ends the current incarnation because its target has restarted under the
+// same id.
+func (s *Supervisor) targetRestarted(now time.Duration, seenBy string) {
+	s.logIncarnationOver(seenBy)
+	for _, r := range s.runs {
+		r.beforeRestart = true
+	}
+	s.reportCrashed()
+	id, token := s.target.id(), s.target.token
+	s.target.recordEnded()
+	s.forgetIncarnation(now)
+	s.target.restartedID, s.target.token = id, token+1
+	s.beginCandidate(now)
+}
+
+// endRunsBeforeRestart ends the runs of the previous process that are certain not to exist
+// in the current one.
+func (s *Supervisor) endRunsBeforeRestart(now time.Duration) {
+	for _, r := range s.sortedRuns() {
+		if r.beforeRestart {
+			s.finish(now, r, task.EndLost, s.target.lossReason(r))
+		}
+	}
+	s.target.restartedID = ""
+}
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -13,67 +13,66 @@
 )
 
 const (
-	// StartRetry is how long after it was sent a start without an answer is sent
-	// again; Tick should be called then. Measured with the second renewal: see
-	// LosingReplies.
+	// StartRetry is how long after an unanswered start it is sent again; Tick should be
+	// called at that time.
 	StartRetry = 20 * time.Millisecond
-	// maxStartTries is how often a start is sent before only the target's lists
-	// tell what became of it. Half and double: no difference.
+	// maxStartTries is how often a start is sent; afterwards only the target's lists
+	// decide.
 	maxStartTries = 5
-	// stopRetry is how long after it was sent a stop is sent again, until the end
-	// of the run is listed. Half and double: no difference.
+	// stopRetry is the interval at which a stop is repeated until the end of the run is
+	// listed.
 	stopRetry = 100 * time.Millisecond
 )
 
-// run is a run that may be on the target. It keeps its room until its end is
-// certain: the target lists the end, or does not list the run though it can't begin
-// any more, or the target's lease has expired or its incarnation is over.
+// run is a run that may exist on the target. It keeps its resources until its end is
+// certain: the target lists the end, or does not list the run although it can no longer
+// start, or the target's lease has expired or its incarnation is over.
 type run struct {
 	order   task.Order
-	name    string // as the target knows the task
+	name    string // task name used by the target
 	session *session
 
-	// answered says that the start took effect: the run is or was on the target.
-	answered bool
-	began    time.Duration // when the start was answered; before, when it was ordered
-	endBy    time.Duration // when it is stopped at the latest; zero: never
-	probe    bool          // it began while the target was ejected
-	// coldness is how cold the target was when it began, and coldSlowness the logarithm of
-	// how many times as long it was expected to take for that.
-	coldness, coldSlowness float64
-	// awaitsSpecUntil is until when the spec may take to come from another agent; zero
-	// where it is known. Until then no start is sent.
-	awaitsSpecUntil time.Duration
-
-	// deadline is that of the last start sent, on the target's clock: afterwards
-	// no copy of the call can begin the run.
+	// answered is set once the start is known to have taken effect.
+	answered  bool
+	startedAt time.Duration // when the start was answered, or until then, when it was ordered
+	endBy     time.Duration // when the run is stopped for exceeding its limit; zero: no limit
+	probe     bool          // started while the target was ejected
+	// coldFraction is the target's cold fraction at the start of the run, and
+	// coldLogSlowdown the logarithm of the slowdown expected from it.
+	coldFraction, coldLogSlowdown float64
+	// specDeadline is until when the spec may arrive from another agent; zero if the spec
+	// is known. Before it arrives, no start is sent.
+	specDeadline time.Duration
+
+	// deadline is that of the last start sent, on the target's clock; after it no copy of
+	// the call can start the run.
 	deadline time.Duration
-	tries    int           // starts that were sent
-	sentAt   time.Duration // when the last start or stop was sent
-	// cannotBegin says that the run does not begin any more if it has not:
-	// a renewal sent after cannotBeginSince tells whether it is there.
-	cannotBegin      bool
-	cannotBeginSince time.Duration
+	tries    int           // starts sent
+	sentAt   time.Duration // send time of the last start or stop
+	// cannotStart is set when the run can no longer start: a renewal sent after
+	// cannotStartSince shows whether it exists.
+	cannotStart      bool
+	cannotStartSince time.Duration
 
-	// reborn says that the target has restarted under the same id since: the run may be over,
-	// or begin in the new life.
-	reborn bool
+	// beforeRestart is set when the target has restarted under the same id since the order:
+	// the run may be over, or may start in the new process.
+	beforeRestart bool
 
 	stopping  bool
-	stoppedAt time.Duration // when its stop was decided
-	reason    code.Code     // of the stop
+	stoppedAt time.Duration // when the stop was decided
+	reason    code.Code     // reason for the stop
 }
 
-// markCannotBegin records that r does not begin any more if it has not.
-func (r *run) markCannotBegin(now time.Duration) {
-	if !r.cannotBegin {
-		r.cannotBegin = true
-		r.cannotBeginSince = now
+// markCannotStart records that r can no longer start if it has not started.
+func (r *run) markCannotStart(now time.Duration) {
+	if !r.cannotStart {
+		r.cannotStart = true
+		r.cannotStartSince = now
 	}
 }
 
-// takeOrder begins a run that an entry ordered, or rejects it.
-func (s *Supervisor) takeOrder(now time.Duration, c *session, order task.Order) {
+// handleOrder begins a run ordered by an entry, or rejects it.
+func (s *Supervisor) handleOrder(now time.Duration, c *session, order task.Order) {
 	name := order.Task.String()
 	spec := s.completeSpec(c, &order)
 	if why := s.rejection(now, c, order, name, spec); why != code.OK {
@@ -81,7 +80,7 @@
 		c.reportEnd(order, peer.Ended{End: task.EndRejected, Reason: why, TargetFault: true})
 		return
 	}
-	r := &run{order: order, name: name, session: c, began: now}
+	r := &run{order: order, name: name, session: c, startedAt: now}
 	if order.TimeLeft > 0 {
 		r.endBy = now + order.TimeLeft
 	}
@@ -90,17 +89,17 @@
 	s.room.used = s.room.used.Plus(order.Needs)
 	s.markChanged()
 	r.probe = s.health.recordStart(now)
-	r.coldness, r.coldSlowness = s.warmth.coldness(now), s.warmth.slowness(now)
-	if spec == specElsewhere {
+	r.coldFraction, r.coldLogSlowdown = s.warmup.coldFraction(now), s.warmup.logSlowdown(now)
+	if spec == specRemote {
 		s.awaitSpec(now, r)
 		return
 	}
 	s.sendStart(now, r)
 }
 
-// rejection decides whether an order is taken: code.OK, or why not. The entry's
-// lease comes first, since an order under an old one may belong to a run that was
-// stopped already.
+// rejection returns the reason for rejecting an order, or code.OK. The entry's lease is
+// checked before the state of the target, since an order under an expired lease may belong
+// to a run that was already stopped.
 func (s *Supervisor) rejection(now time.Duration, c *session, order task.Order, name string, spec specState) code.Code {
 	switch {
 	case spec == specUnknown:
@@ -119,11 +118,11 @@
 	return code.OK
 }
 
-// checkRun acts on what has run out of time for r: its entry's lease, its own
-// limit, a stop or a start that was not answered.
+// checkRun handles what is due for r: its entry's lease, its time limit, and the retry of a
+// stop or start.
 func (s *Supervisor) checkRun(now time.Duration, r *run) {
-	if r.reborn {
-		return // the new life's lists tell
+	if r.beforeRestart {
+		return // decided by the lists of the new process
 	}
 	if s.sessions[r.session.id] == r.session && !s.leased(now, r.session) && !r.stopping {
 		s.logOwnerLeaseOver(now, r)
@@ -141,11 +140,11 @@
 		}
 		return
 	}
-	if r.cannotBegin {
+	if r.cannotStart {
 		return
 	}
 	if s.lease.clock.known && s.lease.clock.atLeast(now) > r.deadline {
-		r.markCannotBegin(now)
+		r.markCannotStart(now)
 		return
 	}
 	if !r.answered && now-r.sentAt >= StartRetry && r.tries < maxStartTries {
@@ -153,8 +152,8 @@
 	}
 }
 
-// finish ends r: its end is certain. Its entry is told, if the connection that
-// ordered it is still there.
+// finish removes r, whose end is certain, and reports the end to its entry if the ordering
+// connection still exists.
 func (s *Supervisor) finish(now time.Duration, r *run, end task.End, why code.Code) {
 	delete(s.runs, r.name)
 	r.session.runs--
@@ -164,7 +163,7 @@
 	}
 	targetFault := s.recordHealth(now, r, end)
 	if s.sessions[r.session.id] == r.session {
-		r.session.reportEnd(r.order, peer.Ended{End: end, Reason: why, Took: now - r.began, TargetFault: targetFault})
+		r.session.reportEnd(r.order, peer.Ended{End: end, Reason: why, Took: now - r.startedAt, TargetFault: targetFault})
 	} else if s.orphanRuns[r.session.name]--; s.orphanRuns[r.session.name] <= 0 {
 		delete(s.orphanRuns, r.session.name)
 	}
@@ -173,26 +172,26 @@
 	s.markChanged()
 }
 
-// recordHealth takes the end of a run into the target's health. It reports whether
-// the end is the target's fault and not the task's.
+// recordHealth updates the target's health with the end of a run. It reports whether the
+// end is the target's fault rather than the task's.
 func (s *Supervisor) recordHealth(now time.Duration, r *run, end task.End) bool {
 	targetFault := end != task.EndFailed
 	if r.answered && end == task.EndDone && !s.health.ejected {
-		s.warmth.learn(r.coldness, logRatio(max(now-r.began, minRunTime), r.order.Guess)-s.health.slowness)
+		s.warmup.learn(r.coldFraction, logRatio(max(now-r.startedAt, minRunTime), r.order.Guess)-s.health.logSlowdown)
 	}
 	if r.answered && (end == task.EndDone || end == task.EndFailed) {
-		if s.health.recordEnd(r, end, max(0, s.lease.listedBefore-r.began), now-r.began) {
+		if s.health.recordEnd(r, end, max(0, s.lease.previousListedAt-r.startedAt), now-r.startedAt) {
 			s.announceHealth(now)
 		}
 		targetFault = targetFault || s.health.ejected
 	}
 	if r.probe && s.health.ejected && (end != task.EndDone || s.health.goodProbes == 0) {
-		s.health.bad(now)
+		s.health.resetTrial(now)
 	}
 	return targetFault
 }
 
-// probes returns how many runs were begun while the target was ejected.
+// probes returns the number of active runs that were started while the target was ejected.
 func (s *Supervisor) probes() int {
 	count := 0
 	for _, r := range s.runs {
@@ -203,7 +202,7 @@
 	return count
 }
 
-// activeRuns returns the runs that are at work on the target and not being stopped.
+// activeRuns returns the runs that are active on the target and not being stopped.
 func (s *Supervisor) activeRuns() []*run {
 	var list []*run
 	for _, r := range s.sortedRuns() {
@@ -214,7 +213,7 @@
 	return list
 }
 
-// sortedRuns returns the runs by name, so that histories repeat exactly.
+// sortedRuns returns the runs sorted by name, for a deterministic order of processing.
 func (s *Supervisor) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(s.runs), func(a, b *run) int { return strings.Compare(a.name, b.name) })
 }
--- a/supervisor/session.go
+++ b/supervisor/session.go
@@ -11,47 +11,45 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// OwnerLease is how long an entry may be silent before its runs are stopped,
-// counted from the reading of the agent's own clock that the entry echoed. A shorter one
-// would stop more runs on links that lose packets, where a second loss in a row takes
-// 600 ms to repair. docs/design/platform.md has the sum of the leases.
+// OwnerLease is how long an entry may be silent before its runs are stopped, counted from
+// the agent timestamp that the entry echoed. A shorter lease would stop more runs on links
+// that lose packets. docs/design/platform.md has the sum of the leases.
 const OwnerLease = 500 * time.Millisecond
 
-// ConnID names one connection of an entry. An entry that connects again owns
-// nothing of its earlier connection.
+// ConnID identifies a connection of an entry. Runs and reservations belong to a connection
+// and do not carry over to a later one of the same entry.
 type ConnID uint64
 
 // session is one connection of an entry.
 type session struct {
 	id    ConnID
-	name  string     // of the entry
-	boot  uint64     // of the entry's life
-	level peer.Level // that the entry understands
-	// watching says that the entry watches the target, and watchedSince since when.
+	name  string     // entry name
+	boot  uint64     // identifies the entry's process
+	level peer.Level // protocol level of the entry
+	// watching is set while the entry watches the target, since watchedSince.
 	watching     bool
 	watchedSince time.Duration
-	heardAt      time.Duration // when the last frame came
-	runs         int           // ordered on this connection, whose end is not certain
-	specs        peer.Specs    // of jobs
-	// leaseFrom is what this agent's clock read at the least when the entry sent its
-	// last frame, as the entry reckons from this agent's stamps: its lease counts from
-	// there.
-	leaseFrom time.Duration
-	seenSeq   uint64 // of the last frame that came
-	// roomRequest is what the entry wants, nil where nothing waits there.
+	heardAt      time.Duration // arrival of the last frame
+	runs         int           // runs of this connection that have not certainly ended
+	specs        peer.Specs    // specs received, by job
+	// leaseStart is the start of the entry's lease: the latest agent timestamp echoed by
+	// the entry, a lower bound of the agent's clock when the entry sent its last frame.
+	leaseStart time.Duration
+	seenSeq    uint64 // sequence number of the last frame received
+	// roomRequest is the entry's request for resources; nil if no task is waiting.
 	roomRequest *roomRequest
 
-	// heardEvacuations is the revision of the evacuated halls that the entry was told of
-	// here or has told.
-	heardEvacuations uint64
+	// evacuationRevision is the latest revision of the evacuated halls sent to or received
+	// from the entry.
+	evacuationRevision uint64
 
-	told         essentials // that it was sent last
-	stateChanged bool       // since the state was sent last
+	lastSent     coreState // core state last sent
+	stateChanged bool      // since the last state was sent
 	stateSentAt  time.Duration
-	sentAt       time.Duration // when the last frame was sent
+	sentAt       time.Duration // send time of the last frame
 
-	out   peer.Frame // collects what the next frame says
-	dirty bool       // out has something, or a heartbeat is due
+	out   peer.Frame // next frame to send
+	dirty bool       // out is not empty, or a heartbeat is due
 }
 
 // reportEnd adds the end of a run to the next frame.
@@ -61,51 +59,52 @@
 	c.dirty = true
 }
 
-// leased reports whether the entry's lease still runs.
+// leased reports whether the entry's lease is valid.
 func (s *Supervisor) leased(now time.Duration, c *session) bool {
-	return now-c.leaseFrom <= s.Rules.OwnerLease
+	return now-c.leaseStart <= s.Rules.OwnerLease
 }
 
-// used reports whether the connection is in use: its entry watches the target, or has
-// runs here. One that understands no watches uses it always.
-func (c *session) used() bool {
+// inUse reports whether the connection is in use: its entry watches the target or has runs
+// here. Entries that do not support watches always count as using it.
+func (c *session) inUse() bool {
 	return c.level < peer.LevelWatch || c.watching || c.runs > 0
 }
 
-// toldAll reports whether the entry is told of each change of the target's room.
-func (c *session) toldAll() bool {
+// receivesAllChanges reports whether the entry receives every change of the target's free
+// resources.
+func (c *session) receivesAllChanges() bool {
 	return c.level < peer.LevelWatch || c.watching
 }
 
-// Connected records a new connection of an entry, by its introduction. It replaces an earlier
-// one of the same entry, whose end may not have been noticed yet. The entry is told of this
-// agent's level.
+// Connected adds a connection of an entry, given its handshake. It replaces an earlier
+// connection of the same entry whose end has not been noticed yet, and replies with the
+// agent's handshake.
 func (s *Supervisor) Connected(now time.Duration, id ConnID, entry peer.Hello) {
 	defer s.flush(now)
-	for _, c := range slices.Clone(s.ordered) {
+	for _, c := range slices.Clone(s.sortedSessions) {
 		if c.name == entry.Name {
 			s.disconnect(now, c)
 		}
 	}
 	c := &session{
 		id: id, name: entry.Name, boot: entry.Boot, level: entry.Level,
-		leaseFrom: now, heardAt: now, stateChanged: true, stateSentAt: -time.Hour,
+		leaseStart: now, heardAt: now, stateChanged: true, stateSentAt: -time.Hour,
 	}
-	s.fleet = max(s.fleet, entry.Fleet)
-	c.out.Hello = &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest, Fleet: s.fleet}
+	s.fleetSize = max(s.fleetSize, entry.Fleet)
+	c.out.Hello = &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest, Fleet: s.fleetSize}
 	s.sessions[id] = c
-	s.ordered = append(s.ordered, c)
-	slices.SortFunc(s.ordered, func(a, b *session) int { return cmp.Compare(a.id, b.id) })
+	s.sortedSessions = append(s.sortedSessions, c)
+	slices.SortFunc(s.sortedSessions, func(a, b *session) int { return cmp.Compare(a.id, b.id) })
 	s.logEntryConnected(entry.Name, id)
 }
 
-// SilentTooLong reports whether a connection should be given up.
+// SilentTooLong reports whether a connection should be closed for lack of traffic.
 func (s *Supervisor) SilentTooLong(now time.Duration, id ConnID) bool {
 	c := s.sessions[id]
-	return c != nil && peer.SilentTooLong(now, c.heardAt, c.used(), c.watchedSince)
+	return c != nil && peer.SilentTooLong(now, c.heardAt, c.inUse(), c.watchedSince)
 }
 
-// Disconnected records the end of a connection and stops its runs.
+// Disconnected removes a connection and stops its runs.
 func (s *Supervisor) Disconnected(now time.Duration, id ConnID) {
 	defer s.flush(now)
 	if c := s.sessions[id]; c != nil {
@@ -113,10 +112,10 @@
 	}
 }
 
-// disconnect ends a session: its runs are stopped, its reservations dropped.
+// disconnect removes a session, stops its runs and drops its reservations.
 func (s *Supervisor) disconnect(now time.Duration, c *session) {
 	delete(s.sessions, c.id)
-	s.ordered = slices.DeleteFunc(s.ordered, func(o *session) bool { return o == c })
+	s.sortedSessions = slices.DeleteFunc(s.sortedSessions, func(o *session) bool { return o == c })
 	stopped := 0
 	for _, r := range s.sortedRuns() {
 		if r.session != c {
@@ -126,7 +125,7 @@
 		s.orphanRuns[c.name]++
 		s.stop(now, r, code.RunOwnerGone)
 	}
-	s.room.dropOf(c)
+	s.room.dropSession(c)
 	s.claims.Lost(now, claim.ConnID(c.id))
 	s.logEntryLost(c, stopped)
 	s.markChanged()
@@ -139,18 +138,18 @@
 	if c == nil {
 		return
 	}
-	c.leaseFrom = max(c.leaseFrom, f.Echo)
+	c.leaseStart = max(c.leaseStart, f.Echo)
 	c.seenSeq = f.Seq
 	c.heardAt = now
 	if f.Evacuations != nil {
-		c.heardEvacuations = max(c.heardEvacuations, f.Evacuations.Revision)
+		c.evacuationRevision = max(c.evacuationRevision, f.Evacuations.Revision)
 		s.Evacuate(now, *f.Evacuations)
 	}
 	s.receiveClaims(now, c, f)
 	c.setWatch(now, f.Watch)
 	delete(s.room.reservations, f.UsedReservation)
 	for _, order := range f.Starts {
-		s.takeOrder(now, c, order)
+		s.handleOrder(now, c, order)
 	}
 	for _, ref := range f.Stops {
 		s.stopOrdered(now, c, ref)
@@ -164,8 +163,8 @@
 	s.reserveRoom(now)
 }
 
-// setWatch begins or ends the entry's watch. One that begins is told the state at once;
-// one that ends wants no room any more.
+// setWatch begins or ends the entry's watch. At the beginning the state is sent at once; at
+// the end the entry's request for resources is dropped.
 func (c *session) setWatch(now time.Duration, w peer.Watch) {
 	switch w {
 	case peer.WatchBegins:
--- a/supervisor/spec.go
+++ b/supervisor/spec.go
@@ -8,22 +8,20 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// specTime is how long the spec of an order may take to come from another agent: a
-// connection and a round trip, after the bytes have come there through a slow link. Its
-// room is held meanwhile; afterwards the order is rejected. Half: no difference.
-const specTime = 150 * time.Millisecond
+// specTimeout bounds the fetch of a spec from another agent. The order keeps its resources
+// meanwhile and is rejected afterwards.
+const specTimeout = 150 * time.Millisecond
 
-// specState says what is known of the spec of an order.
+// specState tells whether the spec of an order is available.
 type specState uint8
 
 const (
-	specKnown     specState = iota
-	specElsewhere           // another agent has it
+	specKnown  specState = iota
+	specRemote           // to be fetched from another agent
 	specUnknown
 )
 
-// completeSpec puts the job's spec into an order that leaves it out, and remembers the one
-// of an order that has it.
+// completeSpec fills in the job's spec if the order leaves it out, and stores it otherwise.
 func (s *Supervisor) completeSpec(c *session, order *task.Order) specState {
 	switch {
 	case c.level < peer.LevelWatch:
@@ -32,7 +30,7 @@
 		spec, known := s.Spec(order.Task.Job)
 		order.Spec = spec
 		if !known {
-			return specElsewhere
+			return specRemote
 		}
 		return specKnown
 	case order.SpecKept:
@@ -47,9 +45,9 @@
 	return specKnown
 }
 
-// Spec returns the spec of a job, where an entry has sent it here: other agents ask for it.
+// Spec returns the spec of a job if an entry has sent it; other agents fetch it from here.
 func (s *Supervisor) Spec(job string) (string, bool) {
-	for _, c := range s.ordered {
+	for _, c := range s.sortedSessions {
 		if spec, known := c.specs.Find(job); known {
 			return spec, true
 		}
@@ -57,48 +55,48 @@
 	return "", false
 }
 
-// awaitSpec has the spec of r fetched from the agent that its order names.
+// awaitSpec fetches the spec of r from the agent named in its order.
 func (s *Supervisor) awaitSpec(now time.Duration, r *run) {
-	r.awaitsSpecUntil = now + specTime
+	r.specDeadline = now + specTimeout
 	s.FetchSpec(r.order.Task.Job, r.order.SpecAt)
 }
 
-// SpecFetched handles another agent's answer to FetchSpec, or that there is none: the runs
-// that wait for the spec are started, or their orders rejected.
+// SpecFetched handles the result of FetchSpec: it starts the runs that wait for the spec,
+// or rejects them if the spec was not obtained.
 func (s *Supervisor) SpecFetched(now time.Duration, job, spec string, known bool) {
 	defer s.flush(now)
 	for _, r := range s.sortedRuns() {
-		if r.order.Task.Job != job || r.awaitsSpecUntil == 0 {
+		if r.order.Task.Job != job || r.specDeadline == 0 {
 			continue
 		}
 		switch {
 		case !known:
-			s.rejectWaiting(now, r, code.RunSpecUnknown)
+			s.rejectUnstarted(now, r, code.RunSpecUnknown)
 		case !s.leased(now, r.session):
-			s.rejectWaiting(now, r, code.RunStaleOwner)
+			s.rejectUnstarted(now, r, code.RunStaleOwner)
 		default:
-			r.awaitsSpecUntil = 0
+			r.specDeadline = 0
 			r.order.Spec = spec
-			r.began = now
+			r.startedAt = now
 			s.sendStart(now, r)
 		}
 	}
 }
 
-// checkSpec rejects the order of r whose spec has not come in time. It reports whether r
-// waits for its spec, or did until now.
+// checkSpec rejects r if its spec has not arrived in time. It reports whether r was waiting
+// for its spec.
 func (s *Supervisor) checkSpec(now time.Duration, r *run) bool {
-	if r.awaitsSpecUntil == 0 {
+	if r.specDeadline == 0 {
 		return false
 	}
-	if now >= r.awaitsSpecUntil && !r.stopping {
-		s.rejectWaiting(now, r, code.RunSpecUnknown)
+	if now >= r.specDeadline && !r.stopping {
+		s.rejectUnstarted(now, r, code.RunSpecUnknown)
 	}
 	return true
 }
 
-// rejectWaiting ends r, of which no start was sent, since its spec has not come.
-func (s *Supervisor) rejectWaiting(now time.Duration, r *run, why code.Code) {
+// rejectUnstarted ends r, for which no start was sent, as rejected.
+func (s *Supervisor) rejectUnstarted(now time.Duration, r *run, why code.Code) {
 	s.logOrderRejected(now, r.session, r.order, why)
 	s.finish(now, r, task.EndRejected, why)
 }
--- a/supervisor/spec_test.go
+++ b/supervisor/spec_test.go
@@ -82,7 +82,7 @@
 func TestASpecThatDoesNotCome(t *testing.T) {
 	for _, answer := range []func(*bench){
 		func(b *bench) { b.SpecFetched(b.now, "0123456789abcdef", "", false) },
-		func(b *bench) { b.beat(specTime + TickInterval) },
+		func(b *bench) { b.beat(specTimeout + TickInterval) },
 	} {
 		b, _ := newRelayBench(t)
 		b.orders(orderAt(0))
--- a/supervisor/starting.go
+++ b/supervisor/starting.go
@@ -8,7 +8,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Starts: calls to the target, which may be answered, refused, lost or carried out late.
+// Start calls to the target. Each may be accepted, refused, lost or carried out late.
 
 // sendStart sends the start of r to the target.
 func (s *Supervisor) sendStart(now time.Duration, r *run) {
@@ -18,7 +18,7 @@
 	s.Start(StartCall{Incarnation: s.target.incarnation(), Order: r.order, Deadline: r.deadline, Token: s.target.token})
 }
 
-// StartAnswered handles the answer to a start.
+// StartAnswered handles the result of a start call.
 func (s *Supervisor) StartAnswered(now time.Duration, c StartCall, reply Reply) {
 	defer s.flush(now)
 	s.recordReply(now, c.Incarnation, reply)
@@ -30,10 +30,10 @@
 	case Accepted:
 		if !r.answered {
 			r.answered = true
-			s.ObserveStage.Observe(stage.Starting, now-r.began)
-			r.began = now
+			s.ObserveStage.Observe(stage.Starting, now-r.startedAt)
+			r.startedAt = now
 		}
-		r.markCannotBegin(now)
+		r.markCannotStart(now)
 	case NoAnswer:
 		s.recordTimeout(now)
 		s.logStartUnanswered(r, reply)
@@ -47,8 +47,8 @@
 	}
 }
 
-// startRejected ends r where no earlier try can have begun it. Otherwise the
-// target's lists tell.
+// startRejected ends r if no earlier try can have started it. Otherwise the target's next
+// lists decide.
 func (s *Supervisor) startRejected(now time.Duration, r *run, reply Reply) {
 	why := reply.Outcome
 	s.logStartRejected(r, reply)
@@ -59,7 +59,7 @@
 		s.renewToken(now)
 	}
 	if r.tries > 1 {
-		r.markCannotBegin(now)
+		r.markCannotStart(now)
 		return
 	}
 	s.finish(now, r, task.EndRejected, why.Code())
--- a/supervisor/state.go
+++ b/supervisor/state.go
@@ -6,14 +6,12 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// stateInterval is the shortest time between two states to one entry, or stateShare for
-// each entry that watches where that is more: a change costs a frame to each of them, and
-// what entries believe only says whom to request room of. Measured on four scenes, frames a
-// run and worst class: 8 and 5 ms 9.57 0.918, 25 and 10 ms 8.18 0.919, 50 and 20 ms 7.72
-// 0.911 (s.e. of the difference 0.005).
+// stateInterval is the shortest time between two states to one entry. With many watching
+// entries it is stateIntervalPerWatcher for each of them, since every change costs one
+// frame per watcher.
 const (
-	stateInterval = 25 * time.Millisecond
-	stateShare    = 10 * time.Millisecond
+	stateInterval           = 25 * time.Millisecond
+	stateIntervalPerWatcher = 10 * time.Millisecond
 )
 
 // Flush sends the states that are due. It should be called when Pending says so.
@@ -21,12 +19,12 @@
 	s.flush(now)
 }
 
-// Pending reports whether a state waits to be sent, and after what time Flush
-// should be called for it.
+// Pending reports whether a state is waiting to be sent, and after what time Flush should
+// be called.
 func (s *Supervisor) Pending(now time.Duration) (time.Duration, bool) {
 	var due time.Duration
 	found := false
-	for _, c := range s.ordered {
+	for _, c := range s.sortedSessions {
 		if at := c.stateSentAt + s.stateInterval(); c.stateChanged && (!found || at < due) {
 			due, found = at, true
 		}
@@ -37,28 +35,28 @@
 // stateInterval returns the shortest time between two states to one entry.
 func (s *Supervisor) stateInterval() time.Duration {
 	watching := 0
-	for _, c := range s.ordered {
-		if c.toldAll() {
+	for _, c := range s.sortedSessions {
+		if c.receivesAllChanges() {
 			watching++
 		}
 	}
-	return max(stateInterval, time.Duration(watching)*stateShare)
+	return max(stateInterval, time.Duration(watching)*stateIntervalPerWatcher)
 }
 
-// Heartbeats sends an empty frame to each entry that has got none for the interval of its
-// connection, so that it has a fresh stamp to send back.
+// Heartbeats sends an empty frame to each entry that has received none for the interval of
+// its connection, which gives it a fresh timestamp to echo.
 func (s *Supervisor) Heartbeats(now time.Duration) {
-	for _, c := range s.ordered {
-		c.dirty = c.dirty || now-c.sentAt >= peer.Interval(c.used())
+	for _, c := range s.sortedSessions {
+		c.dirty = c.dirty || now-c.sentAt >= peer.Interval(c.inUse())
 	}
 	s.flush(now)
 }
 
-// flush sends each entry the frame that has collected for it. A changed state goes
-// with any frame, and makes one of its own when stateInterval has passed.
+// flush sends each entry its pending frame. A changed state is added to any pending frame,
+// and is sent in a frame of its own once stateInterval has passed.
 func (s *Supervisor) flush(now time.Duration) {
 	interval := s.stateInterval()
-	for _, c := range s.ordered {
+	for _, c := range s.sortedSessions {
 		if c.stateChanged && (c.dirty || now-c.stateSentAt >= interval) {
 			c.out.State = s.state(now, c)
 			c.stateSentAt = now
@@ -68,7 +66,7 @@
 		if !c.dirty {
 			continue
 		}
-		s.tellEvacuations(c)
+		s.addEvacuations(c)
 		f := c.out
 		f.Stamp = now
 		c.sentAt = now
@@ -78,40 +76,41 @@
 	}
 }
 
-// state returns what the entry of c is told of the target. The profile is in it
-// only when it has changed.
+// state returns the state of the target for the entry of c. It contains the profile only if
+// that has changed since the last state.
 func (s *Supervisor) state(now time.Duration, c *session) *peer.State {
-	told := s.essentials(now, c)
-	defer func() { c.told = told }()
+	core := s.coreState(now, c)
+	defer func() { c.lastSent = core }()
 	st := &peer.State{
-		Cleared:   told.cleared,
+		Cleared:   core.cleared,
 		SeenSeq:   c.seenSeq,
-		Accepting: told.accepting,
+		Accepting: core.accepting,
 	}
 	if s.target.report == nil {
 		return st
 	}
-	if c.told.profile != s.target.profile {
+	if c.lastSent.profile != s.target.profile {
 		st.Profile = s.target.profile
 	}
 	st.Free = s.freeRoom(now, c)
 	st.Speed = s.speed(now)
-	if told.ejected {
+	if core.ejected {
 		st.Health = peer.Ejected
 	}
 	return st
 }
 
-// essentials is the part of the state that entries are told of which do not watch.
-type essentials struct {
+// coreState is the part of the state that is also sent to entries that do not watch the
+// target.
+type coreState struct {
 	profile            *peer.Profile
 	cleared, accepting bool
 	ejected            bool // and not on trial
 }
 
-// essentials returns what holds for the entry of c now.
-func (s *Supervisor) essentials(now time.Duration, c *session) essentials {
-	return essentials{
+// coreState returns the current core state for the entry of c.
+func (s *Supervisor) coreState(now time.Duration, c *session) coreState {
+	return coreState{
 		profile:   s.target.profile,
 		cleared:   s.orphanRuns[c.name] == 0 && s.target.cleared,
 		accepting: s.accepting(now),
@@ -119,27 +118,27 @@
 	}
 }
 
-// checkEssentials has those entries told that do not watch, where something has changed
-// that matters to them.
-func (s *Supervisor) checkEssentials(now time.Duration) {
-	for _, c := range s.ordered {
-		if !c.toldAll() && c.told != s.essentials(now, c) {
+// checkCoreState schedules a state for entries that do not watch if their core state has
+// changed.
+func (s *Supervisor) checkCoreState(now time.Duration) {
+	for _, c := range s.sortedSessions {
+		if !c.receivesAllChanges() && c.lastSent != s.coreState(now, c) {
 			c.stateChanged = true
 		}
 	}
 }
 
-// markChanged has every entry that watches told of the target's state.
+// markChanged schedules a state for every watching entry.
 func (s *Supervisor) markChanged() {
-	for _, c := range s.ordered {
-		c.stateChanged = c.stateChanged || c.toldAll()
+	for _, c := range s.sortedSessions {
+		c.stateChanged = c.stateChanged || c.receivesAllChanges()
 	}
 }
 
-// announceHealth logs a change of the target's health and has it told.
+// announceHealth logs a change of the target's health and schedules states for the entries.
 func (s *Supervisor) announceHealth(now time.Duration) {
 	if s.health.ejected {
-		s.health.bad(now)
+		s.health.resetTrial(now)
 	}
 	s.logHealth()
 	s.markChanged()
--- a/supervisor/stopping.go
+++ b/supervisor/stopping.go
@@ -7,10 +7,10 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Stops: a run that is to end stays until its end is certain.
+// Stop calls to the target. A run to be stopped is kept until its end is certain.
 
-// stopOrdered stops a run on its entry's order. A run that is not there has ended,
-// and its end is on its way.
+// stopOrdered stops a run at its entry's request. A run that is unknown has ended, and its
+// end is being reported.
 func (s *Supervisor) stopOrdered(now time.Duration, c *session, ref task.Ref) {
 	r := s.runs[ref.Task.String()]
 	if r == nil || r.session != c || r.order.Run != ref.Run {
@@ -19,7 +19,7 @@
 	s.stop(now, r, code.RunOwnerStops)
 }
 
-// stop has the target stop r. The run stays until its end is certain.
+// stop makes the target stop r. The run is kept until its end is certain.
 func (s *Supervisor) stop(now time.Duration, r *run, why code.Code) {
 	if r.stopping {
 		return
@@ -28,7 +28,7 @@
 	r.stoppedAt = now
 	r.reason = why
 	s.logStopping(now, r)
-	if r.awaitsSpecUntil > 0 {
+	if r.specDeadline > 0 {
 		s.finish(now, r, task.EndRejected, why) // no start was sent
 		return
 	}
@@ -46,8 +46,8 @@
 	})
 }
 
-// StopAnswered handles the answer to a stop. An accepted stop keeps the run from
-// beginning, too. One without an answer is sent again by checkRun.
+// StopAnswered handles the result of a stop call. An accepted stop also prevents a later
+// start of the run. An unanswered one is sent again by checkRun.
 func (s *Supervisor) StopAnswered(now time.Duration, c StopCall, reply Reply) {
 	defer s.flush(now)
 	s.recordReply(now, c.Incarnation, reply)
@@ -61,7 +61,7 @@
 	}
 	switch reply.Outcome {
 	case Accepted:
-		r.markCannotBegin(now)
+		r.markCannotStart(now)
 	case RefusedToken:
 		s.renewToken(now)
 	default:
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -1,45 +1,45 @@
-// Package supervisor is the authority on one target: it alone decides what starts
-// there, renews the target's lease, and stops the runs whose entry is lost.
+// Package supervisor controls one target: it decides which runs start there, renews the
+// target's lease, and stops the runs of entries that are lost.
 //
-// It owns the truth about its target: room, runs, health, and which incarnation is
-// up. It relies on the target for the end of each run, and on the entries (package
-// owner) for what should run.
+// It holds the authoritative state of the target: its free resources, runs, health and
+// incarnation. It learns the end of each run from the target and what should run from the
+// entries (package owner).
 //
-// Supervisor is a state machine without goroutines, clock or sockets. Its process
-// (package node) calls it under one lock, passes the time of its steady clock and
-// carries out its calls; package testutil/fleet calls it in virtual time. A method that
-// handles something may send frames and begin calls before it returns; Stats, Idle,
-// Pending, NextRenewal, LosingReplies and RenewalBackoff do not. The process
+// Supervisor is a state machine without goroutines, clock or sockets. Its process (package
+// node) calls it under one lock, passes the time of a monotonic clock and carries out its
+// calls; package testutil/fleet runs it in virtual time. Methods that handle an input may
+// send frames and begin calls before they return; Stats, Idle, Pending, NextRenewal,
+// LosingReplies and RenewalBackoff do not. The process
 //
-//   - passes on what comes: Heartbeat and Deregister from the target, Connected,
+//   - passes on every input: Heartbeat and Deregister from the target, Connected,
 //     Receive and Disconnected from entries, StartAnswered and StopAnswered for the
-//     calls that it was given;
-//   - keeps one renewal under way: NextRenewal, the call, RenewalAnswered, a pause
-//     of RenewalBackoff, and a second one beside it while LosingReplies;
-//   - calls Tick each TickInterval, and StartRetry after each start;
-//   - calls Flush when Pending says so, and Heartbeats.
+//     calls it was asked to make;
+//   - keeps one renewal in progress: NextRenewal, the call, RenewalAnswered, a pause
+//     of RenewalBackoff; and a second renewal in parallel while LosingReplies is true;
+//   - calls Tick every TickInterval, and once StartRetry after each start;
+//   - calls Flush when Pending asks for it, and Heartbeats regularly.
 //
-// The parts, each with its own invariant:
+// The files, by responsibility:
 //
-//	incarnation.go  which incarnation of the target is up, and whether it may get work
-//	reborn.go       a target that restarts under the id it had
-//	lease.go        what the target was promised, and what its silence means
-//	session.go      connections of entries, each with a lease of its own
-//	run.go          one run, from its order until its end is certain
-//	starting.go     calls that start it, and their answers
-//	stopping.go     calls that stop it
-//	spec.go         specs that orders leave out
-//	reservation.go  room: never more in use and reserved than there is
-//	health.go       when the target is ejected, and how it comes back
-//	crash.go        runs that were at work when the target crashed
-//	cold.go         how much slower the target is for being cold
-//	renewal.go      the lists of the target, which alone tell of ends
-//	state.go        what entries are told
-//	evacuation.go   whether the target's data hall is evacuated
-//	claim.go        jobs of which this agent is a home
+//	incarnation.go  which incarnation of the target is current, and whether it accepts work
+//	restart.go      restarts of a target under the same id
+//	lease.go        the target's lease, and detection of a silent target
+//	session.go      connections of entries, each with its own lease
+//	run.go          the life of a run, from its order until its end is certain
+//	starting.go     start calls and their answers
+//	stopping.go     stop calls and their answers
+//	spec.go         specs that an order leaves out
+//	reservation.go  resource accounting: use and reservations never exceed the capacity
+//	health.go       ejection and recovery of the target
+//	crash.go        runs that were active when the target crashed
+//	warmup.go       slowdown of a target that is warming up
+//	renewal.go      lists of runs that the target returns with each renewal
+//	state.go        target state sent to entries
+//	evacuation.go   evacuation of the target's data hall
+//	claim.go        claims of jobs that have this agent as a home
 //
-// Invariant of them all: a run keeps its room, and its task stays taken, until it
-// is certain that the target does not and will not work on it.
+// Invariant: a run keeps its resources and its task remains taken until it is certain that
+// the target is not working on it and will not start to.
 package supervisor
 
 import (
@@ -53,31 +53,31 @@
 	"github.com/beaconpoint/beaconpoint/stage"
 )
 
-// TickInterval is how often Tick should be called: it bounds how late leases and
-// timeouts are noticed. Not measured.
+// TickInterval is how often Tick should be called. It bounds the delay in noticing expired
+// leases and timeouts.
 const TickInterval = 30 * time.Millisecond
 
-// Rules are the mechanisms that keep a task from running twice. They are as
-// DefaultRules returns them, except in tests that show what happens without one.
+// Rules are the mechanisms that keep a task from running twice. They have the values of
+// DefaultRules, except in tests that show what fails without one of them.
 type Rules struct {
 	// OwnerLease is how long an entry may be silent before its runs are stopped.
 	OwnerLease time.Duration
-	// TargetLease is how long the target runs on without a renewal.
+	// TargetLease is how long the target keeps its runs without a renewal.
 	TargetLease time.Duration
-	// AwaitCleared has a new agent wait until no run of an earlier one is left.
+	// AwaitCleared makes a new agent wait until no run of an earlier agent is left.
 	AwaitCleared bool
-	// FencingTokens gives each agent a higher token than any before it.
+	// FencingTokens gives each agent a higher token than any agent before it.
 	FencingTokens bool
-	// KeepUnanswered keeps the room and the task of a start that was not answered
-	// until it is certain that it can't take effect any more.
+	// KeepUnanswered keeps the resources and the task of an unanswered start until it is
+	// certain that the start can no longer take effect.
 	KeepUnanswered bool
-	// StopUnknown has runs stopped that this agent did not order.
+	// StopUnknown stops runs that this agent did not order.
 	StopUnknown bool
-	// RefuseEvacuated has nothing start on a target whose data hall is evacuated.
+	// RefuseEvacuated rejects all starts on a target whose data hall is evacuated.
 	RefuseEvacuated bool
 }
 
-// DefaultRules returns the rules of a real system.
+// DefaultRules returns the rules for production use.
 func DefaultRules() Rules {
 	return Rules{
 		OwnerLease:     OwnerLease,
@@ -91,55 +91,56 @@
 	}
 }
 
-// Supervisor guards one target.
+// Supervisor controls one target.
 type Supervisor struct {
-	// Start and Stop begin a call to the target. The process answers each with
-	// StartAnswered or StopAnswered, at any later time.
+	// Start and Stop begin a call to the target. The process passes the result of each to
+	// StartAnswered or StopAnswered at any later time.
 	Start func(StartCall)
 	Stop  func(StopCall)
-	// FetchSpec asks the agent at an address for the spec of a job. The process answers
-	// with SpecFetched.
+	// FetchSpec requests the spec of a job from the agent at an address. The process passes
+	// the result to SpecFetched.
 	FetchSpec func(job, addr string)
 	// Send sends a frame to an entry.
 	Send func(ConnID, *peer.Frame)
-	// ObserveStage is called with the duration of each stage of a run. May be nil.
+	// ObserveStage receives the duration of each stage of a run; may be nil.
 	ObserveStage stage.Observer
-	// Log receives one line for each decision.
+	// Log receives one line per decision.
 	Log *slog.Logger
-	// Rules are as DefaultRules returns them, except in tests.
+	// Rules has the value of DefaultRules, except in tests.
 	Rules Rules
 
 	target  target
 	lease   lease
 	health  health
-	warmth  warmth
+	warmup  warmup
 	room    room
-	leaving bool // the agent itself is stopping
+	leaving bool // set while the agent itself shuts down
 
-	claims *claim.Registry // of the jobs of which this agent is a home
+	claims *claim.Registry // claims of the jobs that have this agent as a home
 
-	evacuations evacuation.Set // the newest that was heard of
-	// evacuatedSince is since when the target's hall is evacuated, zero: it is not.
+	evacuations evacuation.Set // newest set received
+	// evacuatedSince is when the evacuation of the target's hall began; zero if it is not
+	// evacuated.
 	evacuatedSince time.Duration
 
-	fleet  int         // the most agents that an entry has said to know of
-	lapsed []lapsedRun // since the target was last heard from: see crash.go
+	fleetSize int         // highest number of agents reported by an entry
+	lapsed    []lapsedRun // since the target's last answer; see crash.go
 
-	runs     map[string]*run // by the name that the target knows
-	sessions map[ConnID]*session
-	ordered  []*session // the same, by id
-	// orphanRuns counts, by entry, the runs that were ordered by an earlier
-	// connection and whose end is not certain yet.
+	runs           map[string]*run // by the task name used by the target
+	sessions       map[ConnID]*session
+	sortedSessions []*session // the same sessions, sorted by id
+	// orphanRuns counts, by entry name, the runs that were ordered on an earlier connection
+	// and have not certainly ended.
 	orphanRuns map[string]int
 }
 
-// NewSupervisor returns a supervisor that knows no target yet.
+// NewSupervisor returns a supervisor with no known target.
 func NewSupervisor(log *slog.Logger) *Supervisor {
 	s := &Supervisor{
 		Log:        log,
 		Rules:      DefaultRules(),
 		health:     newHealth(),
-		warmth:     newWarmth(),
+		warmup:     newWarmup(),
 		room:       room{reservations: make(map[uint64]*reservation)},
 		runs:       make(map[string]*run),
 		sessions:   make(map[ConnID]*session),
@@ -149,17 +150,17 @@
 	return s
 }
 
-// Stats is what a supervisor tells for its process's metrics.
+// Stats holds the figures that a supervisor exposes as metrics.
 type Stats struct {
 	Runs    int
-	FreeCPU int     // in thousandths of a core
+	FreeCPU int     // thousandths of a core
 	Ejected int     // 1 while the target is ejected, else 0
-	Speed   float64 // learned, 1 being usual
+	Speed   float64 // measured speed; 1 is nominal
 	// Evacuated is 1 while the target's data hall is evacuated, else 0.
 	Evacuated int
 }
 
-// Stats returns the present counts.
+// Stats returns the current figures.
 func (s *Supervisor) Stats(now time.Duration) Stats {
 	st := Stats{Runs: len(s.runs), FreeCPU: s.freeRoom(now, nil).CPU, Speed: s.speed(now)}
 	if s.health.ejected {
@@ -171,26 +172,26 @@
 	return st
 }
 
-// speed returns how fast a run that begins now is likely to be, 1 being as guessed.
+// speed returns the expected speed of a run that starts at now; at 1, it takes as long as
+// the caller's estimate.
 func (s *Supervisor) speed(now time.Duration) float64 {
-	return s.health.speed() * math.Exp(-s.warmth.slowness(now))
+	return s.health.speed() * math.Exp(-s.warmup.logSlowdown(now))
 }
 
-// Idle reports whether no run is left.
+// Idle reports whether there are no runs.
 func (s *Supervisor) Idle() bool {
 	return len(s.runs) == 0
 }
 
-// Leave makes the agent accept no new work because it is stopping itself. Runs go
-// on.
+// Leave makes the agent reject new work because it is shutting down. Active runs continue.
 func (s *Supervisor) Leave(now time.Duration) {
 	defer s.flush(now)
 	s.leaving = true
 	s.markChanged()
 }
 
-// Tick acts on everything whose time has come: leases, timeouts of calls,
-// reservations, overdue runs. It should be called each TickInterval.
+// Tick handles everything that is due: expired leases, call timeouts, expired reservations
+// and overdue runs. It should be called every TickInterval.
 func (s *Supervisor) Tick(now time.Duration) {
 	defer s.flush(now)
 	for _, r := range s.sortedRuns() {
@@ -206,6 +207,6 @@
 		s.markChanged()
 	}
 	s.reserveRoom(now)
-	s.checkEssentials(now)
+	s.checkCoreState(now)
 	s.claims.Tick(now)
 }
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -301,7 +301,7 @@
 	b.RenewalAnswered(b.now, first, b.reply(Accepted), lists)
 	assert.Equal(t, len(b.ends()), 1)         // sent once
 	assert.Assert(t, !b.LosingReplies(b.now)) // nothing runs
-	assert.Assert(t, !b.LosingReplies(b.now+losingRepliesTime))
+	assert.Assert(t, !b.LosingReplies(b.now+lossyDuration))
 }
 
 // TestASilentTargetGetsNoSecondRenewal: where nothing is answered, more calls tell
--- a/supervisor/cold_test.go
+++ b/supervisor/warmup_test.go
@@ -33,7 +33,7 @@
 // nor change its usual speed, and the slowdown is learned.
 func TestColdRunsSpoilNothing(t *testing.T) {
 	b := newBench(t)
-	slow := math.Exp(b.warmth.slowdown)
+	slow := math.Exp(b.warmup.fullLogSlowdown)
 	for k := range 60 {
 		r := b.report("i-1", uint64(k+2))
 		r.Cold = time.Hour
@@ -47,6 +47,6 @@
 		b.list(nil, []EndedRow{{N: uint64(k + 1), Name: o.Task.String(), Run: 1, End: task.EndDone}})
 		assert.Assert(t, !b.health.ejected, "after %d runs", k)
 	}
-	assert.Equal(t, b.health.slowness, 0.0)
-	assert.Assert(t, math.Exp(b.warmth.slowdown) > 1.8*slow, "%f", math.Exp(b.warmth.slowdown))
+	assert.Equal(t, b.health.logSlowdown, 0.0)
+	assert.Assert(t, math.Exp(b.warmup.fullLogSlowdown) > 1.8*slow, "%f", math.Exp(b.warmup.fullLogSlowdown))
 }
