--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,14 +1,16 @@
-// Package claim makes a submission one submission, whichever entry it reaches. An entry
-// claims a job at the job's homes, two agents that all entries choose alike, before it starts
-// a task of it; a home grants the claim to one entry at a time, and remembers the answer.
+// Package claim deduplicates submissions of a job across entries. Before an entry starts
+// any task of a job, it claims the job at the job's homes: two agents that every entry
+// selects in the same way. A home grants a claim to one entry at a time and retains the
+// job's answer.
 //
-//	claim.go     what entries and homes tell each other
-//	home.go      which agents are the homes of a job
-//	registry.go  the state machine at a home
+//	claim.go     messages between entries and homes
+//	home.go      selection of the homes of a job
+//	registry.go  state machine of a home
 //
-// It owns who has which job and how it was answered, in memory only. It relies on the entries
-// (package owner) to start nothing without a claim and to say when all runs of a job have
-// ended, and on connections whose end is noticed. docs/design/submissions.md says why.
+// The package holds, in memory only, which entry has claimed a job and how the job was
+// answered. It relies on entries (package owner) to start nothing without a claim and to
+// report when all runs of a job have ended, and on the detection of closed connections.
+// docs/design/submissions.md has the rationale.
 package claim
 
 import (
@@ -17,94 +19,101 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-// The names on the wire are short: on a narrow link a job's claims take a tenth of its bytes.
+// Field names on the wire are short: claims account for a tenth of a job's bytes on slow
+// links.
 
-// Claim is an entry's claim of a job, or a caller's order to cancel it.
+// Claim is an entry's claim of a job, or a caller's request to cancel it.
 type Claim struct {
 	Job string `msgpack:"j"`
-	// Lasts is for how long the entry has the job at the most: then its runs are over,
-	// whatever becomes of the entry. Zero: not known.
+	// Lasts is the longest time for which the entry holds the job: after it, the entry's
+	// runs are over even if the entry is lost. Zero means unknown.
 	Lasts time.Duration `msgpack:"l"`
-	// Begun says that tasks of the job have been started: an entry that has it and has
-	// started none gives it back.
+	// Begun is set if tasks of the job have been started. An entry that has started none
+	// yields the job to one that has.
 	Begun bool `msgpack:"b"`
-	// Cancel says that this is no claim: a caller cancels the job.
+	// Cancel is set if this is not a claim but a caller's cancellation of the job.
 	Cancel bool `msgpack:"c"`
 }
 
-// State is a home's answer to a claim.
+// State is a home's reply to a claim.
 type State uint8
 
 // States.
 const (
-	// Granted means that the entry has the job now.
+	// Granted means that the entry now holds the job.
 	Granted State = iota + 1
-	// Held means that another entry has it. A later reply follows: the answer, or Granted.
+	// Held means that another entry holds the job. A later reply follows: the answer, or
+	// Granted.
 	Held
-	// Answered means that the job was answered.
+	// Answered means that the job has been answered.
 	Answered
-	// Unknown means that nothing is known of a job that should be cancelled.
+	// Unknown means that the job to be cancelled is not known.
 	Unknown
-	// Cancelling means that the cancellation was passed on.
+	// Cancelling means that the cancellation was forwarded.
 	Cancelling
 )
 
-// Outcome is how a job was answered. Its numbers are on the wire.
+// Outcome is how a job was answered. The values are used on the wire.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// None means that the job was not answered: it may be done anew.
+	// None means that the job was not answered and may be submitted again.
 	None Outcome = iota
 	Completed
 	Failed
-	// GivenUp is passed on to those who wait, and not remembered: the caller may come back.
+	// GivenUp is forwarded to waiting entries but not retained: the caller may submit the
+	// job again.
 	GivenUp
 	Cancelled
-	// Refused is remembered until the caller was asked to come back: copies of its request
-	// that come sooner must not run, since it was told so.
+	// Refused is retained until the time at which the caller may retry. Earlier copies of
+	// its request must not run, since the caller has been told that the job was refused.
 	Refused
 )
 
-// remembered reports whether a later submission gets the same answer.
-func (o Outcome) remembered() bool {
+// retained reports whether later submissions of the job receive the same answer.
+func (o Outcome) retained() bool {
 	return o == Completed || o == Failed || o == Cancelled || o == Refused
 }
 
-// Reply is a home's answer to a claim.
+// Reply is a home's reply to a claim.
 type Reply struct {
 	Job   string
 	State State
-	// Outcome, Why and Retry are the answer, where the state is Answered.
+	// Outcome, Why and Retry are the answer if State is Answered.
 	Outcome Outcome
 	Why     code.Code
 	Retry   time.Duration
-	// Ran says that an earlier submission of a job that is granted may have run.
+	// Ran is set if an earlier submission of a granted job may have run.
 	Ran bool
-	// Losses is how many runs of a task of it have ended with the loss of their target.
+	// Losses is the highest number of runs of one task that ended with the loss of their
+	// target.
 	Losses int
 }
 
-// Settlement tells a home what became of a job that its sender has claimed or waits for.
+// Settlement reports to a home the result of a job that the sender has claimed or is
+// waiting for.
 type Settlement struct {
 	Job     string    `msgpack:"j"`
 	Outcome Outcome   `msgpack:"o"`
 	Why     code.Code `msgpack:"w"`
-	// Retry is when the caller should come back.
+	// Retry is the delay after which the caller should retry.
 	Retry time.Duration `msgpack:"r"`
-	// Clear says that no run of the sender's is left, Ran that there may have been one.
+	// Clear is set if the sender has no more runs of the job; Ran is set if it may have had
+	// one.
 	Clear bool `msgpack:"c"`
 	Ran   bool `msgpack:"n"`
-	// Losses is how many runs of a task have ended with the loss of their target.
+	// Losses is the highest number of runs of one task that ended with the loss of their
+	// target.
 	Losses int `msgpack:"x"`
 }
 
-// Interest tells the entry that has a job who else cares for it.
+// Interest informs the holder of a job about other entries with the same job.
 type Interest struct {
 	Job string
-	// Waits says that another entry waits for its answer; without it none does any more.
-	// Begun says that one of them has started tasks of it.
+	// Waits is set if another entry waits for the answer; if unset, none waits any more.
+	// Begun is set if one of them has started tasks of the job.
 	Waits, Begun bool
-	// Cancel says that its caller cancels it.
+	// Cancel is set if a caller cancels the job.
 	Cancel bool
 }
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -10,102 +10,102 @@
 )
 
 const (
-	// AnswerTime is how long an answer is remembered. Callers come back 1.3 s after a
-	// broken connection, and copies of a request arrive seconds after its answer (the
-	// platform's pages). Not measured.
+	// AnswerTime is how long an answer is retained. Callers retry 1.3 s after a broken
+	// connection, and copies of a request may arrive seconds after its answer.
 	AnswerTime = 10 * time.Second
-	// maxRecords bounds what a home remembers; beyond it the oldest answers go first. A
-	// record takes about 200 bytes. Not measured.
+	// maxRecords limits the number of records of a home, at about 200 bytes each. Beyond it
+	// the oldest answers are evicted.
 	maxRecords = 8192
-	// interestTime is how long an entry that is told of another one's interest may be
-	// silent before it counts as lost: some ten round trips, and three ticks. Not measured.
-	interestTime = 100 * time.Millisecond
-	// comeBackMargin is how much sooner than asked a caller may come back: the way of the
-	// refusal to it is shorter than that to a home. Not measured.
-	comeBackMargin = 50 * time.Millisecond
-	// lapseMargin is how long after the end of its time a claim counts as over: the stop
-	// (50 ms) and late timers, as at the target's lease (package supervisor).
-	lapseMargin = 200 * time.Millisecond
+	// interestTimeout is how long the holder of a job may stay silent after an Interest
+	// before it counts as lost: about ten round trips and three ticks.
+	interestTimeout = 100 * time.Millisecond
+	// retryMargin is how much earlier than requested a caller may retry: the refusal
+	// reaches the caller sooner than the home.
+	retryMargin = 50 * time.Millisecond
+	// expiryMargin is how long after its duration a claim expires: it covers the stop of
+	// runs (50 ms) and delayed timers, as in the target's lease (package supervisor).
+	expiryMargin = 200 * time.Millisecond
 )
 
-// Holder is one life of an entry.
+// Holder identifies one process of an entry.
 type Holder struct {
 	Name string
-	// Boot differs between the lives of an entry; zero where it is not known.
+	// Boot differs between restarts of an entry; zero if unknown.
 	Boot uint64
 }
 
-// ConnID names one connection of an entry.
+// ConnID identifies a connection of an entry.
 type ConnID = uint64
 
-// record is what a home knows of one job: which entry has it or, once it was answered, how.
+// record is the state of one job at a home: its holder or, once answered, its answer.
 type record struct {
-	job     string
-	holder  Holder
-	conn    ConnID        // of the holder; zero where it is lost
-	lapseAt time.Duration // when the claim's own time is over; zero: not known
-	// clearAt is when no run of a lost holder can be at work any more; zero while it is
+	job       string
+	holder    Holder
+	conn      ConnID        // connection of the holder; zero after its loss
+	expiresAt time.Duration // when the claim expires; zero if unknown
+	// clearAt is when the runs of a lost holder are certain to be over; zero while it is
 	// connected.
 	clearAt time.Duration
-	// askedAt is when the holder was told that another entry waits, zero when it has
-	// been heard from since.
-	askedAt time.Duration
-	// released says that the holder has given the job up without an answer; its runs may
-	// go on until it says that they have ended. ran says that a run of it may have begun.
-	released, ran bool
-	losses        int // of a task, over all submissions so far
-	waiting       []waiter
-
-	answer     Reply // remembered, where its state is Answered
+	// interestSentAt is when an Interest was sent to the holder; zero if a frame of the
+	// holder has arrived since.
+	interestSentAt time.Duration
+	// released is set when the holder has given up the job without an answer; its runs may
+	// continue until it reports that they have ended. mayHaveRun is set if a run of the job
+	// may have started.
+	released, mayHaveRun bool
+	losses               int // of one task, over all submissions so far
+	waiting              []waiter
+
+	answer     Reply // valid if its state is Answered
 	answeredAt time.Duration
-	// over says that nobody has the job, but it may have run; since answeredAt.
-	over bool
+	// unowned is set, since answeredAt, if the job has no holder but may have run.
+	unowned bool
 }
 
-// waiter is an entry that wants a job which another one has.
+// waiter is an entry that waits for a job held by another.
 type waiter struct {
-	holder Holder
-	conn   ConnID
-	lasts  time.Duration
-	begun  bool // tasks of the job have been started there
+	holder      Holder
+	conn        ConnID
+	maxDuration time.Duration
+	begun       bool // the entry has started tasks of the job
 }
 
-// Registry is what one home knows of jobs. It is a state machine without goroutines, clock or
-// sockets, called under one lock with the time.
+// Registry is the state of one home. It is a state machine without goroutines, clock or
+// sockets; its methods are called under one lock with the current time.
 type Registry struct {
-	// Reply sends a reply to an entry, Tell an interest.
+	// Reply and Tell send a reply or an interest on a connection.
 	Reply func(ConnID, Reply)
 	Tell  func(ConnID, Interest)
-	// HeardAt returns when the last frame came on a connection.
+	// HeardAt returns when the last frame arrived on a connection.
 	HeardAt func(ConnID) time.Duration
-	// ClearTime is how long after the end of an entry's connection a run of it may be at
-	// work.
+	// ClearTime is the longest time for which the runs of an entry may continue after the
+	// end of its connection.
 	ClearTime time.Duration
-	// Log receives one line for each job that another entry joins or takes over.
+	// Log receives one line for each job that another entry waits for or takes over.
 	Log *slog.Logger
 
 	records  map[string]*record
-	held     []*record // not answered, in the order of their claims
+	held     []*record // unanswered, in the order of their claims
 	answered []*record // in the order of their answers
 	stats    Stats
 }
 
-// Stats counts what a home has done.
+// Stats holds the counters of a home.
 type Stats struct {
-	// Claims were granted at once, Joined found another entry or the answer, TakenOver
-	// were granted after another entry had given the job up or was lost, Forgotten answers
-	// had no room.
+	// Claims counts claims granted at once, Joined those that met another holder or an
+	// answer, TakenOver grants after another entry gave up the job or was lost, and
+	// Forgotten answers evicted for lack of space.
 	Claims, Joined, TakenOver, Forgotten uint64
-	// Records is how many jobs are known now.
+	// Records is the current number of records.
 	Records int
 }
 
-// NewRegistry returns a registry that knows no job.
+// NewRegistry returns an empty registry.
 func NewRegistry(clearTime time.Duration, log *slog.Logger) *Registry {
 	return &Registry{ClearTime: clearTime, Log: log, records: make(map[string]*record)}
 }
 
-// Stats returns the counts.
+// Stats returns the counters.
 func (g *Registry) Stats() Stats {
 	s := g.stats
 	s.Records = len(g.records)
@@ -115,9 +115,9 @@
 // Claim handles a claim of an entry.
 func (g *Registry) Claim(now time.Duration, from Holder, conn ConnID, c Claim) {
 	r := g.records[c.Job]
-	ran, losses := false, 0
-	if r != nil && (r.over || r.mayComeBack(now)) {
-		ran, losses = r.ran, r.losses
+	mayHaveRun, losses := false, 0
+	if r != nil && (r.unowned || r.retryAllowed(now)) {
+		mayHaveRun, losses = r.mayHaveRun, r.losses
 		delete(g.records, c.Job)
 		r = nil
 	}
@@ -125,11 +125,11 @@
 		g.cancel(now, conn, c.Job, r)
 		return
 	}
-	w := waiter{holder: from, conn: conn, lasts: c.Lasts, begun: c.Begun}
+	w := waiter{holder: from, conn: conn, maxDuration: c.Lasts, begun: c.Begun}
 	switch {
 	case r == nil:
 		r = g.add(c.Job)
-		r.ran, r.losses = ran, losses
+		r.mayHaveRun, r.losses = mayHaveRun, losses
 		g.held = append(g.held, r)
 		g.stats.Claims++
 		g.grant(now, r, w)
@@ -139,18 +139,18 @@
 	case r.holder == from:
 		g.removeWaiter(r, from)
 		g.grant(now, r, w)
-		g.tellInterest(now, r)
-	case g.free(now, r):
+		g.sendInterest(now, r)
+	case g.claimExpired(now, r):
 		g.takeOver(now, r, w)
 	default:
-		g.join(now, r, w)
+		g.enqueue(now, r, w)
 	}
 }
 
-// add returns a new record, for which the oldest answer is forgotten where too much is known.
+// add returns a new record. If the registry is full it evicts the oldest answer.
 func (g *Registry) add(job string) *record {
 	for len(g.records) >= maxRecords && len(g.answered) > 0 {
-		g.forgetOldest()
+		g.evictOldest()
 		g.stats.Forgotten++
 	}
 	r := &record{job: job}
@@ -158,8 +158,8 @@
 	return r
 }
 
-// forgetOldest forgets the answer that was given first.
-func (g *Registry) forgetOldest() {
+// evictOldest evicts the oldest answer.
+func (g *Registry) evictOldest() {
 	oldest := g.answered[0]
 	g.answered = g.answered[1:]
 	if g.records[oldest.job] == oldest {
@@ -167,12 +167,12 @@
 	}
 }
 
-// mayComeBack reports whether the job was refused and its caller was asked to come back by now.
-func (r *record) mayComeBack(now time.Duration) bool {
-	return r.answer.Outcome == Refused && now-r.answeredAt >= r.answer.Retry-comeBackMargin
+// retryAllowed reports whether the job was refused and its caller may retry at now.
+func (r *record) retryAllowed(now time.Duration) bool {
+	return r.answer.Outcome == Refused && now-r.answeredAt >= r.answer.Retry-retryMargin
 }
 
-// answerAt returns the answer with the time that is left until the caller should come back.
+// answerAt returns the answer with the remaining retry delay.
 func (r *record) answerAt(now time.Duration) Reply {
 	a := r.answer
 	if a.Retry > 0 {
@@ -181,53 +181,54 @@
 	return a
 }
 
-// grant gives the job to an entry.
+// grant makes an entry the holder of the job.
 func (g *Registry) grant(now time.Duration, r *record, w waiter) {
 	r.holder, r.conn = w.holder, w.conn
-	r.clearAt, r.askedAt, r.released = 0, 0, false
-	r.lapseAt = 0
-	if w.lasts > 0 {
-		r.lapseAt = now + w.lasts + lapseMargin
+	r.clearAt, r.interestSentAt, r.released = 0, 0, false
+	r.expiresAt = 0
+	if w.maxDuration > 0 {
+		r.expiresAt = now + w.maxDuration + expiryMargin
 	}
-	g.Reply(w.conn, Reply{Job: r.job, State: Granted, Ran: r.ran, Losses: r.losses})
+	g.Reply(w.conn, Reply{Job: r.job, State: Granted, Ran: r.mayHaveRun, Losses: r.losses})
 }
 
-// takeOver gives the job of an entry that is lost, or has given it up, to another one.
+// takeOver transfers the job to another entry after its holder was lost or gave it up.
 func (g *Registry) takeOver(now time.Duration, r *record, w waiter) {
 	g.stats.TakenOver++
-	r.ran = r.ran || !r.released
+	r.mayHaveRun = r.mayHaveRun || !r.released
 	g.Log.Info(event.ClaimTakenOver, "job", r.job, "from", r.holder.Name, "by", w.holder.Name, "released", r.released)
 	g.removeWaiter(r, w.holder)
 	g.grant(now, r, w)
-	g.tellInterest(now, r)
+	g.sendInterest(now, r)
 }
 
-// join has an entry wait for a job that another one has.
-func (g *Registry) join(now time.Duration, r *record, w waiter) {
+// enqueue adds an entry to those that wait for a job held by another.
+func (g *Registry) enqueue(now time.Duration, r *record, w waiter) {
 	g.stats.Joined++
 	g.Log.Info(event.ClaimHeld, "job", r.job, "held_by", r.holder.Name, "by", w.holder.Name)
 	g.removeWaiter(r, w.holder)
 	r.waiting = append(r.waiting, w)
 	g.Reply(w.conn, Reply{Job: r.job, State: Held})
-	g.tellInterest(now, r)
+	g.sendInterest(now, r)
 }
 
-// tellInterest tells the holder of a job that others wait for it, if any do.
-func (g *Registry) tellInterest(now time.Duration, r *record) {
+// sendInterest informs the holder of a job that others are waiting for it, if any are.
+func (g *Registry) sendInterest(now time.Duration, r *record) {
 	if len(r.waiting) == 0 || r.conn == 0 {
 		return
 	}
-	if r.askedAt == 0 {
-		r.askedAt = now
+	if r.interestSentAt == 0 {
+		r.interestSentAt = now
 	}
 	begun := slices.ContainsFunc(r.waiting, func(w waiter) bool { return w.begun })
 	g.Tell(r.conn, Interest{Job: r.job, Waits: true, Begun: begun})
 }
 
-// free reports whether nobody has the job and no run of it can be at work.
-func (g *Registry) free(now time.Duration, r *record) bool {
+// claimExpired reports whether the claim has expired and the holder's runs are certain to
+// be over.
+func (g *Registry) claimExpired(now time.Duration, r *record) bool {
 	switch {
-	case r.lapseAt > 0 && now >= r.lapseAt:
+	case r.expiresAt > 0 && now >= r.expiresAt:
 		return true
 	case r.clearAt > 0 && now >= r.clearAt:
 		return true
@@ -235,10 +236,11 @@
 	return false
 }
 
-// cancel passes a caller's cancellation on to the entry that has the job, and remembers it.
+// cancel forwards a caller's cancellation to the holder of the job and retains it as the
+// answer.
 func (g *Registry) cancel(now time.Duration, conn ConnID, job string, r *record) {
 	switch {
-	case r == nil || g.free(now, r) && r.answer.State != Answered:
+	case r == nil || g.claimExpired(now, r) && r.answer.State != Answered:
 		g.Reply(conn, Reply{Job: job, State: Unknown})
 		return
 	case r.answer.State == Answered:
@@ -249,21 +251,21 @@
 		g.Tell(r.conn, Interest{Job: job, Cancel: true})
 	}
 	g.Reply(conn, Reply{Job: job, State: Cancelling})
-	g.answerWith(now, r, Settlement{Job: job, Outcome: Cancelled, Why: code.JobCancelled})
+	g.recordAnswer(now, r, Settlement{Job: job, Outcome: Cancelled, Why: code.JobCancelled})
 }
 
-// Settle handles what an entry says of a job that it has or waits for. An answer stands
-// also where the job was taken over or forgotten meanwhile: who has it now is told.
+// Settle handles an entry's report on a job that it holds or waits for. An answer is valid
+// even if the job was taken over or evicted meanwhile; the current holder receives it too.
 func (g *Registry) Settle(now time.Duration, from Holder, s Settlement) {
 	r := g.records[s.Job]
-	if s.Outcome.remembered() {
+	if s.Outcome.retained() {
 		if r == nil {
 			r = g.add(s.Job)
 		}
 		if r.holder != from && r.conn != 0 && r.answer.State != Answered {
 			g.Reply(r.conn, s.reply())
 		}
-		g.answerWith(now, r, s)
+		g.recordAnswer(now, r, s)
 		return
 	}
 	switch {
@@ -276,14 +278,14 @@
 		g.replyWaiting(r, s.reply())
 	}
 	r.released = true
-	r.ran = r.ran || s.Ran
+	r.mayHaveRun = r.mayHaveRun || s.Ran
 	r.losses = max(r.losses, s.Losses)
 	if s.Clear {
-		g.clear(now, r)
+		g.runsEnded(now, r)
 	}
 }
 
-// replyWaiting gives an answer to all entries that wait for a job.
+// replyWaiting sends an answer to all entries that wait for a job.
 func (g *Registry) replyWaiting(r *record, answer Reply) {
 	for _, w := range r.waiting {
 		g.Reply(w.conn, answer)
@@ -291,28 +293,30 @@
 	r.waiting = nil
 }
 
-// stopWaiting removes an entry that does not wait any more.
+// stopWaiting removes an entry that no longer waits.
 func (g *Registry) stopWaiting(r *record, from Holder) {
 	if g.removeWaiter(r, from) {
-		g.tellUnwanted(r)
+		g.sendNoInterest(r)
 	}
 }
 
-// tellUnwanted tells the holder of a job that nobody else waits for it, if so.
-func (g *Registry) tellUnwanted(r *record) {
+// sendNoInterest informs the holder of a job that no other entry waits for it, if that is
+// so.
+func (g *Registry) sendNoInterest(r *record) {
 	if len(r.waiting) == 0 && r.conn != 0 {
-		r.askedAt = 0
+		r.interestSentAt = 0
 		g.Tell(r.conn, Interest{Job: r.job})
 	}
 }
 
-// reply returns the answer that a settlement holds.
+// reply returns the answer contained in a settlement.
 func (s Settlement) reply() Reply {
 	return Reply{Job: s.Job, State: Answered, Outcome: s.Outcome, Why: s.Why, Retry: s.Retry}
 }
 
-// answerWith remembers an answer and gives it to all who wait. The first answer stays.
-func (g *Registry) answerWith(now time.Duration, r *record, s Settlement) {
+// recordAnswer stores an answer and sends it to all waiting entries. Only the first answer
+// counts.
+func (g *Registry) recordAnswer(now time.Duration, r *record, s Settlement) {
 	if r.answer.State == Answered {
 		return
 	}
@@ -322,14 +326,14 @@
 	g.answered = append(g.answered, r)
 }
 
-// clear records that no run of a job that was not answered is left: the next entry that
-// waits gets it, or it is forgotten.
-func (g *Registry) clear(now time.Duration, r *record) {
+// runsEnded handles the end of all runs of an unanswered job: the next waiting entry
+// receives it, or its record is released.
+func (g *Registry) runsEnded(now time.Duration, r *record) {
 	switch {
 	case len(r.waiting) > 0:
 		g.takeOver(now, r, r.waiting[0])
-	case r.ran:
-		r.over = true
+	case r.mayHaveRun:
+		r.unowned = true
 		r.answeredAt = now
 		g.answered = append(g.answered, r)
 	default:
@@ -337,55 +341,54 @@
 	}
 }
 
-// Lost records the end of a connection. What its entry has may be at work for ClearTime; an
-// entry that connects again claims it again.
+// Lost handles the end of a connection. Runs of its entry may continue for ClearTime; an
+// entry that reconnects claims its jobs again.
 func (g *Registry) Lost(now time.Duration, conn ConnID) {
 	for _, r := range g.held {
 		if r.conn == conn {
-			r.conn, r.askedAt = 0, 0
+			r.conn, r.interestSentAt = 0, 0
 			r.clearAt = now + g.ClearTime
 		}
 		waited := len(r.waiting)
 		r.waiting = slices.DeleteFunc(r.waiting, func(w waiter) bool { return w.conn == conn })
 		if waited > 0 {
-			g.tellUnwanted(r)
+			g.sendNoInterest(r)
 		}
 	}
 }
 
-// Tick acts on what has run out of time: claims that lapse, entries that are lost, answers
-// that are remembered no longer.
+// Tick handles what is due: expired claims, lost holders and answers past their retention.
 func (g *Registry) Tick(now time.Duration) {
 	g.held = slices.DeleteFunc(g.held, func(r *record) bool {
-		return g.records[r.job] != r || r.answer.State == Answered || r.over
+		return g.records[r.job] != r || r.answer.State == Answered || r.unowned
 	})
 	for _, r := range g.held {
 		g.checkHolder(r, now)
-		if g.free(now, r) {
-			r.ran = true // its entry may be lost
-			g.clear(now, r)
+		if g.claimExpired(now, r) {
+			r.mayHaveRun = true // the holder may be lost
+			g.runsEnded(now, r)
 		}
 	}
 	for len(g.answered) > 0 && now-g.answered[0].answeredAt >= AnswerTime {
-		g.forgetOldest()
+		g.evictOldest()
 	}
 }
 
-// checkHolder takes an entry for lost that was told of another one's interest and has been
-// silent since.
+// checkHolder treats a holder as lost if it has been silent since an Interest was sent to
+// it.
 func (g *Registry) checkHolder(r *record, now time.Duration) {
 	switch {
-	case r.askedAt == 0:
-	case g.HeardAt(r.conn) > r.askedAt:
-		r.askedAt = 0
-	case now-r.askedAt >= interestTime:
+	case r.interestSentAt == 0:
+	case g.HeardAt(r.conn) > r.interestSentAt:
+		r.interestSentAt = 0
+	case now-r.interestSentAt >= interestTimeout:
 		g.Log.Info(event.ClaimHolderSilent, "job", r.job, "entry", r.holder.Name)
-		r.clearAt = r.askedAt + g.ClearTime
-		r.askedAt, r.conn = 0, 0
+		r.clearAt = r.interestSentAt + g.ClearTime
+		r.interestSentAt, r.conn = 0, 0
 	}
 }
 
-// removeWaiter removes an entry from those that wait and reports whether it did.
+// removeWaiter removes an entry from the waiting ones and reports whether it was one.
 func (g *Registry) removeWaiter(r *record, h Holder) bool {
 	before := len(r.waiting)
 	r.waiting = slices.DeleteFunc(r.waiting, func(w waiter) bool { return w.holder == h })
--- a/claim/registry_test.go
+++ b/claim/registry_test.go
@@ -20,7 +20,7 @@
 var a, b, c = Holder{"a", 1}, Holder{"b", 1}, Holder{"c", 1}
 
 // bench is a registry whose replies are kept. Entry a is on connection 1, and so on.
-type bench struct {
+type harness struct {
 	*Registry
 	now       time.Duration
 	replies   map[ConnID][]Reply
@@ -28,8 +28,8 @@
 	heard     map[ConnID]time.Duration
 }
 
-func newBench() *bench {
-	g := &bench{
+func newHarness() *harness {
+	g := &harness{
 		Registry: NewRegistry(clearTime, slog.New(slog.DiscardHandler)), now: time.Minute,
 		replies: make(map[ConnID][]Reply), interests: make(map[ConnID][]Interest), heard: make(map[ConnID]time.Duration),
 	}
@@ -39,7 +39,7 @@
 	return g
 }
 
-func (g *bench) claim(h Holder, conn ConnID, job string) Reply {
+func (g *harness) claim(h Holder, conn ConnID, job string) Reply {
 	before := len(g.replies[conn])
 	g.Claim(g.now, h, conn, Claim{Job: job, Lasts: 10 * time.Second})
 	if len(g.replies[conn]) == before {
@@ -48,7 +48,7 @@
 	return g.replies[conn][len(g.replies[conn])-1]
 }
 
-func (g *bench) last(conn ConnID) Reply {
+func (g *harness) lastReply(conn ConnID) Reply {
 	list := g.replies[conn]
 	if len(list) == 0 {
 		return Reply{}
@@ -56,7 +56,7 @@
 	return list[len(list)-1]
 }
 
-func (g *bench) wait(d time.Duration) {
+func (g *harness) advance(d time.Duration) {
 	for end := g.now + d; g.now < end; {
 		g.now += 10 * ms
 		g.Tick(g.now)
@@ -64,122 +64,122 @@
 }
 
 func TestASecondEntryGetsTheAnswer(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	assert.Equal(t, g.claim(a, 1, "j").State, Granted)
 	assert.Equal(t, g.claim(b, 2, "j").State, Held)
 	assert.DeepEqual(t, g.interests[1], []Interest{{Job: "j", Waits: true}})
 	g.Settle(g.now, a, Settlement{Job: "j", Outcome: Completed, Why: code.JobAllDone, Clear: true})
-	assert.DeepEqual(t, g.last(2), Reply{Job: "j", State: Answered, Outcome: Completed, Why: code.JobAllDone})
-	g.wait(AnswerTime - 20*ms)
+	assert.DeepEqual(t, g.lastReply(2), Reply{Job: "j", State: Answered, Outcome: Completed, Why: code.JobAllDone})
+	g.advance(AnswerTime - 20*ms)
 	assert.Equal(t, g.claim(c, 3, "j").Outcome, Completed)
-	g.wait(20 * ms)
+	g.advance(20 * ms)
 	assert.Equal(t, g.claim(c, 3, "j").State, Granted)
 }
 
 // TestAJobIsFreeOnceItsRunsHaveEnded: what was given up without an answer goes to who waits,
 // not before the last run has ended.
 func TestAJobIsFreeOnceItsRunsHaveEnded(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	g.claim(a, 1, "j")
 	g.claim(b, 2, "j")
 	g.Settle(g.now, a, Settlement{Job: "j"})
-	assert.Equal(t, g.last(2).State, Held)
+	assert.Equal(t, g.lastReply(2).State, Held)
 	g.Settle(g.now, a, Settlement{Job: "j", Clear: true, Ran: true})
-	assert.DeepEqual(t, g.last(2), Reply{Job: "j", State: Granted, Ran: true})
+	assert.DeepEqual(t, g.lastReply(2), Reply{Job: "j", State: Granted, Ran: true})
 	assert.Equal(t, g.claim(c, 3, "j").State, Held)
 }
 
 func TestALostEntrysJobIsTakenOverWhenItsRunsAreOver(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Lost(g.now, 1)
 	assert.Equal(t, g.claim(b, 2, "j").State, Held)
-	g.wait(clearTime - 10*ms)
-	assert.Equal(t, g.last(2).State, Held)
-	g.wait(10 * ms)
-	assert.DeepEqual(t, g.last(2), Reply{Job: "j", State: Granted, Ran: true})
+	g.advance(clearTime - 10*ms)
+	assert.Equal(t, g.lastReply(2).State, Held)
+	g.advance(10 * ms)
+	assert.DeepEqual(t, g.lastReply(2), Reply{Job: "j", State: Granted, Ran: true})
 }
 
 // TestAnEntryThatConnectsAgainKeepsItsJob, another life of it does not.
 func TestAnEntryThatConnectsAgainKeepsItsJob(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Lost(g.now, 1)
 	g.claim(b, 2, "j")
 	assert.Equal(t, g.claim(Holder{"a", 2}, 4, "j").State, Held)
 	assert.Equal(t, g.claim(a, 5, "j").State, Granted)
 	g.heard[5] = g.now + ms
-	g.wait(2 * clearTime)
-	assert.Equal(t, g.last(2).State, Held)
+	g.advance(2 * clearTime)
+	assert.Equal(t, g.lastReply(2).State, Held)
 }
 
 // TestADarkEntryIsNoticedWhenAnotherAsks: it leaves the interest unanswered.
 func TestADarkEntryIsNoticedWhenAnotherAsks(t *testing.T) {
 	for _, alive := range []bool{false, true} {
-		g := newBench()
+		g := newHarness()
 		g.claim(a, 1, "j")
-		g.wait(time.Second)
+		g.advance(time.Second)
 		g.claim(b, 2, "j")
 		if alive {
 			g.heard[1] = g.now + 3*ms
 		}
-		g.wait(clearTime + 10*ms)
-		assert.Equal(t, g.last(2).State == Granted, !alive)
+		g.advance(clearTime + 10*ms)
+		assert.Equal(t, g.lastReply(2).State == Granted, !alive)
 	}
 }
 
 // TestARefusalStands until its caller was asked to come back.
 func TestARefusalStands(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Settle(g.now, a, Settlement{Job: "j", Outcome: Refused, Why: code.JobBehind, Retry: time.Second, Clear: true})
-	g.wait(400 * ms)
+	g.advance(400 * ms)
 	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Answered, Outcome: Refused, Why: code.JobBehind, Retry: 600 * ms})
-	g.wait(600 * ms)
+	g.advance(600 * ms)
 	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Granted})
 }
 
 // TestAJobThatWasGivenUpMayComeBack: who waits hears of it, and a later submission knows that
 // it has run.
 func TestAJobThatWasGivenUpMayComeBack(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	g.claim(a, 1, "j")
 	g.claim(b, 2, "j")
 	g.Settle(g.now, a, Settlement{Job: "j", Outcome: GivenUp, Why: code.JobTooLate, Retry: time.Second})
-	assert.Equal(t, g.last(2).Outcome, GivenUp)
+	assert.Equal(t, g.lastReply(2).Outcome, GivenUp)
 	g.Settle(g.now, a, Settlement{Job: "j", Clear: true, Ran: true})
 	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Granted, Ran: true})
 }
 
 func TestACancellationReachesTheEntryThatHasTheJob(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	g.Claim(g.now, b, 2, Claim{Job: "j", Cancel: true})
-	assert.Equal(t, g.last(2).State, Unknown)
+	assert.Equal(t, g.lastReply(2).State, Unknown)
 	g.claim(a, 1, "j")
 	g.claim(c, 3, "j")
 	g.Claim(g.now, b, 2, Claim{Job: "j", Cancel: true})
-	assert.Equal(t, g.last(2).State, Cancelling)
+	assert.Equal(t, g.lastReply(2).State, Cancelling)
 	assert.DeepEqual(t, g.interests[1][len(g.interests[1])-1], Interest{Job: "j", Cancel: true})
-	assert.Equal(t, g.last(3).Outcome, Cancelled)
+	assert.Equal(t, g.lastReply(3).Outcome, Cancelled)
 	assert.Equal(t, g.claim(b, 2, "j").Outcome, Cancelled)
 }
 
 // TestAnAnswerComesAfterATakeOver: the entry that was taken for lost has done the job, and who
 // has it now hears of it.
 func TestAnAnswerComesAfterATakeOver(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Lost(g.now, 1)
 	g.claim(b, 2, "j")
-	g.wait(clearTime)
-	assert.Equal(t, g.last(2).State, Granted)
+	g.advance(clearTime)
+	assert.Equal(t, g.lastReply(2).State, Granted)
 	g.Settle(g.now, a, Settlement{Job: "j", Outcome: Completed, Clear: true})
-	assert.Equal(t, g.last(2).Outcome, Completed)
+	assert.Equal(t, g.lastReply(2).Outcome, Completed)
 }
 
 // TestMemoryIsBounded: the oldest answers go first, claims that are held stay.
 func TestMemoryIsBounded(t *testing.T) {
-	g := newBench()
+	g := newHarness()
 	g.claim(a, 1, "held")
 	for n := range 2 * maxRecords {
 		job := fmt.Sprint(n)
@@ -190,7 +190,7 @@
 	assert.Equal(t, s.Records, maxRecords)
 	assert.Equal(t, s.Forgotten, uint64(maxRecords+1))
 	assert.Equal(t, g.claim(b, 2, "held").State, Held)
-	g.wait(AnswerTime)
+	g.advance(AnswerTime)
 	assert.Equal(t, g.Stats().Records, 1)
 }
 
@@ -198,22 +198,22 @@
 // where each has it from its grant until it says that no run is left, or is lost for ClearTime.
 func TestOneEntryHasAJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := newBench()
+		g := newHarness()
 		entries := []Holder{a, b, c}
 		conns := []ConnID{1, 2, 3}
 		next := ConnID(4)
-		has := make(map[int]time.Duration) // until when its runs may be at work
-		const forGood = time.Hour
+		heldUntil := make(map[int]time.Duration) // until when its runs may be at work
+		const unbounded = time.Hour
 		granted := make(map[ConnID]int)
-		look := func() {
+		checkGrants := func() {
 			for k, conn := range conns {
 				list := g.replies[conn]
 				for _, r := range list[granted[conn]:] {
 					if r.State == Granted {
-						for other, until := range has {
+						for other, until := range heldUntil {
 							assert.Assert(t, other == k || until <= g.now, "%d has it until %s, %d gets it at %s", other, until, k, g.now)
 						}
-						has[k] = forGood
+						heldUntil[k] = unbounded
 					}
 				}
 				granted[conn] = len(list)
@@ -228,14 +228,14 @@
 			case 1:
 				g.Settle(g.now, entries[k], Settlement{Job: "j"})
 			case 2:
-				delete(has, k)
+				delete(heldUntil, k)
 				g.Settle(g.now, entries[k], Settlement{Job: "j", Clear: true, Ran: true})
 			case 3: // it is lost, and another life of it comes
 				g.Lost(g.now, conns[k])
-				if has[k] == forGood {
-					has[len(has)+10] = g.now + clearTime
+				if heldUntil[k] == unbounded {
+					heldUntil[len(heldUntil)+10] = g.now + clearTime
 				}
-				delete(has, k)
+				delete(heldUntil, k)
 				entries[k].Boot++
 				conns[k] = next
 				next++
@@ -243,9 +243,9 @@
 				for _, conn := range conns {
 					g.heard[conn] = g.now + time.Hour // all live
 				}
-				g.wait(time.Duration(rapid.IntRange(1, 200).Draw(t, "wait")) * 10 * ms)
+				g.advance(time.Duration(rapid.IntRange(1, 200).Draw(t, "wait")) * 10 * ms)
 			}
-			look()
+			checkGrants()
 		}
 	})
 }
