--- a/reach/reach.go
+++ b/reach/reach.go
@@ -1,20 +1,21 @@
-// Package reach decides to which agents an entry is connected. In a small fleet that is all of
-// them. In a larger one it is a bounded set, so that what a process keeps and sends is bounded
-// by what it does and not by how many there are:
+// Package reach selects the agents to which an entry connects (subsetting). In a small
+// fleet these are all agents. In a larger fleet the selection is bounded, so that the state
+// and the traffic of a process do not grow with the size of the fleet:
 //
-//   - the homes, where jobs are claimed: the first agents by a rank that all entries reckon
-//     alike, so that two entries meet at the same homes;
-//   - the entry's own: the first by a rank of its own, in which its tasks run, enough that each
-//     agent is in the sets of some entries;
-//   - more of its own while its jobs wait for room, as long as those that came last give some.
+//   - home agents, where jobs are claimed: the lowest ranks in an order shared by
+//     all entries, so that the entries have the same homes;
+//   - the entry's own agents, where its tasks run: the lowest ranks in an order
+//     specific to the entry, enough for each agent to be selected by some entries;
+//   - further own agents while jobs wait for free resources, as long as those added
+//     last provide some.
 //
-// Agents that are lost stay in the set and do not count, so that others take their place until
-// they are back.
+// Lost agents remain selected but do not count towards the bounds, so that others replace
+// them until they return.
 //
-// It owns which agents are known, wanted and homes. It relies on its process (package node) to
-// connect to those that are wanted, and on package owner to say which connections are in use.
-// Set is a state machine without goroutines, clock or sockets, called under one lock.
-// docs/design/fleet.md says why, and what else was weighed.
+// The package holds which agents are known, wanted and homes. It relies on its process
+// (package node) to connect to the wanted ones, and on package owner to report which
+// connections are in use. Set is a state machine without goroutines, clock or sockets,
+// called under one lock. docs/design/fleet.md has the rationale and the alternatives.
 package reach
 
 import (
@@ -26,68 +27,67 @@
 )
 
 const (
-	// FullMesh is up to how many agents an entry connects to all of them.
+	// FullMesh is the largest number of agents to which an entry connects completely.
 	FullMesh = 128
-	// homes is how many agents jobs are claimed at. Half of the fleet may go; of the rest 32
-	// are homes still, before others take their place.
-	homes = 64
-	// leastOwn is how many agents of its own an entry has at the least: an entry watches 12
-	// and two more for each that runs something of it.
-	leastOwn = 64
-	// coverage is in how many entries' own sets an agent is on the mean: of 10,000 agents
-	// four are in none (e to the power of -8).
+	// homeAgents is the number of home agents. After the loss of half of the fleet, about
+	// 32 of them remain before others replace the lost ones.
+	homeAgents = 64
+	// minOwn is the smallest number of own agents of an entry.
+	minOwn = 64
+	// coverage is the mean number of entries that select an agent as their own. A share of
+	// e^-8 of the agents is then selected by none.
 	coverage = 8
-	// walkFactor bounds how many agents are tried for each that is wanted, where many are
-	// lost: at a loss of three quarters of the fleet all are found.
-	walkFactor = 4
-	// growStep is how many agents are added at once while room is short, and growPause how
-	// long after that the next may be: a connection, a watch and a reservation. Not measured.
-	growStep  = 32
-	growPause = 100 * time.Millisecond
-	// growTime is for how long they stay wanted once room is not short any more. Not
-	// measured.
-	growTime = 10 * time.Second
-	// wideTime is for how long all agents are wanted after a job asked for a label that none
-	// of the connected ones has. Not measured.
-	wideTime = time.Minute
+	// maxTriedFactor limits the number of agents tried per wanted one when many are lost.
+	// It suffices for the loss of three quarters of the fleet.
+	maxTriedFactor = 4
+	// growStep is the number of agents added at once while resources are short, and
+	// growInterval the shortest time between two steps: the time for a connection, a watch
+	// and a reservation.
+	growStep     = 32
+	growInterval = 100 * time.Millisecond
+	// growRetention is how long added agents stay wanted after the shortage ends.
+	growRetention = 10 * time.Second
+	// wantAllDuration is how long all agents are wanted after a job required a label that
+	// no connected agent has.
+	wantAllDuration = time.Minute
 )
 
-// agent is an agent that is known.
+// agent is a known agent.
 type agent struct {
 	name              string
 	homeRank, ownRank claim.Rank
-	lost              bool // it was tried and is not connected
+	lost              bool // a connection was tried and is not established
 	wanted, home, own bool
-	before            bool // it was wanted before the last Update
+	wasWanted         bool // wanted before the last Update
 }
 
-// Set is the set of one entry.
+// Set is the selection of one entry.
 type Set struct {
-	entry   uint64 // hash of its name
-	agents  map[string]*agent
-	byHome  []*agent // in the order of homeRank
-	byOwn   []*agent // in the order of ownRank
-	entries int      // of the fleet, as far as is known
-	fleet   int      // how many agents the fleet has, as others say
-	changed bool
+	entry     uint64 // hash of the entry's name
+	agents    map[string]*agent
+	byHome    []*agent // sorted by homeRank
+	byOwn     []*agent // sorted by ownRank
+	entries   int      // known number of entries in the fleet
+	fleetSize int      // number of agents in the fleet reported by other processes
+	changed   bool
 
-	extra     int           // how many more of its own than usual
-	added     []string      // those that the last step added
-	shortAt   time.Duration // when room was short last
-	grownAt   time.Duration // when the last step was
-	wideUntil time.Duration // until when all are wanted
-	wide      bool
+	extra          int           // additional own agents because of a shortage
+	lastAdded      []string      // agents added by the last step
+	shortAt        time.Duration // time of the last shortage
+	grownAt        time.Duration // time of the last step
+	allWantedUntil time.Duration // until when all agents are wanted
+	allWanted      bool
 }
 
-// NewSet returns the set of an entry that knows no agent.
+// NewSet returns the set of an entry without known agents.
 func NewSet(entry string) *Set {
 	return &Set{entry: claim.Hash(entry), agents: make(map[string]*agent)}
 }
 
-// homeSalt makes the ranks of homes, which are the same for all entries.
+// homeSalt seeds the home ranks, which are the same for all entries.
 const homeSalt = 0x9e3779b97f4a7c15
 
-// Add makes an agent known.
+// Add adds a known agent.
 func (s *Set) Add(name string) {
 	if s.agents[name] != nil {
 		return
@@ -100,7 +100,7 @@
 	s.changed = true
 }
 
-// Remove forgets an agent.
+// Remove removes an agent.
 func (s *Set) Remove(name string) {
 	a := s.agents[name]
 	if a == nil {
@@ -112,25 +112,26 @@
 	s.changed = true
 }
 
-// SetEntries says how many entries the fleet has.
+// SetEntries sets the number of entries in the fleet.
 func (s *Set) SetEntries(n int) {
 	s.changed = s.changed || n != s.entries
 	s.entries = n
 }
 
-// SetFleet says how many agents others know of: an entry that has found few of them, and the
-// directory not, chooses the homes as the others do.
+// SetFleet records the number of agents known to another process. An entry that knows only
+// a few agents, because the directory is unavailable, thereby selects the same homes as the
+// others.
 func (s *Set) SetFleet(n int) {
-	s.changed = s.changed || n > s.fleet
-	s.fleet = max(s.fleet, n)
+	s.changed = s.changed || n > s.fleetSize
+	s.fleetSize = max(s.fleetSize, n)
 }
 
-// large reports whether the fleet is too large to be connected whole.
+// large reports whether the fleet is too large for a full mesh.
 func (s *Set) large() bool {
-	return max(len(s.agents), s.fleet) > FullMesh
+	return max(len(s.agents), s.fleetSize) > FullMesh
 }
 
-// SetLost says that an agent was lost or can't be reached, or that it is connected.
+// SetLost records whether an agent is lost or unreachable, or connected.
 func (s *Set) SetLost(name string, lost bool) {
 	if a := s.agents[name]; a != nil && a.lost != lost {
 		a.lost = lost
@@ -138,14 +139,14 @@
 	}
 }
 
-// Known returns how many agents are known.
+// Known returns the number of known agents.
 func (s *Set) Known() int {
 	return len(s.agents)
 }
 
-// Partial reports whether there are agents that are known and not wanted.
+// Partial reports whether only some of the known agents are wanted.
 func (s *Set) Partial() bool {
-	return s.large() && !s.wide
+	return s.large() && !s.allWanted
 }
 
 // Wanted reports whether the entry should be connected to an agent.
@@ -154,21 +155,21 @@
 	return a != nil && a.wanted
 }
 
-// Home reports whether jobs may be claimed at an agent.
+// Home reports whether an agent is a home, where jobs may be claimed.
 func (s *Set) Home(name string) bool {
 	a := s.agents[name]
 	return a != nil && a.home
 }
 
-// Short says that jobs wait for room at now. gave reports whether an agent runs tasks of this
-// entry: where none of those that were added last does, there is no room to be found, and
-// connections would only cost.
-func (s *Set) Short(now time.Duration, gave func(name string) bool) {
+// Short records that jobs are waiting for free resources at now, and adds agents if a step
+// is due. runsTasks reports whether an agent runs tasks of this entry: if none of the agents
+// added last does, the fleet has no free resources, and more connections would not help.
+func (s *Set) Short(now time.Duration, runsTasks func(name string) bool) {
 	s.shortAt = now
-	if !s.Partial() || s.grownAt > 0 && now-s.grownAt < growPause {
+	if !s.Partial() || s.grownAt > 0 && now-s.grownAt < growInterval {
 		return
 	}
-	if len(s.added) > 0 && !slices.ContainsFunc(s.added, gave) || s.own() >= len(s.agents) {
+	if len(s.lastAdded) > 0 && !slices.ContainsFunc(s.lastAdded, runsTasks) || s.own() >= len(s.agents) {
 		return
 	}
 	s.grownAt = now
@@ -176,63 +177,63 @@
 	s.changed = true
 }
 
-// Widen says that a job asks for a label that no connected agent has.
+// Widen makes all agents wanted for a while, because a job requires a label that no
+// connected agent has.
 func (s *Set) Widen(now time.Duration) {
-	s.wideUntil = now + wideTime
+	s.allWantedUntil = now + wantAllDuration
 }
 
-// own returns how many agents of its own the entry wants.
+// own returns the number of own agents that the entry wants.
 func (s *Set) own() int {
 	covering := 0
 	if s.entries > 0 {
 		covering = (coverage*len(s.agents) + s.entries - 1) / s.entries
 	}
-	return max(leastOwn, covering) + s.extra
+	return max(minOwn, covering) + s.extra
 }
 
-// Own reports whether an agent is one of the entry's own, in which its tasks run. One that is only
-// a home is one of all entries: tasks that ran there for its being connected would pile up.
+// Own reports whether an agent is one of the entry's own, where its tasks run. Agents that
+// are only homes run no tasks: they are connected to all entries and would be overloaded.
 func (s *Set) Own(name string) bool {
 	a := s.agents[name]
 	return a != nil && a.own
 }
 
-// Update reckons anew which agents are wanted, where something has changed. It reports whether it
-// did.
+// Update recomputes the wanted agents if anything has changed. It reports whether it did.
 func (s *Set) Update(now time.Duration) bool {
-	if s.extra > 0 && now-s.shortAt >= growTime {
-		s.extra, s.added, s.changed = 0, nil, true
+	if s.extra > 0 && now-s.shortAt >= growRetention {
+		s.extra, s.lastAdded, s.changed = 0, nil, true
 	}
-	if wide := now < s.wideUntil; wide != s.wide {
-		s.wide, s.changed = wide, true
+	if allWanted := now < s.allWantedUntil; allWanted != s.allWanted {
+		s.allWanted, s.changed = allWanted, true
 	}
 	if !s.changed {
 		return false
 	}
 	s.changed = false
 	for _, a := range s.byHome {
-		a.before = a.wanted
+		a.wasWanted = a.wanted
 		a.wanted, a.home, a.own = !s.Partial(), !s.large(), !s.Partial()
 	}
 	if s.large() {
-		walk(s.byHome, homes, func(a *agent) { a.wanted, a.home = true, true })
-		walk(s.byOwn, s.own(), func(a *agent) { a.wanted, a.own = true, true })
+		selectLive(s.byHome, homeAgents, func(a *agent) { a.wanted, a.home = true, true })
+		selectLive(s.byOwn, s.own(), func(a *agent) { a.wanted, a.own = true, true })
 	}
 	if s.grownAt == now && now > 0 {
-		s.added = nil
+		s.lastAdded = nil
 		for _, a := range s.byOwn {
-			if a.wanted && !a.before {
-				s.added = append(s.added, a.name)
+			if a.wanted && !a.wasWanted {
+				s.lastAdded = append(s.lastAdded, a.name)
 			}
 		}
 	}
 	return true
 }
 
-// walk takes agents from the first one on until so many that are not lost are taken, or too many
-// were tried.
-func walk(list []*agent, count int, take func(*agent)) {
-	list = list[:min(len(list), walkFactor*count)]
+// selectLive passes agents to take in order until count of them are not lost, or the limit
+// of tries is reached.
+func selectLive(list []*agent, count int, take func(*agent)) {
+	list = list[:min(len(list), maxTriedFactor*count)]
 	for _, a := range list {
 		if count == 0 {
 			return
@@ -244,11 +245,12 @@
 	}
 }
 
-// byHomeRank and byOwnRank order agents.
+// byHomeRank compares agents by their home rank.
 func (a *agent) byHomeRank(b *agent) int {
 	return cmp.Or(cmp.Compare(a.homeRank, b.homeRank), cmp.Compare(a.name, b.name))
 }
 
+// byOwnRank compares agents by their own rank.
 func (a *agent) byOwnRank(b *agent) int {
 	return cmp.Or(cmp.Compare(a.ownRank, b.ownRank), cmp.Compare(a.name, b.name))
 }
--- a/reach/reach_test.go
+++ b/reach/reach_test.go
@@ -34,14 +34,14 @@
 	return names
 }
 
-func (s *Set) wanted() []string { return s.where(func(a *agent) bool { return a.wanted }) }
-func (s *Set) homes() []string  { return s.where(func(a *agent) bool { return a.home }) }
+func (s *Set) wantedNames() []string { return s.where(func(a *agent) bool { return a.wanted }) }
+func (s *Set) homeNames() []string   { return s.where(func(a *agent) bool { return a.home }) }
 
 func TestASmallFleetIsConnectedWhole(t *testing.T) {
 	for _, agents := range []int{1, 11, 70, FullMesh} {
 		s := newSet("edge-1", 3, agents)
-		assert.Equal(t, len(s.wanted()), agents)
-		assert.Equal(t, len(s.homes()), agents)
+		assert.Equal(t, len(s.wantedNames()), agents)
+		assert.Equal(t, len(s.homeNames()), agents)
 		assert.Assert(t, !s.Partial())
 	}
 }
@@ -54,9 +54,9 @@
 		for k := range c.entries {
 			s := newSet(fmt.Sprintf("edge-%d", k), c.entries, c.agents)
 			covering := (coverage*c.agents + c.entries - 1) / c.entries
-			assert.Assert(t, len(s.wanted()) <= homes+max(leastOwn, covering), "%d wanted", len(s.wanted()))
-			assert.Equal(t, len(s.homes()), homes)
-			for _, name := range s.wanted() {
+			assert.Assert(t, len(s.wantedNames()) <= homeAgents+max(minOwn, covering), "%d wanted", len(s.wantedNames()))
+			assert.Equal(t, len(s.homeNames()), homeAgents)
+			for _, name := range s.wantedNames() {
 				covered[name]++
 			}
 		}
@@ -73,7 +73,7 @@
 		}
 		t.Logf("%d x %d: %d in no set, no home in more than %d", c.entries, c.agents, none, most)
 		assert.Assert(t, none*1000 <= c.agents, "%d of %d are in no set", none, c.agents)
-		assert.Assert(t, most <= 4*max(coverage, leastOwn*c.entries/c.agents), "an agent is in %d sets", most)
+		assert.Assert(t, most <= 4*max(coverage, minOwn*c.entries/c.agents), "an agent is in %d sets", most)
 	}
 }
 
@@ -81,13 +81,13 @@
 // place of.
 func TestEntriesMeetAtTheSameHomes(t *testing.T) {
 	a, b := newSet("edge-a", 50, 500), newSet("edge-b", 50, 500)
-	assert.DeepEqual(t, a.homes(), b.homes())
-	for _, name := range a.homes()[:30] {
+	assert.DeepEqual(t, a.homeNames(), b.homeNames())
+	for _, name := range a.homeNames()[:30] {
 		a.SetLost(name, true)
 	}
 	a.Update(0)
-	assert.Equal(t, len(a.homes()), homes+30)
-	for _, name := range b.homes() {
+	assert.Equal(t, len(a.homeNames()), homeAgents+30)
+	for _, name := range b.homeNames() {
 		assert.Assert(t, a.Home(name))
 	}
 }
@@ -97,48 +97,48 @@
 func TestAnEntryThatFindsFewAgentsHasTheSameHomes(t *testing.T) {
 	before := newSet("edge-1", 184, 800)
 	after := NewSet("edge-1")
-	for _, name := range before.wanted() {
+	for _, name := range before.wantedNames() {
 		after.Add(name)
 	}
 	after.SetFleet(800)
 	after.Update(0)
-	assert.DeepEqual(t, after.homes(), before.homes())
+	assert.DeepEqual(t, after.homeNames(), before.homeNames())
 }
 
 // TestLostAgentsAreReplacedWithinBounds: of a fleet that loses half, entries find as many as before,
 // and try a bounded number; when all are back the set is as it was.
 func TestLostAgentsAreReplacedWithinBounds(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
-	before := s.wanted()
+	before := s.wantedNames()
 	for k := 0; k < 800; k += 2 {
 		s.SetLost(agentName(k), true)
 	}
 	s.Update(0)
 	live := s.where(func(a *agent) bool { return a.wanted && !a.lost })
-	assert.Assert(t, len(live) >= homes+leastOwn-homes/4, "%d live", len(live)) // some are in both
-	assert.Assert(t, len(s.wanted()) <= walkFactor*(homes+leastOwn))
+	assert.Assert(t, len(live) >= homeAgents+minOwn-homeAgents/4, "%d live", len(live)) // some are in both
+	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn))
 	for k := range 800 {
 		s.SetLost(agentName(k), true)
 	}
 	s.Update(0)
-	assert.Assert(t, len(s.wanted()) <= walkFactor*(homes+leastOwn), "%d are tried", len(s.wanted()))
+	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn), "%d are tried", len(s.wantedNames()))
 	for k := range 800 {
 		s.SetLost(agentName(k), false)
 	}
 	s.Update(0)
-	assert.DeepEqual(t, s.wanted(), before)
+	assert.DeepEqual(t, s.wantedNames(), before)
 }
 
 // TestASetGrowsWhileItHelps: more agents as long as those that came last give room.
 func TestASetGrowsWhileItHelps(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
-	usual := len(s.wanted())
+	usual := len(s.wantedNames())
 	now := time.Second
-	step := func(gives bool) int {
-		s.Short(now, func(string) bool { return gives })
+	step := func(runsTasks bool) int {
+		s.Short(now, func(string) bool { return runsTasks })
 		s.Update(now)
-		now += growPause
-		return len(s.wanted())
+		now += growInterval
+		return len(s.wantedNames())
 	}
 	first := step(false) // nothing was added yet
 	assert.Assert(t, first > usual)
@@ -148,23 +148,23 @@
 	for range 100 {
 		step(true)
 	}
-	assert.Equal(t, len(s.wanted()), 800)
-	now += growTime
+	assert.Equal(t, len(s.wantedNames()), 800)
+	now += growRetention
 	s.Update(now)
-	assert.Equal(t, len(s.wanted()), usual)
+	assert.Equal(t, len(s.wantedNames()), usual)
 }
 
 // TestAMissingLabelWantsAll for a while: only a connection tells which labels a target has.
 func TestAMissingLabelWantsAll(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
-	usual := len(s.wanted())
+	usual := len(s.wantedNames())
 	s.Widen(time.Second)
 	s.Update(time.Second)
-	assert.Equal(t, len(s.wanted()), 800)
+	assert.Equal(t, len(s.wantedNames()), 800)
 	assert.Assert(t, !s.Partial())
-	assert.Equal(t, len(s.homes()), homes, "homes are the same for all entries")
-	s.Update(time.Second + wideTime)
-	assert.Equal(t, len(s.wanted()), usual)
+	assert.Equal(t, len(s.homeNames()), homeAgents, "homes are the same for all entries")
+	s.Update(time.Second + wantAllDuration)
+	assert.Equal(t, len(s.wantedNames()), usual)
 }
 
 // TestAnyHistoryOfASet: whatever comes, homes are wanted, the count is bounded, and the same state
@@ -188,12 +188,12 @@
 				s.SetEntries(rapid.IntRange(1, 40).Draw(t, "entries"))
 			}
 			s.Update(now)
-			now += growPause
-			for _, name := range s.homes() {
+			now += growInterval
+			for _, name := range s.homeNames() {
 				assert.Assert(t, s.Wanted(name))
 			}
 			if !s.Partial() {
-				assert.Equal(t, len(s.wanted()), s.Known())
+				assert.Equal(t, len(s.wantedNames()), s.Known())
 			}
 		}
 		assert.Assert(t, slices.IsSortedFunc(s.byHome, (*agent).byHomeRank))
--- a/routing/table.go
+++ b/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing is the operators' configuration as an immutable table: which queue a
-// request belongs to, and that queue's bounds. A process replaces the whole table by an
-// atomic pointer. It relies on nothing.
+// Package routing maps requests to queues by an immutable table of the operators'
+// configuration. A process replaces the whole table through an atomic pointer. The package
+// has no dependencies.
 package routing
 
 import (
@@ -10,42 +10,43 @@
 	"time"
 )
 
-// Queue takes the jobs that are sent to a host name and a path prefix. It is not the
-// queue of waiting jobs, of which package owner has one for each service.
+// Queue is the configuration for jobs sent to a host name and a path prefix. It is distinct
+// from the queues of waiting jobs, which package owner has for each service.
 type Queue struct {
 	Name string
-	// Host is the host name in requests, in any case; Prefix the path's beginning.
+	// Host is the host name in requests, in any case; Prefix is the beginning of the path.
 	Host   string
 	Prefix string
-	// Service is whose targets run the tasks.
+	// Service names the service whose targets run the tasks.
 	Service string
-	// Priority 0 is the most urgent.
+	// Priority is the priority of jobs; 0 is the most urgent.
 	Priority int
-	// Attempts is how many runs of a task may fail before its job has; at least 1.
+	// Attempts is the number of failed runs of a task after which its job fails; at least
+	// 1.
 	Attempts int
-	// A job's objective is ObjectiveFactor times its longest chain of work, and
-	// ObjectiveSlack more. The factor is at least 1.
+	// The objective of a job is ObjectiveFactor, which is at least 1, times its critical
+	// path, plus ObjectiveSlack.
 	ObjectiveFactor float64
 	ObjectiveSlack  time.Duration
-	// Timeout bounds a request that is not a job. Nothing reads it: all are jobs.
+	// Timeout limits requests that are not jobs. It is unused, since all requests are jobs.
 	Timeout time.Duration
-	// NeedsAdvice says that an outside service must be asked where a step may run.
-	// Jobs of such queues are refused.
+	// NeedsAdvice is set if an external service must decide where a step may run. Jobs of
+	// such queues are refused.
 	NeedsAdvice bool
 }
 
-// Limits bound what callers send.
+// Limits are the limits on requests.
 type Limits struct {
-	BodyBytes int64 // the largest body
+	BodyBytes int64 // largest request body
 }
 
-// Table is one version of the configuration. It must not be changed.
+// Table is one version of the configuration. It must not be modified.
 type Table struct {
 	Version uint64
 	Queues  []Queue
 	Limits  Limits
 
-	byHost map[string][]Queue // the longest prefix first
+	byHost map[string][]Queue // longest prefix first
 }
 
 // NewTable returns a table of the queues.
@@ -61,8 +62,8 @@
 	return t
 }
 
-// Match returns the queue of a request: that of its host, with or without a port, whose
-// prefix is the longest that the path begins with. rest is the path without it.
+// Match returns the queue for a request: among the queues of its host, which may include a
+// port, the one with the longest prefix of the path. rest is the path without the prefix.
 func (t *Table) Match(host, path string) (q Queue, rest string, ok bool) {
 	host, _, _ = strings.Cut(host, ":")
 	for _, q := range t.byHost[strings.ToLower(host)] {
