--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -1,14 +1,13 @@
-// Package backoff holds the one rule for intervals between tries: they double with
-// each failure up to a bound.
+// Package backoff computes exponential backoff intervals with an upper limit.
 package backoff
 
 import "time"
 
-// maxDoublings keeps the shift from overflowing; no bound in use is reached later.
+// maxDoublings keeps the shift from overflowing; all limits in use are reached before it.
 const maxDoublings = 16
 
-// Interval returns the time between two tries after the given number of failures in a row: first
-// without any, twice as long with each, most at the most.
-func Interval(first, most time.Duration, failures int) time.Duration {
-	return min(first<<min(failures, maxDoublings), most)
+// Interval returns the time between two tries after the given number of consecutive
+// failures: initial, doubled for each failure, but at most limit.
+func Interval(initial, limit time.Duration, failures int) time.Duration {
+	return min(initial<<min(failures, maxDoublings), limit)
 }
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -1,20 +1,19 @@
-// Package evacuation is the operators' request that data halls be evacuated: until it is
-// taken back, nothing new is started on the targets of such a hall, and what runs there
-// ends by itself. It holds the set of evacuated halls as an immutable value. It relies on
-// nothing.
+// Package evacuation represents the operators' requests to evacuate data halls. Until a
+// request is withdrawn, nothing new starts on the targets of the hall, and its active runs
+// continue to their end. The package holds the set of evacuated halls as an immutable value
+// and has no dependencies.
 //
-// Invariant: a value says which halls were evacuated at one revision of the operators'
-// store, all of them. So of two values the one of the later revision holds, whoever it
-// came from and in whatever order they came: a hall that was taken back is not evacuated
-// again by an old message.
+// Invariant: a set contains all halls that were evacuated at one revision of the operators'
+// store. Of two sets the one with the later revision is therefore valid, whatever the
+// source and order of their arrival, and an old message cannot evacuate a hall again.
 package evacuation
 
 import "slices"
 
-// Set is the evacuated halls at a revision. The zero value knows of none.
+// Set is the set of evacuated halls at a revision. The zero value is the empty set before
+// any revision.
 type Set struct {
-	// Revision is that of the store at which the set held, zero where nothing was heard
-	// of it.
+	// Revision is the store's revision at which the set was valid; zero if none is known.
 	Revision uint64
 	// Halls are the names of the halls, sorted.
 	Halls []string
@@ -33,13 +32,13 @@
 	return found
 }
 
-// NewerThan reports whether s holds in place of o.
+// NewerThan reports whether s supersedes o.
 func (s Set) NewerThan(o Set) bool {
 	return s.Revision > o.Revision
 }
 
-// With returns the set after the request for a hall was made at a revision, or taken back
-// where evacuated is false. A revision that is not newer changes nothing.
+// With returns the set after the evacuation of a hall was requested at a revision, or
+// withdrawn if evacuated is false. A revision that is not newer changes nothing.
 func (s Set) With(revision uint64, hall string, evacuated bool) Set {
 	if revision <= s.Revision {
 		return s
--- a/stage/stage.go
+++ b/stage/stage.go
@@ -1,32 +1,30 @@
-// Package stage names the parts of a job's way whose durations are measured, as
-// metrics show them.
+// Package stage defines the stages of a job whose durations are exposed as metrics.
 package stage
 
 import "time"
 
-// Stage is a part of a job's way.
+// Stage is a stage of the processing of a job.
 type Stage uint8
 
 // Stages. An entry observes the first three, an agent the others.
 const (
-	// Waiting lasts from the arrival of a job to its first order.
+	// Waiting is the time from the arrival of a job to its first order.
 	Waiting Stage = iota
-	// Placing lasts from the first to the last order of a completed job. It is long
-	// where room comes one task at a time, or runs were retried.
+	// Placing is the time from the first to the last order of a completed job. It grows
+	// when resources become free one task at a time or runs are retried.
 	Placing
-	// Running lasts from the order of a task that ended with success to the report
-	// of its end.
+	// Running is the time from the order of a successful task to the report of its end.
 	Running
-	// Starting lasts from the order of a run until the target accepts it.
+	// Starting is the time from the order of a run until the target accepts it.
 	Starting
-	// Ending lasts from the decision to stop a run until its end is certain.
+	// Ending is the time from the decision to stop a run until its end is certain.
 	Ending
-	// Claiming, at an entry, lasts from the arrival of a job until all its homes have
-	// granted it.
+	// Claiming is the time from the arrival of a job at an entry until all its homes have
+	// granted the claim.
 	Claiming
 )
 
-// EntryStages and AgentStages are those that each kind of process observes.
+// EntryStages and AgentStages are the stages observed by each kind of process.
 var (
 	EntryStages = []Stage{Waiting, Placing, Running, Claiming}
 	AgentStages = []Stage{Starting, Ending}
@@ -40,7 +38,7 @@
 	return names[s]
 }
 
-// Observer is called with the duration of each stage. The zero value ignores it.
+// Observer receives the duration of each stage. A nil Observer discards it.
 type Observer func(Stage, time.Duration)
 
 // Observe passes on the duration of a stage.
--- a/task/job.go
+++ b/task/job.go
@@ -1,7 +1,7 @@
-// Package task is the model of the work that entries and agents share: a job has
-// steps, a step has tasks that are alike, a task has runs. It holds what a task needs
-// of a target, and by when a job is worth finishing. Its values are plain data; it
-// relies on nothing.
+// Package task is the model of work shared by entries and agents: a job has steps, a step
+// has identical tasks, a task has runs. It describes the resources that a task needs of a
+// target and the objective of a job. Its values are plain data; the package has no
+// dependencies.
 package task
 
 import (
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// lateObjectiveFactor is how many times its objective a job may take and still count.
-// The platform's pages set it.
+// lateObjectiveFactor is the multiple of its objective within which a late job still
+// counts, as defined by the platform.
 const lateObjectiveFactor = 3
 
-// milliCores is how many thousandths a core has.
+// milliCores is the number of CPU units in a core.
 const milliCores = 1000
 
-// Needs is room on a target: what a task takes of it, or what it has.
+// Needs is an amount of resources: what a task needs, or what a target has.
 type Needs struct {
 	// CPU is in thousandths of a core.
 	CPU int
@@ -28,7 +28,7 @@
 	GPU int
 }
 
-// Cores returns how many cores n has.
+// Cores returns the CPU in cores.
 func (n Needs) Cores() float64 {
 	return float64(n.CPU) / milliCores
 }
@@ -43,35 +43,36 @@
 	return Needs{CPU: n.CPU + o.CPU, MemoryMB: n.MemoryMB + o.MemoryMB, GPU: n.GPU + o.GPU}
 }
 
-// Minus returns n less o.
+// Minus returns the difference of n and o.
 func (n Needs) Minus(o Needs) Needs {
 	return Needs{CPU: n.CPU - o.CPU, MemoryMB: n.MemoryMB - o.MemoryMB, GPU: n.GPU - o.GPU}
 }
 
-// Step is a part of a job: tasks that are alike.
+// Step is a part of a job that consists of identical tasks.
 type Step struct {
 	// Count is the number of tasks.
 	Count int
-	// Needs is what each task takes of a target.
+	// Needs is the resources of each task.
 	Needs Needs
-	// Guess is how long the caller says that one task takes on a target of speed
-	// 1; Estimate is what the entry makes of it.
+	// Guess is the caller's estimate of the time of one task on a target of speed 1;
+	// Estimate is the entry's estimate derived from it.
 	Estimate time.Duration
 	Guess    time.Duration
-	// Longest is how long the longest of the tasks is likely to take on a target of
-	// the usual speed; zero: as Estimate.
+	// Longest is the estimate for the longest of the tasks on a target of nominal speed;
+	// zero means Estimate.
 	Longest time.Duration
 	// DependsOn holds the numbers of the earlier steps that must be done first.
 	DependsOn []int
-	// Label is what the target must be labelled with; empty means nothing.
+	// Label is the label that the target must have; empty means none.
 	Label string
-	// Rack is where the step's data lies; empty means anywhere.
+	// Rack is the location of the step's data; empty means anywhere.
 	Rack string
-	// MaxPerTarget is the most tasks of the step on one target; zero means any.
+	// MaxPerTarget is the maximum number of the step's tasks on one target; zero means no
+	// limit.
 	MaxPerTarget int
 }
 
-// longest returns how long the longest task is likely to take on a usual target.
+// longest returns the estimate for the longest task on a target of nominal speed.
 func (s Step) longest() time.Duration {
 	if s.Longest > 0 {
 		return s.Longest
@@ -79,39 +80,37 @@
 	return s.Estimate
 }
 
-// Job is one submission, as its queue's configuration completes it.
+// Job is one submission, completed by the configuration of its queue.
 type Job struct {
 	// ID is chosen by the caller.
 	ID string
 	// Request is the id of the caller's request, for logs.
 	Request string
-	// Queue and Service say where it was sent and who runs it.
+	// Queue is the queue that received the job; Service is the service that runs it.
 	Queue   string
 	Service string
-	// Spec is handed to the target with each task.
+	// Spec is passed to the target with each task.
 	Spec string
 	// Steps are numbered from 0.
 	Steps []Step
-	// Priority 0 is the most urgent.
+	// Priority is the priority of the job; 0 is the most urgent.
 	Priority int
-	// Attempts is how many runs of a task may fail before the job has.
+	// Attempts is the number of failed runs of a task after which the job fails.
 	Attempts int
-	// The objective is ObjectiveFactor times the longest chain of work, and
-	// ObjectiveSlack more.
+	// The objective is ObjectiveFactor times the critical path, plus ObjectiveSlack.
 	ObjectiveFactor float64
 	ObjectiveSlack  time.Duration
-	// CallerTimeout is how long the caller waits for the answer; zero where it did
-	// not say.
+	// CallerTimeout is how long the caller waits for the answer; zero if unknown.
 	CallerTimeout time.Duration
 }
 
-// Chain returns the estimate of the job's longest chain of tasks, on a target of the
-// usual speed.
+// Chain returns the estimated length of the job's critical path on a target of nominal
+// speed.
 func (j Job) Chain() time.Duration {
 	return j.ChainOf(func(int) bool { return true })
 }
 
-// ChainOf is Chain of the steps that counts reports; the others take no time.
+// ChainOf is like Chain, but only counts the steps for which counts returns true.
 func (j Job) ChainOf(counts func(step int) bool) time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
@@ -129,17 +128,17 @@
 	return longest
 }
 
-// Objective returns how long the job may take to count in full.
+// Objective returns the time within which the job counts in full.
 func (j Job) Objective() time.Duration {
 	return time.Duration(j.ObjectiveFactor*float64(j.Chain())) + j.ObjectiveSlack
 }
 
-// LateObjective returns how long the job may take to count at all.
+// LateObjective returns the time within which the job counts at all.
 func (j Job) LateObjective() time.Duration {
 	return lateObjectiveFactor * j.Objective()
 }
 
-// Work returns the estimate of all of the job's work, in core-seconds.
+// Work returns the estimated total work of the job in core-seconds.
 func (j Job) Work() float64 {
 	work := 0.0
 	for _, s := range j.Steps {
@@ -157,20 +156,19 @@
 	return count
 }
 
-// ID names a task.
+// ID identifies a task.
 type ID struct {
 	Job   string
 	Step  int
 	Index int
 }
 
-// Compare orders tasks by their job, step and index.
+// Compare orders tasks by job, step and index.
 func (i ID) Compare(o ID) int {
 	return cmp.Or(strings.Compare(i.Job, o.Job), cmp.Compare(i.Step, o.Step), cmp.Compare(i.Index, o.Index))
 }
 
-// String returns the name by which a target knows the task: job, repetition (always
-// 0), step, index.
+// String returns the task name used by the target: job, repetition (always 0), step, index.
 func (i ID) String() string {
 	var b strings.Builder
 	b.Grow(len(i.Job) + 12)
@@ -182,30 +180,30 @@
 	return b.String()
 }
 
-// End is how a run of a task ended. Its numbers go over the wire.
+// End is how a run of a task ended. The values are used on the wire.
 type End uint8
 
 // Ends of a run.
 const (
 	// EndNone is an end of an unknown kind.
 	EndNone End = iota
-	// EndDone is success.
+	// EndDone is a success.
 	EndDone
 	// EndFailed is a failure of the task or of its target.
 	EndFailed
-	// EndStopped is a run that was ordered to stop.
+	// EndStopped is a run that was stopped by order.
 	EndStopped
 	// EndLapsed is a run whose target's lease expired.
 	EndLapsed
 	// EndLost is a run whose target is gone.
 	EndLost
-	// EndRejected is a run that never began.
+	// EndRejected is a run that never started.
 	EndRejected
 )
 
 var endNames = [...]string{"none", "done", "failed", "stopped", "lapsed", "lost", "rejected"}
 
-// String returns the end's name, as logs show it.
+// String returns the end's name in logs.
 func (e End) String() string {
 	if int(e) < len(endNames) {
 		return endNames[e]
@@ -213,33 +211,32 @@
 	return "end-" + strconv.Itoa(int(e))
 }
 
-// Order asks an agent for a run of a task on its target.
+// Order requests a run of a task from an agent.
 type Order struct {
 	Task ID
-	// Run numbers the task's starts, rising from 1.
+	// Run numbers the starts of the task from 1.
 	Run  int
 	Spec string
-	// SpecKept says that Spec is left out: an earlier order of the job had it, and the
-	// agent remembers it.
+	// SpecKept is set if Spec is omitted because the agent has it from an earlier order of
+	// the job.
 	SpecKept bool
-	// SpecAt is the address of an agent that has the spec, where it is left out and the
-	// agent that gets the order may not have it; empty: it is not left out so.
+	// SpecAt is the address of an agent that has the spec, if Spec is omitted and the agent
+	// may not have it; otherwise empty.
 	SpecAt string
-	// Needs is what the run takes of the target.
+	// Needs is the resources of the run.
 	Needs Needs
-	// Estimate is how long the run is likely to take on a target of speed 1, Guess
-	// what the caller said of that. Targets' speeds are learned against Guess.
+	// Estimate is the expected time of the run on a target of speed 1; Guess is the
+	// caller's estimate. The speed of targets is learned against Guess.
 	Estimate time.Duration
 	Guess    time.Duration
-	// FailedElsewhere says that a run of the job has failed on another target: a
-	// failure here says nothing about this one.
+	// FailedElsewhere is set if a run of the job has failed on another target: a failure on
+	// this one is then not held against it.
 	FailedElsewhere bool
-	// TimeLeft is how long after this order the run may last; zero means any
-	// time.
+	// TimeLeft is the longest duration of the run from this order; zero means no limit.
 	TimeLeft time.Duration
 }
 
-// Ref names a run of a task.
+// Ref identifies a run of a task.
 type Ref struct {
 	Task ID
 	Run  int
