--- a/backoff/backoff_test.go
+++ b/backoff/backoff_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestIntervalsDoubleUpToTheMost(t *testing.T) {
+func TestIntervalsDoubleUpToLimit(t *testing.T) {
 	const ms = time.Millisecond
 	for failures, want := range []time.Duration{20 * ms, 40 * ms, 80 * ms, 160 * ms, 160 * ms} {
 		assert.Equal(t, Interval(20*ms, 160*ms, failures), want)
--- a/claim/registry_test.go
+++ b/claim/registry_test.go
@@ -19,7 +19,8 @@
 
 var a, b, c = Holder{"a", 1}, Holder{"b", 1}, Holder{"c", 1}
 
-// bench is a registry whose replies are kept. Entry a is on connection 1, and so on.
+// harness is a registry that records its replies. Entry a uses connection 1, b connection 2
+// and so on.
 type harness struct {
 	*Registry
 	now       time.Duration
@@ -63,7 +64,7 @@
 	}
 }
 
-func TestASecondEntryGetsTheAnswer(t *testing.T) {
+func TestSecondEntryReceivesAnswer(t *testing.T) {
 	g := newHarness()
 	assert.Equal(t, g.claim(a, 1, "j").State, Granted)
 	assert.Equal(t, g.claim(b, 2, "j").State, Held)
@@ -76,9 +77,9 @@
 	assert.Equal(t, g.claim(c, 3, "j").State, Granted)
 }
 
-// TestAJobIsFreeOnceItsRunsHaveEnded: what was given up without an answer goes to who waits,
-// not before the last run has ended.
-func TestAJobIsFreeOnceItsRunsHaveEnded(t *testing.T) {
+// TestReleasedJobGrantedOnlyAfterRunsEnd guards against granting a released job to the next
+// entry while runs of the previous holder are still active.
+func TestReleasedJobGrantedOnlyAfterRunsEnd(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
 	g.claim(b, 2, "j")
@@ -89,7 +90,7 @@
 	assert.Equal(t, g.claim(c, 3, "j").State, Held)
 }
 
-func TestALostEntrysJobIsTakenOverWhenItsRunsAreOver(t *testing.T) {
+func TestJobOfLostEntryTakenOverAfterClearTime(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Lost(g.now, 1)
@@ -100,8 +101,9 @@
 	assert.DeepEqual(t, g.lastReply(2), Reply{Job: "j", State: Granted, Ran: true})
 }
 
-// TestAnEntryThatConnectsAgainKeepsItsJob, another life of it does not.
-func TestAnEntryThatConnectsAgainKeepsItsJob(t *testing.T) {
+// TestReconnectedEntryKeepsJob guards against a takeover from an entry that reconnects, and
+// against confusing it with a restarted entry.
+func TestReconnectedEntryKeepsJob(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Lost(g.now, 1)
@@ -113,8 +115,9 @@
 	assert.Equal(t, g.lastReply(2).State, Held)
 }
 
-// TestADarkEntryIsNoticedWhenAnotherAsks: it leaves the interest unanswered.
-func TestADarkEntryIsNoticedWhenAnotherAsks(t *testing.T) {
+// TestSilentHolderDetectedAfterInterest guards against waiting forever for a holder whose
+// connection is open but silent.
+func TestSilentHolderDetectedAfterInterest(t *testing.T) {
 	for _, alive := range []bool{false, true} {
 		g := newHarness()
 		g.claim(a, 1, "j")
@@ -128,8 +131,8 @@
 	}
 }
 
-// TestARefusalStands until its caller was asked to come back.
-func TestARefusalStands(t *testing.T) {
+// TestRefusalRetainedUntilRetryTime guards against running a copy of a refused request.
+func TestRefusalRetainedUntilRetryTime(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Settle(g.now, a, Settlement{Job: "j", Outcome: Refused, Why: code.JobBehind, Retry: time.Second, Clear: true})
@@ -139,9 +142,9 @@
 	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Granted})
 }
 
-// TestAJobThatWasGivenUpMayComeBack: who waits hears of it, and a later submission knows that
-// it has run.
-func TestAJobThatWasGivenUpMayComeBack(t *testing.T) {
+// TestGivenUpJobMayBeResubmitted checks that waiting entries receive the result, and that a
+// later submission is marked as possibly having run.
+func TestGivenUpJobMayBeResubmitted(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
 	g.claim(b, 2, "j")
@@ -151,7 +154,7 @@
 	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Granted, Ran: true})
 }
 
-func TestACancellationReachesTheEntryThatHasTheJob(t *testing.T) {
+func TestCancellationReachesHolder(t *testing.T) {
 	g := newHarness()
 	g.Claim(g.now, b, 2, Claim{Job: "j", Cancel: true})
 	assert.Equal(t, g.lastReply(2).State, Unknown)
@@ -164,9 +167,9 @@
 	assert.Equal(t, g.claim(b, 2, "j").Outcome, Cancelled)
 }
 
-// TestAnAnswerComesAfterATakeOver: the entry that was taken for lost has done the job, and who
-// has it now hears of it.
-func TestAnAnswerComesAfterATakeOver(t *testing.T) {
+// TestLateAnswerReachesNewHolder guards against losing the answer of an entry that was
+// presumed lost and whose job was taken over.
+func TestLateAnswerReachesNewHolder(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Lost(g.now, 1)
@@ -177,8 +180,9 @@
 	assert.Equal(t, g.lastReply(2).Outcome, Completed)
 }
 
-// TestMemoryIsBounded: the oldest answers go first, claims that are held stay.
-func TestMemoryIsBounded(t *testing.T) {
+// TestRecordCountBounded checks that the oldest answers are evicted and held claims are
+// kept.
+func TestRecordCountBounded(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "held")
 	for n := range 2 * maxRecords {
@@ -194,15 +198,16 @@
 	assert.Equal(t, g.Stats().Records, 1)
 }
 
-// TestOneEntryHasAJob draws what entries do with a job: two of them never have it at once,
-// where each has it from its grant until it says that no run is left, or is lost for ClearTime.
-func TestOneEntryHasAJob(t *testing.T) {
+// TestJobNeverHasTwoHolders checks with random histories that no two entries hold a job at
+// once. An entry holds it from its grant until it reports its last run, or for ClearTime
+// after its loss.
+func TestJobNeverHasTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newHarness()
 		entries := []Holder{a, b, c}
 		conns := []ConnID{1, 2, 3}
 		next := ConnID(4)
-		heldUntil := make(map[int]time.Duration) // until when its runs may be at work
+		heldUntil := make(map[int]time.Duration) // by entry, until when its runs may be active
 		const unbounded = time.Hour
 		granted := make(map[ConnID]int)
 		checkGrants := func() {
@@ -211,7 +216,7 @@
 				for _, r := range list[granted[conn]:] {
 					if r.State == Granted {
 						for other, until := range heldUntil {
-							assert.Assert(t, other == k || until <= g.now, "%d has it until %s, %d gets it at %s", other, until, k, g.now)
+							assert.Assert(t, other == k || until <= g.now, "entry %d holds the job until %s, entry %d is granted it at %s", other, until, k, g.now)
 						}
 						heldUntil[k] = unbounded
 					}
@@ -230,7 +235,7 @@
 			case 2:
 				delete(heldUntil, k)
 				g.Settle(g.now, entries[k], Settlement{Job: "j", Clear: true, Ran: true})
-			case 3: // it is lost, and another life of it comes
+			case 3: // the entry is lost and restarts
 				g.Lost(g.now, conns[k])
 				if heldUntil[k] == unbounded {
 					heldUntil[len(heldUntil)+10] = g.now + clearTime
@@ -241,7 +246,7 @@
 				next++
 			case 4:
 				for _, conn := range conns {
-					g.heard[conn] = g.now + time.Hour // all live
+					g.heard[conn] = g.now + time.Hour // all connections are alive
 				}
 				g.advance(time.Duration(rapid.IntRange(1, 200).Draw(t, "wait")) * 10 * ms)
 			}
@@ -250,7 +255,7 @@
 	})
 }
 
-func TestRanksSpread(t *testing.T) {
+func TestRanksSpreadJobsEvenly(t *testing.T) {
 	const agents, jobs = 20, 4000
 	count := make(map[int]int)
 	for n := range jobs {
@@ -263,6 +268,6 @@
 		count[best]++
 	}
 	for k := range agents {
-		assert.Assert(t, count[k] > jobs/agents/2 && count[k] < jobs/agents*3/2, "agent %d is first home of %d", k, count[k])
+		assert.Assert(t, count[k] > jobs/agents/2 && count[k] < jobs/agents*3/2, "agent %d is the first home of %d jobs", k, count[k])
 	}
 }
--- a/estimate/estimator_test.go
+++ b/estimate/estimator_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWithoutJobsTheGuessStands(t *testing.T) {
+func TestCallerEstimateUsedBeforeLearning(t *testing.T) {
 	e := NewEstimator()
 	assert.Equal(t, e.Likely(80*time.Millisecond).Round(time.Millisecond), 80*time.Millisecond)
 }
 
-func TestABiasOfTheGuessesIsLearned(t *testing.T) {
+func TestBiasOfCallerEstimatesCorrected(t *testing.T) {
 	e := NewEstimator()
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
@@ -26,9 +26,9 @@
 	assert.Assert(t, got > 90*time.Millisecond && got < 110*time.Millisecond, got)
 }
 
-// TestErrorIsSmallerThanTheGuesses shows what the estimator is for: its error
-// is well below that of the guesses.
-func TestErrorIsSmallerThanTheGuesses(t *testing.T) {
+// TestPredictionsBeatCallerEstimates checks that the squared error is well below that of
+// the callers' estimates.
+func TestPredictionsBeatCallerEstimates(t *testing.T) {
 	e := NewEstimator()
 	r := rand.New(rand.NewPCG(3, 4))
 	var guessed, learned float64
@@ -45,13 +45,13 @@
 	assert.Assert(t, learned < 0.6*guessed, "squared errors: learned %f, guessed %f", learned, guessed)
 }
 
-// TestTheLongestTaskIsForeseen: of eight tasks that differ, the estimate of one is their
-// middle, that of the longest is above it, and the first to end tells of the others.
-func TestTheLongestTaskIsForeseen(t *testing.T) {
+// TestLongestTaskPredictionUnbiased checks the predictions for one task of a step, for the
+// longest, and from the first one to end.
+func TestLongestTaskPredictionUnbiased(t *testing.T) {
 	const spread, tasks = 0.4, 8
 	e := NewEstimator()
 	r := rand.New(rand.NewPCG(5, 6))
-	var one, longest, fromFirst float64 // mean logarithms of the errors
+	var one, longest, fromFirst float64 // sums of the logarithmic errors
 	const jobs, warm = 1200, 200
 	for k := range jobs {
 		guess := time.Duration(math.Exp(r.NormFloat64()*0.4) * float64(200*time.Millisecond))
@@ -74,8 +74,9 @@
 	assert.Assert(t, e.Spread() > 0.35 && e.Spread() < 0.5, e.Spread())
 }
 
-// TestTheSpreadStartsWideAndFollows: nothing known, estimates count as off by 50%.
-func TestTheSpreadStartsWideAndFollows(t *testing.T) {
+// TestSpreadStartsAtPriorAndConverges checks that estimates count as off by 50% before any
+// job.
+func TestSpreadStartsAtPriorAndConverges(t *testing.T) {
 	e := NewEstimator()
 	assert.Equal(t, e.Spread(), 0.5)
 	for range 100 {
--- a/reach/reach_test.go
+++ b/reach/reach_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// newSet returns the set of an entry in a fleet.
+// newSet returns the set of an entry in a fleet of the given size.
 func newSet(entry string, entries, agents int) *Set {
 	s := NewSet(entry)
 	s.SetEntries(entries)
@@ -37,7 +37,7 @@
 func (s *Set) wantedNames() []string { return s.where(func(a *agent) bool { return a.wanted }) }
 func (s *Set) homeNames() []string   { return s.where(func(a *agent) bool { return a.home }) }
 
-func TestASmallFleetIsConnectedWhole(t *testing.T) {
+func TestSmallFleetIsFullMesh(t *testing.T) {
 	for _, agents := range []int{1, 11, 70, FullMesh} {
 		s := newSet("edge-1", 3, agents)
 		assert.Equal(t, len(s.wantedNames()), agents)
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestASetDoesNotGrowWithTheFleet: twice as many entries and agents, the same number of
-// connections at an entry, and at an agent that is no home.
-func TestASetDoesNotGrowWithTheFleet(t *testing.T) {
+// TestSetSizeIndependentOfFleetSize guards against connection counts that grow with the
+// fleet, at entries and at agents that are not homes.
+func TestSetSizeIndependentOfFleetSize(t *testing.T) {
 	for _, c := range []struct{ entries, agents int }{{184, 800}, {368, 1600}, {20, 1200}} {
 		covered := make(map[string]int)
 		for k := range c.entries {
@@ -71,15 +71,15 @@
 				most = max(most, n)
 			}
 		}
-		t.Logf("%d x %d: %d in no set, no home in more than %d", c.entries, c.agents, none, most)
-		assert.Assert(t, none*1000 <= c.agents, "%d of %d are in no set", none, c.agents)
+		t.Logf("%d entries, %d agents: %d agents in no set, those that are no homes in at most %d sets", c.entries, c.agents, none, most)
+		assert.Assert(t, none*1000 <= c.agents, "%d of %d agents are in no set", none, c.agents)
 		assert.Assert(t, most <= 4*max(coverage, minOwn*c.entries/c.agents), "an agent is in %d sets", most)
 	}
 }
 
-// TestEntriesMeetAtTheSameHomes whichever agents they have lost, but for those that others took the
-// place of.
-func TestEntriesMeetAtTheSameHomes(t *testing.T) {
+// TestEntriesSelectSameHomesDespiteLosses guards against entries without a common home
+// after they have lost different agents.
+func TestEntriesSelectSameHomesDespiteLosses(t *testing.T) {
 	a, b := newSet("edge-a", 50, 500), newSet("edge-b", 50, 500)
 	assert.DeepEqual(t, a.homeNames(), b.homeNames())
 	for _, name := range a.homeNames()[:30] {
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestAnEntryThatFindsFewAgentsHasTheSameHomes: one that restarts while the store is down hears
-// from the agents that it was connected to, all homes among them.
-func TestAnEntryThatFindsFewAgentsHasTheSameHomes(t *testing.T) {
+// TestEntryWithPartialDirectorySelectsSameHomes guards against different homes at an entry
+// that restarts while the store is down and only learns the agents it was connected to.
+func TestEntryWithPartialDirectorySelectsSameHomes(t *testing.T) {
 	before := newSet("edge-1", 184, 800)
 	after := NewSet("edge-1")
 	for _, name := range before.wantedNames() {
@@ -105,9 +105,10 @@
 	assert.DeepEqual(t, after.homeNames(), before.homeNames())
 }
 
-// TestLostAgentsAreReplacedWithinBounds: of a fleet that loses half, entries find as many as before,
-// and try a bounded number; when all are back the set is as it was.
-func TestLostAgentsAreReplacedWithinBounds(t *testing.T) {
+// TestLostAgentsReplacedWithinBounds checks that half of the fleet can be lost and
+// replaced, that the number of tries is bounded, and that the set is restored when the
+// agents return.
+func TestLostAgentsReplacedWithinBounds(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
 	before := s.wantedNames()
 	for k := 0; k < 800; k += 2 {
@@ -115,13 +116,13 @@
 	}
 	s.Update(0)
 	live := s.where(func(a *agent) bool { return a.wanted && !a.lost })
-	assert.Assert(t, len(live) >= homeAgents+minOwn-homeAgents/4, "%d live", len(live)) // some are in both
+	assert.Assert(t, len(live) >= homeAgents+minOwn-homeAgents/4, "%d live agents wanted", len(live)) // some agents are both homes and own
 	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn))
 	for k := range 800 {
 		s.SetLost(agentName(k), true)
 	}
 	s.Update(0)
-	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn), "%d are tried", len(s.wantedNames()))
+	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn), "%d agents tried", len(s.wantedNames()))
 	for k := range 800 {
 		s.SetLost(agentName(k), false)
 	}
@@ -129,8 +130,9 @@
 	assert.DeepEqual(t, s.wantedNames(), before)
 }
 
-// TestASetGrowsWhileItHelps: more agents as long as those that came last give room.
-func TestASetGrowsWhileItHelps(t *testing.T) {
+// TestSetGrowsWhileAddedAgentsRunTasks guards against adding agents without end in a full
+// fleet.
+func TestSetGrowsWhileAddedAgentsRunTasks(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
 	usual := len(s.wantedNames())
 	now := time.Second
@@ -140,9 +142,9 @@
 		now += growInterval
 		return len(s.wantedNames())
 	}
-	first := step(false) // nothing was added yet
+	first := step(false) // the first step is unconditional
 	assert.Assert(t, first > usual)
-	assert.Equal(t, step(false), first, "no room was found there")
+	assert.Equal(t, step(false), first, "grew although the added agents run no tasks")
 	second := step(true)
 	assert.Assert(t, second > first)
 	for range 100 {
@@ -154,8 +156,9 @@
 	assert.Equal(t, len(s.wantedNames()), usual)
 }
 
-// TestAMissingLabelWantsAll for a while: only a connection tells which labels a target has.
-func TestAMissingLabelWantsAll(t *testing.T) {
+// TestMissingLabelWantsAllAgents checks that a job's missing label widens the set for a
+// while: labels of a target are only known to connected entries.
+func TestMissingLabelWantsAllAgents(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
 	usual := len(s.wantedNames())
 	s.Widen(time.Second)
@@ -167,9 +170,9 @@
 	assert.Equal(t, len(s.wantedNames()), usual)
 }
 
-// TestAnyHistoryOfASet: whatever comes, homes are wanted, the count is bounded, and the same state
-// gives the same set.
-func TestAnyHistoryOfASet(t *testing.T) {
+// TestSetInvariants checks with random histories that homes are wanted, that a full mesh
+// contains all agents, and that the orders stay sorted.
+func TestSetInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSet("edge-1", 20, rapid.IntRange(0, 300).Draw(t, "agents"))
 		now := time.Second
@@ -201,7 +204,7 @@
 	})
 }
 
-// BenchmarkUpdate is what one change costs an entry.
+// BenchmarkUpdate measures Update after the loss or return of one agent.
 func BenchmarkUpdate(b *testing.B) {
 	for _, agents := range []int{800, 1600} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
--- a/task/job_test.go
+++ b/task/job_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestChainIsTheLongestPath(t *testing.T) {
+func TestChainIsCriticalPath(t *testing.T) {
 	j := Job{
 		ObjectiveFactor: 1.5,
 		ObjectiveSlack:  60 * time.Millisecond,
@@ -24,7 +24,7 @@
 	assert.Equal(t, j.Tasks(), 8)
 }
 
-func TestNeedsFitInEveryPart(t *testing.T) {
+func TestFitsChecksEveryResource(t *testing.T) {
 	room := Needs{CPU: 1000, MemoryMB: 64, GPU: 1}
 	assert.Assert(t, Needs{CPU: 1000, MemoryMB: 64, GPU: 1}.Fits(room))
 	assert.Assert(t, !Needs{CPU: 1001}.Fits(room))
@@ -33,7 +33,7 @@
 	assert.Equal(t, room.Plus(room).Minus(room), room)
 }
 
-func TestNamesOfTasksAndEnds(t *testing.T) {
+func TestTaskAndEndNames(t *testing.T) {
 	assert.Equal(t, ID{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}.String(), "5c0e7a21d94b36f8.0.1.17")
 	assert.Equal(t, EndLapsed.String(), "lapsed")
 	assert.Equal(t, End(99).String(), "end-99")
