--- a/supervisor/health_test.go
+++ b/supervisor/health_test.go
@@ -12,25 +12,25 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// end has a run of a job end after that many times its estimate.
-func end(h *health, job string, how task.End, times float64, trial bool) bool {
-	r := &run{order: task.Order{Task: task.ID{Job: job}, Estimate: 100 * ms, Guess: 100 * ms}, probe: trial}
+// recordRun records a run of a job that took the given multiple of its estimate.
+func recordRun(h *health, job string, how task.End, times float64, probe bool) bool {
+	r := &run{order: task.Order{Task: task.ID{Job: job}, Estimate: 100 * ms, Guess: 100 * ms}, probe: probe}
 	took := time.Duration(times * float64(100*ms))
 	return h.recordEnd(r, how, took, took)
 }
 
-// knownHealth returns the health of a target whose runs are known to differ from their
-// estimates by that much.
-func knownHealth(spread float64) health {
+// healthWithSpread returns the health of a target with a learned baseline of the given
+// spread.
+func healthWithSpread(spread float64) health {
 	h := newHealth()
 	h.baseline = baseline{runs: baselineRuns, variance: spread * spread}
 	return h
 }
 
-func TestFailuresOfOneJobEjectNobody(t *testing.T) {
+func TestFailuresOfOneJobDoNotEject(t *testing.T) {
 	h := newHealth()
 	for range 10 {
-		assert.Assert(t, !end(&h, "one", task.EndFailed, 1, false))
+		assert.Assert(t, !recordRun(&h, "one", task.EndFailed, 1, false))
 	}
 	assert.Assert(t, !h.ejected)
 }
@@ -38,13 +38,13 @@
 func TestFailuresOfSeveralJobsEject(t *testing.T) {
 	h := newHealth()
 	for k := range ejectFailedJobs {
-		end(&h, fmt.Sprint(k), task.EndFailed, 0.1, false)
+		recordRun(&h, fmt.Sprint(k), task.EndFailed, 0.1, false)
 	}
 	assert.Assert(t, h.ejected)
 	assert.Equal(t, h.why, code.TargetFails)
 }
 
-func TestAFailureThatFollowsOthersSaysNothing(t *testing.T) {
+func TestJobFailingElsewhereDoesNotEject(t *testing.T) {
 	h := newHealth()
 	for k := range 3 * ejectFailedJobs {
 		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, FailedElsewhere: true}}
@@ -56,30 +56,30 @@
 func TestSlowJobsEject(t *testing.T) {
 	h := newHealth()
 	for range 5 {
-		end(&h, "one", task.EndDone, 6, false) // one job: its guess may be wrong
+		recordRun(&h, "one", task.EndDone, 6, false) // one job, whose estimate may be wrong
 	}
 	assert.Assert(t, !h.ejected)
 	for k := range slowMinJobs {
-		end(&h, fmt.Sprint(k), task.EndDone, 6, false)
+		recordRun(&h, fmt.Sprint(k), task.EndDone, 6, false)
 	}
 	assert.Assert(t, h.ejected)
 	assert.Equal(t, h.why, code.TargetSlow)
 }
 
-// TestAnUnansweredListIsNoSlowTarget: runs whose ends were listed late may have
-// ended at any time since the list before.
-func TestAnUnansweredListIsNoSlowTarget(t *testing.T) {
+// TestLateListDoesNotMakeTargetSlow guards against counting the delay of a list as run
+// time: the runs may have ended at any time since the list before.
+func TestLateListDoesNotMakeTargetSlow(t *testing.T) {
 	h := newHealth()
 	for k := range 20 {
 		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, Estimate: 40 * ms, Guess: 40 * ms}}
 		h.recordEnd(r, task.EndDone, 30*ms, 160*ms)
 	}
 	assert.Assert(t, !h.ejected)
-	assert.Equal(t, h.speed(), 1.0) // nothing is learned from them either
+	assert.Equal(t, h.speed(), 1.0) // imprecise times do not change the speed
 }
 
 func TestOverdueRunsOfSeveralJobsEject(t *testing.T) {
-	h := knownHealth(0.2)
+	h := healthWithSpread(0.2)
 	var running []*run
 	for k := range ejectOverdueJobs {
 		running = append(running, &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, Estimate: 100 * ms}})
@@ -89,9 +89,10 @@
 	assert.Equal(t, h.why, code.TargetOverdue)
 }
 
-// TestASmallShareOfOverdueRunsEjectsNobody: among many runs some take long.
-func TestASmallShareOfOverdueRunsEjectsNobody(t *testing.T) {
-	h := knownHealth(0.2)
+// TestSmallShareOfOverdueRunsDoesNotEject guards against ejecting a target with many active
+// runs, of which some take long.
+func TestSmallShareOfOverdueRunsDoesNotEject(t *testing.T) {
+	h := healthWithSpread(0.2)
 	var running []*run
 	for k := range 4 * ejectOverdueJobs {
 		r := &run{order: task.Order{Task: task.ID{Job: fmt.Sprint(k)}, Estimate: 100 * ms}}
@@ -104,48 +105,48 @@
 	assert.Assert(t, h.checkOverdue(time.Second, running[:3*ejectOverdueJobs]))
 }
 
-// TestEstimatesThatErrMoreNeedMoreEvidence: runs at four times the usual time eject a
-// target after four jobs where estimates are good, and not where they are off by that
-// much all the time; six times the usual time is found there, too, with more jobs.
-func TestEstimatesThatErrMoreNeedMoreEvidence(t *testing.T) {
+// TestInaccurateEstimatesNeedMoreEvidence checks the number of slow jobs that eject a
+// target, with accurate and with inaccurate estimates.
+func TestInaccurateEstimatesNeedMoreEvidence(t *testing.T) {
 	jobsUntilEjected := func(times, spread float64) int {
-		h := knownHealth(spread)
+		h := healthWithSpread(spread)
 		for k := range maxEndRecords {
-			if end(&h, fmt.Sprint(k), task.EndDone, times, false) {
+			if recordRun(&h, fmt.Sprint(k), task.EndDone, times, false) {
 				return k + 1
 			}
 		}
 		return 0
 	}
 	assert.Equal(t, jobsUntilEjected(4, 0.2), 4)
-	assert.Equal(t, jobsUntilEjected(2.4, 0.2), 0, "a little slow is no reason")
+	assert.Equal(t, jobsUntilEjected(2.4, 0.2), 0, "ejected below the slow factor")
 	assert.Equal(t, jobsUntilEjected(4, 0.9), 11)
 	assert.Equal(t, jobsUntilEjected(6, 0.9), 7)
 }
 
-// TestWhatIsUsualOfATargetIsLearned: a target on which all runs take twice the estimate
-// is not slow, and is judged by that.
-func TestWhatIsUsualOfATargetIsLearned(t *testing.T) {
+// TestBaselineIsLearned guards against ejecting a target on which all runs take twice their
+// estimate, and checks that slower runs eject it.
+func TestBaselineIsLearned(t *testing.T) {
 	h := newHealth()
 	for k := range 300 {
-		assert.Assert(t, !end(&h, fmt.Sprint(k), task.EndDone, 2+0.2*float64(k%2), false))
+		assert.Assert(t, !recordRun(&h, fmt.Sprint(k), task.EndDone, 2+0.2*float64(k%2), false))
 	}
 	assert.Assert(t, h.baseline.spread() < 0.2, h.baseline.spread())
 	for k := range slowMinJobs {
-		assert.Equal(t, end(&h, fmt.Sprint("slow", k), task.EndDone, 5.6, false), k == slowMinJobs-1)
+		assert.Equal(t, recordRun(&h, fmt.Sprint("slow", k), task.EndDone, 5.6, false), k == slowMinJobs-1)
 	}
 }
 
-// TestNothingKnownNeedsMoreEvidence: a new agent's target counts as uncertain.
-func TestNothingKnownNeedsMoreEvidence(t *testing.T) {
+// TestNewTargetNeedsMoreEvidence guards against ejecting a new target because of inaccurate
+// estimates.
+func TestNewTargetNeedsMoreEvidence(t *testing.T) {
 	h := newHealth()
 	assert.Equal(t, h.baseline.spread(), priorSpread)
 	for k := range 6 {
-		assert.Assert(t, !end(&h, fmt.Sprint(k), task.EndDone, 2.6, false), "guesses may be of less than half the work")
+		assert.Assert(t, !recordRun(&h, fmt.Sprint(k), task.EndDone, 2.6, false), "estimates may be off by this factor")
 	}
 }
 
-func TestProbesDoubleUntilTheTargetHasRecovered(t *testing.T) {
+func TestProbesDoubleUntilRecovery(t *testing.T) {
 	h := newHealth()
 	h.eject(code.TargetSlow)
 	now := time.Minute
@@ -153,19 +154,19 @@
 		assert.Assert(t, h.admits(now, most-1))
 		assert.Assert(t, !h.admits(now, most))
 		assert.Assert(t, h.recordStart(now))
-		assert.Equal(t, end(&h, "x", task.EndDone, 1, true), most == 4)
+		assert.Equal(t, recordRun(&h, "x", task.EndDone, 1, true), most == 4)
 	}
 	assert.Assert(t, !h.ejected)
 	assert.Assert(t, h.admits(now, 100))
 }
 
-func TestAFailedProbeBeginsAnew(t *testing.T) {
+func TestFailedProbeResetsRecovery(t *testing.T) {
 	h := newHealth()
 	h.eject(code.TargetSlow)
 	h.recordStart(time.Minute)
-	end(&h, "x", task.EndDone, 1, true)
+	recordRun(&h, "x", task.EndDone, 1, true)
 	h.recordStart(time.Minute)
-	end(&h, "y", task.EndFailed, 1, true)
+	recordRun(&h, "y", task.EndFailed, 1, true)
 	assert.Assert(t, h.ejected)
 	assert.Assert(t, !h.admits(time.Minute+probeInterval/2, 0))
 	assert.Assert(t, h.admits(time.Minute+probeInterval, 0))
@@ -175,30 +176,29 @@
 func TestSpeedIsLearned(t *testing.T) {
 	h := newHealth()
 	for k := range 200 {
-		end(&h, fmt.Sprint(k), task.EndDone, 1.25, false)
+		recordRun(&h, fmt.Sprint(k), task.EndDone, 1.25, false)
 	}
 	assert.Assert(t, h.speed() > 0.79 && h.speed() < 0.81, h.speed())
 }
 
-// TestAnEjectedTargetIsOnTrialAfterAWhile: where nobody needs its room it would get no probe,
-// and stay ejected for good. On trial it gets one at a time, like any ejected target; one that
-// does not end well ends the trial.
-func TestAnEjectedTargetIsOnTrialAfterAWhile(t *testing.T) {
-	b := newBench(t)
+// TestEjectedTargetGoesOnTrial guards against a target that stays ejected for lack of
+// probes. On trial it still admits only probes, and an unsuccessful probe ends the trial.
+func TestEjectedTargetGoesOnTrial(t *testing.T) {
+	b := newHarness(t)
 	b.health.eject(code.TargetSlow)
 	b.announceHealth(b.now)
-	told := func() peer.Health { return b.state(b.now, b.sessions[1]).Health }
-	assert.Equal(t, told(), peer.Ejected)
+	sentHealth := func() peer.Health { return b.state(b.now, b.sessions[1]).Health }
+	assert.Equal(t, sentHealth(), peer.Ejected)
 	b.now += trialDelay - ms
 	b.Tick(b.now)
-	assert.Equal(t, told(), peer.Ejected)
+	assert.Equal(t, sentHealth(), peer.Ejected)
 	b.now += ms
 	b.Tick(b.now)
-	assert.Equal(t, told(), peer.Healthy)
+	assert.Equal(t, sentHealth(), peer.Healthy)
 	r := &run{order: task.Order{Task: task.ID{Job: "1"}, Estimate: 100 * ms}, answered: true, probe: b.health.recordStart(b.now)}
 	assert.Assert(t, r.probe)
 	assert.Assert(t, !b.health.admits(b.now, 1))
 	b.recordHealth(b.now, r, task.EndStopped)
 	b.Tick(b.now)
-	assert.Equal(t, told(), peer.Ejected)
+	assert.Equal(t, sentHealth(), peer.Ejected)
 }
--- a/supervisor/restart_test.go
+++ b/supervisor/restart_test.go
@@ -9,101 +9,105 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// bornBench is a bench whose target says when it started.
-func bornBench(t *testing.T) *bench {
+// newBornHarness returns a harness whose target reports its start time.
+func newBornHarness(t *testing.T) *harness {
 	t.Helper()
-	b := newBench(t)
+	b := newHarness(t)
 	r := b.report("i-1", 2)
 	r.Born = 100
 	b.Heartbeat(b.now, r)
 	return b
 }
 
-// listBorn answers a renewal that is asked now, as the life of the target that began then.
-func (b *bench) listBorn(born int64, running ...RunningRow) RenewCall {
+// answerRenewalBorn sends a renewal and answers it as the process with the given start
+// time.
+func (b *harness) answerRenewalBorn(born int64, running ...RunningRow) RenewCall {
 	c, _ := b.NextRenewal(b.now)
 	b.now += ms
 	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{Born: born, Running: running})
 	return c
 }
 
-// rebirth has the target restart under its id: the next list tells, and then its heartbeat.
-func (b *bench) rebirth() {
-	b.listBorn(200)
+// restartTarget restarts the target under the same id: shown by the next list, then by a
+// heartbeat.
+func (b *harness) restartTarget() {
+	b.answerRenewalBorn(200)
 	r := b.report("i-1", 1)
 	r.Born = 200
 	b.Heartbeat(b.now, r)
 }
 
-// TestARunOfARebornTargetEndsOnceTheNewLifeHasListed: its start may have reached the new life,
-// which may be at work on it.
-func TestARunOfARebornTargetEndsOnceTheNewLifeHasListed(t *testing.T) {
-	b := bornBench(t)
-	b.orders(order(0, 1000))
+// TestRunOfRestartedTargetEndsAfterFirstList guards against ending a run whose start
+// reached the new process, which may be running it.
+func TestRunOfRestartedTargetEndsAfterFirstList(t *testing.T) {
+	b := newBornHarness(t)
+	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
-	b.orders(order(1, 1000)) // not answered
-	b.rebirth()
-	assert.Equal(t, len(b.ends()), 0, "a run may be at work in the new life")
-	c := b.listBorn(200, RunningRow{Name: order(1, 0).Task.String(), Run: 1})
-	assert.Assert(t, c.Token > b.starts[0].Token, "delayed copies of the starts must be refused")
-	assert.Equal(t, c.LastSeen, uint64(0), "the new life counts its ends anew")
-	assert.Equal(t, len(b.ends()), 1)
-	assert.Equal(t, b.ends()[0].Ref.Task.Index, 0)
+	b.sendOrders(order(1, 1000)) // without an answer
+	b.restartTarget()
+	assert.Equal(t, len(b.sentEnds()), 0, "ended a run that may be active in the new process")
+	c := b.answerRenewalBorn(200, RunningRow{Name: order(1, 0).Task.String(), Run: 1})
+	assert.Assert(t, c.Token > b.starts[0].Token, "the token does not fence off delayed starts")
+	assert.Equal(t, c.LastSeen, uint64(0), "ends of the new process are numbered from 1")
+	assert.Equal(t, len(b.sentEnds()), 1)
+	assert.Equal(t, b.sentEnds()[0].Ref.Task.Index, 0)
 	c, _ = b.NextRenewal(b.now)
 	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{Born: 200,
 		Ended: []EndedRow{{N: 1, Name: order(1, 0).Task.String(), Run: 1, End: task.EndDone}}})
-	assert.Equal(t, b.ends()[1].End, task.EndDone)
+	assert.Equal(t, b.sentEnds()[1].End, task.EndDone)
 	assert.Assert(t, b.target.cleared)
 }
 
-// TestAnUnansweredRunOfARebornTargetIsOver once the new life has listed nothing under a higher
-// token.
-func TestAnUnansweredRunOfARebornTargetIsOver(t *testing.T) {
-	b := bornBench(t)
-	b.orders(order(0, 1000))
-	b.rebirth()
-	b.beat(2 * TargetLease)
-	assert.Equal(t, len(b.ends()), 0, "the new life has not answered")
-	b.listBorn(200)
-	assert.Equal(t, b.ends()[0].Reason, code.RunAbsent)
+// TestUnansweredRunOfRestartedTargetEnds checks that such a run ends once the new process
+// has returned an empty list under a higher token.
+func TestUnansweredRunOfRestartedTargetEnds(t *testing.T) {
+	b := newBornHarness(t)
+	b.sendOrders(order(0, 1000))
+	b.restartTarget()
+	b.advance(2 * TargetLease)
+	assert.Equal(t, len(b.sentEnds()), 0, "ended before the new process has answered")
+	b.answerRenewalBorn(200)
+	assert.Equal(t, b.sentEnds()[0].Reason, code.RunAbsent)
 	assert.Assert(t, b.target.cleared)
 	assert.Equal(t, len(b.runs), 0)
 }
 
-// TestAHeldUpHeartbeatOfAnEarlierLife under the same id changes nothing.
-func TestAHeldUpHeartbeatOfAnEarlierLife(t *testing.T) {
-	b := bornBench(t)
-	b.orders(order(0, 1000))
+// TestDelayedHeartbeatOfEarlierProcessIgnored guards against ending runs because of a
+// delayed heartbeat with the same id.
+func TestDelayedHeartbeatOfEarlierProcessIgnored(t *testing.T) {
+	b := newBornHarness(t)
+	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	r := b.report("i-1", 900)
 	r.Born = 50
 	b.Heartbeat(b.now, r)
-	b.listBorn(100, RunningRow{Name: order(0, 0).Task.String(), Run: 1})
-	assert.Equal(t, len(b.ends()), 0)
+	b.answerRenewalBorn(100, RunningRow{Name: order(0, 0).Task.String(), Run: 1})
+	assert.Equal(t, len(b.sentEnds()), 0)
 	assert.Equal(t, b.target.incarnation(), Incarnation{ID: "i-1", Born: 100})
 	assert.Assert(t, b.target.candidate == nil)
 }
 
-// TestAHeartbeatOfARebornTargetComesFirst: the next list shows that it is up.
-func TestAHeartbeatOfARebornTargetComesFirst(t *testing.T) {
-	b := bornBench(t)
-	b.orders(order(0, 1000))
+// TestHeartbeatOfRestartedTargetBeforeList checks that the restart takes effect with the
+// next list.
+func TestHeartbeatOfRestartedTargetBeforeList(t *testing.T) {
+	b := newBornHarness(t)
+	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	r := b.report("i-1", 1)
 	r.Born = 200
 	b.Heartbeat(b.now, r)
 	assert.Equal(t, b.target.incarnation().Born, int64(100))
-	b.listBorn(200)
+	b.answerRenewalBorn(200)
 	assert.Equal(t, b.target.incarnation().Born, int64(200))
-	assert.Equal(t, len(b.ends()), 0)
-	b.listBorn(200)
-	assert.Equal(t, b.ends()[0].End, task.EndLost)
+	assert.Equal(t, len(b.sentEnds()), 0)
+	b.answerRenewalBorn(200)
+	assert.Equal(t, b.sentEnds()[0].End, task.EndLost)
 }
 
-// TestANumberThatNobodyReachesShutsNoTargetOut: a heartbeat of another writer may bear the
-// target's id and any number.
-func TestANumberThatNobodyReachesShutsNoTargetOut(t *testing.T) {
-	b := newBench(t)
+// TestExcessiveHeartbeatNumberDoesNotExcludeTarget guards against a heartbeat of another
+// process with the target's id and a sequence number that the target never reaches.
+func TestExcessiveHeartbeatNumberDoesNotExcludeTarget(t *testing.T) {
+	b := newHarness(t)
 	b.Heartbeat(b.now, b.report("i-1", 1<<53))
 	b.Heartbeat(b.now, b.report("i-1", 3))
 	assert.Equal(t, b.target.report.Seq, uint64(1<<53))
--- a/supervisor/warmup_test.go
+++ b/supervisor/warmup_test.go
@@ -11,10 +11,10 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestAColdTargetWarmsUp: its speed rises without a step, and a later heartbeat that says
-// less left than expected makes no step back.
-func TestAColdTargetWarmsUp(t *testing.T) {
-	b := newBench(t)
+// TestSpeedRisesSteadilyDuringWarmup guards against steps in the reported speed, in
+// particular back when a heartbeat reports less remaining time than expected.
+func TestSpeedRisesSteadilyDuringWarmup(t *testing.T) {
+	b := newHarness(t)
 	r := b.report("i-1", 2)
 	r.Cold = 4 * time.Second
 	b.Heartbeat(b.now, r)
@@ -23,16 +23,16 @@
 	for range 40 {
 		b.now += 100 * ms
 		speed := b.speed(b.now)
-		assert.Assert(t, speed > last && speed < last+0.03, "%f after %f", speed, last)
+		assert.Assert(t, speed > last && speed < last+0.03, "speed %f after %f", speed, last)
 		last = speed
 	}
 	assert.Equal(t, b.speed(b.now), 1.0)
 }
 
-// TestColdRunsSpoilNothing: runs that take as long as a cold target needs neither eject it
-// nor change its usual speed, and the slowdown is learned.
-func TestColdRunsSpoilNothing(t *testing.T) {
-	b := newBench(t)
+// TestColdRunsDoNotEjectOrSkewSpeed checks that slow runs during warm-up only change the
+// learned cold slowdown.
+func TestColdRunsDoNotEjectOrSkewSpeed(t *testing.T) {
+	b := newHarness(t)
 	slow := math.Exp(b.warmup.fullLogSlowdown)
 	for k := range 60 {
 		r := b.report("i-1", uint64(k+2))
@@ -40,11 +40,11 @@
 		b.Heartbeat(b.now, r)
 		o := order(0, 1000)
 		o.Task = task.ID{Job: fmt.Sprintf("%016x", k)}
-		b.orders(o)
+		b.sendOrders(o)
 		assert.Equal(t, len(b.starts), k+1)
 		b.StartAnswered(b.now, b.starts[len(b.starts)-1], b.reply(Accepted))
-		b.beat(400 * ms) // four times its estimate
-		b.list(nil, []EndedRow{{N: uint64(k + 1), Name: o.Task.String(), Run: 1, End: task.EndDone}})
+		b.advance(400 * ms) // four times its estimate
+		b.answerRenewal(nil, []EndedRow{{N: uint64(k + 1), Name: o.Task.String(), Run: 1, End: task.EndDone}})
 		assert.Assert(t, !b.health.ejected, "after %d runs", k)
 	}
 	assert.Equal(t, b.health.logSlowdown, 0.0)
