--- a/claim/claim.go
+++ b/claim/claim.go
@@ -38,7 +38,6 @@
 // State is a home's reply to a claim.
 type State uint8
 
-// States.
 const (
 	// Granted means that the entry now holds the job.
 	Granted State = iota + 1
@@ -56,7 +55,6 @@
 // Outcome is how a job was answered. The values are used on the wire.
 type Outcome uint8
 
-// Outcomes.
 const (
 	// None means that the job was not answered and may be submitted again.
 	None Outcome = iota
@@ -66,8 +64,8 @@
 	// job again.
 	GivenUp
 	Cancelled
-	// Refused is retained until the time at which the caller may retry. Earlier copies of
-	// its request must not run, since the caller has been told that the job was refused.
+	// Refused is retained until the time at which the caller may retry. Until then, delayed
+	// copies of its request must not run.
 	Refused
 )
 
@@ -111,8 +109,8 @@
 // Interest informs the holder of a job about other entries with the same job.
 type Interest struct {
 	Job string
-	// Waits is set if another entry waits for the answer; if unset, none waits any more.
-	// Begun is set if one of them has started tasks of the job.
+	// Waits is set while another entry waits for the answer. Begun is set if one of them
+	// has started tasks of the job.
 	Waits, Begun bool
 	// Cancel is set if a caller cancels the job.
 	Cancel bool
--- a/claim/registry_test.go
+++ b/claim/registry_test.go
@@ -198,9 +198,8 @@
 	assert.Equal(t, g.Stats().Records, 1)
 }
 
-// TestJobNeverHasTwoHolders checks with random histories that no two entries hold a job at
-// once. An entry holds it from its grant until it reports its last run, or for ClearTime
-// after its loss.
+// TestJobNeverHasTwoHolders checks random histories. An entry holds a job from its grant
+// until it reports its last run, or for ClearTime after its loss.
 func TestJobNeverHasTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newHarness()
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -19,9 +19,8 @@
 	assert.DeepEqual(t, back.With(6, "mtm", true), back) // an outdated request
 }
 
-// TestSetsConvergeInAnyMessageOrder guards against a stale message that restores an old
-// set: a set must match the store's at its revision, whatever the order of watches, reads
-// and messages.
+// TestSetsConvergeInAnyMessageOrder guards against stale messages that restore an old set:
+// each set must match the store at its revision.
 func TestSetsConvergeInAnyMessageOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		halls := []string{"a", "b", "c"}
--- a/reach/reach.go
+++ b/reach/reach.go
@@ -118,9 +118,9 @@
 	s.entries = n
 }
 
-// SetFleet records the number of agents known to another process. An entry that knows only
-// a few agents, because the directory is unavailable, thereby selects the same homes as the
-// others.
+// SetFleet records the number of agents reported by another process. With it, an entry that
+// has found only a few agents, because the directory is unavailable, selects the same homes
+// as the others.
 func (s *Set) SetFleet(n int) {
 	s.changed = s.changed || n > s.fleetSize
 	s.fleetSize = max(s.fleetSize, n)
@@ -255,7 +255,6 @@
 	return cmp.Or(cmp.Compare(a.ownRank, b.ownRank), cmp.Compare(a.name, b.name))
 }
 
-// insert inserts a into a sorted list.
 func insert(list []*agent, a *agent, compare func(a, b *agent) int) []*agent {
 	k, _ := slices.BinarySearchFunc(list, a, compare)
 	return slices.Insert(list, k, a)
--- a/reach/reach_test.go
+++ b/reach/reach_test.go
@@ -105,9 +105,8 @@
 	assert.DeepEqual(t, after.homeNames(), before.homeNames())
 }
 
-// TestLostAgentsReplacedWithinBounds checks that half of the fleet can be lost and
-// replaced, that the number of tries is bounded, and that the set is restored when the
-// agents return.
+// TestLostAgentsReplacedWithinBounds checks that half of the fleet can be replaced with a
+// bounded number of tries, and that the set is restored when the agents return.
 func TestLostAgentsReplacedWithinBounds(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
 	before := s.wantedNames()
--- a/routing/table.go
+++ b/routing/table.go
@@ -19,7 +19,7 @@
 	Prefix string
 	// Service names the service whose targets run the tasks.
 	Service string
-	// Priority is the priority of jobs; 0 is the most urgent.
+	// Priority 0 is the most urgent.
 	Priority int
 	// Attempts is the number of failed runs of a task after which its job fails; at least
 	// 1.
--- a/stage/stage.go
+++ b/stage/stage.go
@@ -6,7 +6,6 @@
 // Stage is a stage of the processing of a job.
 type Stage uint8
 
-// Stages. An entry observes the first three, an agent the others.
 const (
 	// Waiting is the time from the arrival of a job to its first order.
 	Waiting Stage = iota
--- a/supervisor/call.go
+++ b/supervisor/call.go
@@ -73,7 +73,6 @@
 // Outcome is the result of a call to the target.
 type Outcome uint8
 
-// Outcomes of a call.
 const (
 	// Accepted means that the call was carried out, now or earlier.
 	Accepted Outcome = iota
--- a/supervisor/claim.go
+++ b/supervisor/claim.go
@@ -27,7 +27,7 @@
 	}
 	g.HeardAt = func(id claim.ConnID) time.Duration {
 		if c := s.sessions[ConnID(id)]; c != nil {
-			return c.heardAt
+			return c.lastFrameAt
 		}
 		return 0
 	}
--- a/supervisor/evacuation.go
+++ b/supervisor/evacuation.go
@@ -8,8 +8,8 @@
 )
 
 // Evacuation of the target's data hall. While the hall is evacuated, nothing new starts on
-// the target, even if the ordering entry does not know of the evacuation. Active runs
-// continue to their end.
+// the target, even if the entry that sends an order has not received the evacuation. Active
+// runs continue to their end.
 
 // Evacuate applies a set of evacuated halls unless it is older than the current one.
 // Entries receive it with their next frame, so that those without access to the store get
--- a/supervisor/health.go
+++ b/supervisor/health.go
@@ -66,7 +66,7 @@
 // overdue runs.
 type health struct {
 	ejected bool
-	why     code.Code   // reason for the last change
+	reason  code.Code   // reason for the last change
 	ends    []endRecord // the last maxEndRecords ends, oldest first
 
 	lastProbeAt time.Duration
@@ -198,7 +198,7 @@
 		return false
 	}
 	h.ejected = false
-	h.why = code.TargetRecovered
+	h.reason = code.TargetRecovered
 	h.goodProbes = 0
 	h.ends = nil
 	return true
@@ -283,10 +283,10 @@
 }
 
 // eject ejects the target and returns true.
-func (h *health) eject(why code.Code) bool {
+func (h *health) eject(reason code.Code) bool {
 	h.ends = nil
 	h.ejected = true
-	h.why = why
+	h.reason = reason
 	h.goodProbes = 0
 	return true
 }
--- a/supervisor/health_test.go
+++ b/supervisor/health_test.go
@@ -41,7 +41,7 @@
 		recordRun(&h, fmt.Sprint(k), task.EndFailed, 0.1, false)
 	}
 	assert.Assert(t, h.ejected)
-	assert.Equal(t, h.why, code.TargetFails)
+	assert.Equal(t, h.reason, code.TargetFails)
 }
 
 func TestJobFailingElsewhereDoesNotEject(t *testing.T) {
@@ -63,7 +63,7 @@
 		recordRun(&h, fmt.Sprint(k), task.EndDone, 6, false)
 	}
 	assert.Assert(t, h.ejected)
-	assert.Equal(t, h.why, code.TargetSlow)
+	assert.Equal(t, h.reason, code.TargetSlow)
 }
 
 // TestLateListDoesNotMakeTargetSlow guards against counting the delay of a list as run
@@ -86,7 +86,7 @@
 		assert.Assert(t, !h.checkOverdue(225*ms, running))
 	}
 	assert.Assert(t, h.checkOverdue(235*ms, running))
-	assert.Equal(t, h.why, code.TargetOverdue)
+	assert.Equal(t, h.reason, code.TargetOverdue)
 }
 
 // TestSmallShareOfOverdueRunsDoesNotEject guards against ejecting a target with many active
--- a/supervisor/incarnation.go
+++ b/supervisor/incarnation.go
@@ -61,7 +61,7 @@
 // evacuated, and its agent is not shutting down.
 func (s *Supervisor) accepting(now time.Duration) bool {
 	t := &s.target
-	return t.report != nil && t.cleared && !t.report.Draining && !s.leaving && !s.evacuated() &&
+	return t.report != nil && t.cleared && !t.report.Draining && !s.shuttingDown && !s.evacuated() &&
 		now-t.reportAt < maxHeartbeatAge && !s.lease.silent(now)
 }
 
@@ -153,11 +153,11 @@
 		s.finish(now, r, task.EndLost, s.target.lossReason(r))
 	}
 	s.target.restartedID = ""
-	s.forgetIncarnation(now)
+	s.resetIncarnation(now)
 }
 
-// forgetIncarnation discards all state of the current incarnation.
-func (s *Supervisor) forgetIncarnation(now time.Duration) {
+// resetIncarnation discards all state of the current incarnation.
+func (s *Supervisor) resetIncarnation(now time.Duration) {
 	s.target.report = nil
 	s.target.cleared = false
 	s.target.token = 0
@@ -178,7 +178,6 @@
 	s.beginCandidate(now)
 }
 
-// recordEnded records that the current incarnation is over.
 func (t *target) recordEnded() {
 	t.ended = append(t.ended, t.incarnation())
 	t.ended = t.ended[max(0, len(t.ended)-maxEndedIncarnations):]
--- a/supervisor/incarnation_test.go
+++ b/supervisor/incarnation_test.go
@@ -28,8 +28,7 @@
 }
 
 // TestDelayedHeartbeatOfCrashedIncarnationIgnored guards against replacing the current
-// incarnation because of a delayed heartbeat of its predecessor, whatever its sequence
-// number.
+// incarnation by an earlier one, whatever the sequence number of its heartbeat.
 func TestDelayedHeartbeatOfCrashedIncarnationIgnored(t *testing.T) {
 	for _, seq := range []uint64{1, 2, 900} {
 		b := newHarness(t)
@@ -52,7 +51,7 @@
 }
 
 // TestDelayedHeartbeatAtRestartedAgentIgnored is the same for an agent that has restarted
-// and does not know the earlier incarnation.
+// and has no record of the earlier incarnation.
 func TestDelayedHeartbeatAtRestartedAgentIgnored(t *testing.T) {
 	b := newHarness(t)
 	b.sendOrders(order(0, 1000))
--- a/supervisor/lease.go
+++ b/supervisor/lease.go
@@ -129,7 +129,6 @@
 	}
 }
 
-// recordTimeout records an unanswered call.
 func (s *Supervisor) recordTimeout(now time.Duration) {
 	if s.lease.recordTimeout(now) {
 		s.logLosingReplies()
--- a/supervisor/log.go
+++ b/supervisor/log.go
@@ -107,7 +107,7 @@
 	s.log(event.TargetHealth,
 		slog.String("target", s.target.id()),
 		slog.Bool("ejected", s.health.ejected),
-		slog.String("why", s.health.why.String()),
+		slog.String("why", s.health.reason.String()),
 		slog.Int("runs", len(s.runs)))
 }
 
@@ -148,12 +148,12 @@
 }
 
 // logOrderRejected logs the reason for the rejection of an order.
-func (s *Supervisor) logOrderRejected(now time.Duration, c *session, order task.Order, why code.Code) {
+func (s *Supervisor) logOrderRejected(now time.Duration, c *session, order task.Order, reason code.Code) {
 	s.log(event.StartRefused,
 		slog.String("task", order.Task.String()),
 		slog.Int("run", order.Run),
 		slog.String("entry", c.name),
-		slog.String("why", why.String()),
+		slog.String("why", reason.String()),
 		slog.Int("needs", order.Needs.CPU),
 		slog.Int("free", s.freeRoom(now, c).CPU),
 		event.Milliseconds("echo_age_ms", now-c.leaseStart))
@@ -203,13 +203,13 @@
 }
 
 // logEnded logs the end of a run and how it was determined.
-func (s *Supervisor) logEnded(now time.Duration, r *run, end task.End, why code.Code) {
+func (s *Supervisor) logEnded(now time.Duration, r *run, end task.End, reason code.Code) {
 	s.log(event.RunEnded,
 		slog.String("task", r.name),
 		slog.Int("run", r.order.Run),
 		slog.String("entry", r.session.name),
 		slog.String("end", end.String()),
-		slog.String("why", why.String()),
+		slog.String("why", reason.String()),
 		event.Milliseconds("took_ms", now-r.startedAt),
 		event.Milliseconds("estimate_ms", r.order.Estimate))
 }
--- a/supervisor/reservation.go
+++ b/supervisor/reservation.go
@@ -35,7 +35,6 @@
 	total    task.Needs // of all waiting tasks
 }
 
-// reserve reserves resources for c.
 func (r *room) reserve(c *session, needs task.Needs, until time.Duration) *reservation {
 	r.lastID++
 	v := &reservation{id: r.lastID, session: c, room: needs, until: until}
--- a/supervisor/restart.go
+++ b/supervisor/restart.go
@@ -34,7 +34,7 @@
 	s.reportCrashed()
 	id, token := s.target.id(), s.target.token
 	s.target.recordEnded()
-	s.forgetIncarnation(now)
+	s.resetIncarnation(now)
 	s.target.restartedID, s.target.token = id, token+1
 	s.beginCandidate(now)
 }
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -75,9 +75,9 @@
 func (s *Supervisor) handleOrder(now time.Duration, c *session, order task.Order) {
 	name := order.Task.String()
 	spec := s.completeSpec(c, &order)
-	if why := s.rejection(now, c, order, name, spec); why != code.OK {
-		s.logOrderRejected(now, c, order, why)
-		c.reportEnd(order, peer.Ended{End: task.EndRejected, Reason: why, TargetFault: true})
+	if reason := s.rejection(now, c, order, name, spec); reason != code.OK {
+		s.logOrderRejected(now, c, order, reason)
+		c.reportEnd(order, peer.Ended{End: task.EndRejected, Reason: reason, TargetFault: true})
 		return
 	}
 	r := &run{order: order, name: name, session: c, startedAt: now}
@@ -154,7 +154,7 @@
 
 // finish removes r, whose end is certain, and reports the end to its entry if the ordering
 // connection still exists.
-func (s *Supervisor) finish(now time.Duration, r *run, end task.End, why code.Code) {
+func (s *Supervisor) finish(now time.Duration, r *run, end task.End, reason code.Code) {
 	delete(s.runs, r.name)
 	r.session.runs--
 	s.room.used = s.room.used.Minus(r.order.Needs)
@@ -163,11 +163,11 @@
 	}
 	targetFault := s.recordHealth(now, r, end)
 	if s.sessions[r.session.id] == r.session {
-		r.session.reportEnd(r.order, peer.Ended{End: end, Reason: why, Took: now - r.startedAt, TargetFault: targetFault})
+		r.session.reportEnd(r.order, peer.Ended{End: end, Reason: reason, Took: now - r.startedAt, TargetFault: targetFault})
 	} else if s.orphanRuns[r.session.name]--; s.orphanRuns[r.session.name] <= 0 {
 		delete(s.orphanRuns, r.session.name)
 	}
-	s.logEnded(now, r, end, why)
+	s.logEnded(now, r, end, reason)
 	s.logIfEmpty(now)
 	s.markChanged()
 }
--- a/supervisor/session.go
+++ b/supervisor/session.go
@@ -29,7 +29,7 @@
 	// watching is set while the entry watches the target, since watchedSince.
 	watching     bool
 	watchedSince time.Duration
-	heardAt      time.Duration // arrival of the last frame
+	lastFrameAt  time.Duration // arrival of the last frame
 	runs         int           // runs of this connection that have not certainly ended
 	specs        peer.Specs    // specs received, by job
 	// leaseStart is the start of the entry's lease: the latest agent timestamp echoed by
@@ -88,7 +88,7 @@
 	}
 	c := &session{
 		id: id, name: entry.Name, boot: entry.Boot, level: entry.Level,
-		leaseStart: now, heardAt: now, stateChanged: true, stateSentAt: -time.Hour,
+		leaseStart: now, lastFrameAt: now, stateChanged: true, stateSentAt: -time.Hour,
 	}
 	s.fleetSize = max(s.fleetSize, entry.Fleet)
 	c.out.Hello = &peer.Hello{Role: peer.RoleAgent, Level: peer.LevelNewest, Fleet: s.fleetSize}
@@ -101,7 +101,7 @@
 // SilentTooLong reports whether a connection should be closed for lack of traffic.
 func (s *Supervisor) SilentTooLong(now time.Duration, id ConnID) bool {
 	c := s.sessions[id]
-	return c != nil && peer.SilentTooLong(now, c.heardAt, c.inUse(), c.watchedSince)
+	return c != nil && peer.SilentTooLong(now, c.lastFrameAt, c.inUse(), c.watchedSince)
 }
 
 // Disconnected removes a connection and stops its runs.
@@ -140,7 +140,7 @@
 	}
 	c.leaseStart = max(c.leaseStart, f.Echo)
 	c.seenSeq = f.Seq
-	c.heardAt = now
+	c.lastFrameAt = now
 	if f.Evacuations != nil {
 		c.evacuationRevision = max(c.evacuationRevision, f.Evacuations.Revision)
 		s.Evacuate(now, *f.Evacuations)
--- a/supervisor/spec.go
+++ b/supervisor/spec.go
@@ -12,7 +12,7 @@
 // meanwhile and is rejected afterwards.
 const specTimeout = 150 * time.Millisecond
 
-// specState tells whether the spec of an order is available.
+// specState is the availability of the spec of an order.
 type specState uint8
 
 const (
@@ -96,7 +96,7 @@
 }
 
 // rejectUnstarted ends r, for which no start was sent, as rejected.
-func (s *Supervisor) rejectUnstarted(now time.Duration, r *run, why code.Code) {
-	s.logOrderRejected(now, r.session, r.order, why)
-	s.finish(now, r, task.EndRejected, why)
+func (s *Supervisor) rejectUnstarted(now time.Duration, r *run, reason code.Code) {
+	s.logOrderRejected(now, r.session, r.order, reason)
+	s.finish(now, r, task.EndRejected, reason)
 }
--- a/supervisor/starting.go
+++ b/supervisor/starting.go
@@ -10,7 +10,6 @@
 
 // Start calls to the target. Each may be accepted, refused, lost or carried out late.
 
-// sendStart sends the start of r to the target.
 func (s *Supervisor) sendStart(now time.Duration, r *run) {
 	r.tries++
 	r.sentAt = now
@@ -50,17 +49,17 @@
 // startRejected ends r if no earlier try can have started it. Otherwise the target's next
 // lists decide.
 func (s *Supervisor) startRejected(now time.Duration, r *run, reply Reply) {
-	why := reply.Outcome
+	outcome := reply.Outcome
 	s.logStartRejected(r, reply)
-	if why == RefusedUnhealthy && s.health.recordRefusal(now, r.order.Task.Job) {
+	if outcome == RefusedUnhealthy && s.health.recordRefusal(now, r.order.Task.Job) {
 		s.announceHealth(now)
 	}
-	if why == RefusedToken {
+	if outcome == RefusedToken {
 		s.renewToken(now)
 	}
 	if r.tries > 1 {
 		r.markCannotStart(now)
 		return
 	}
-	s.finish(now, r, task.EndRejected, why.Code())
+	s.finish(now, r, task.EndRejected, outcome.Code())
 }
--- a/supervisor/state.go
+++ b/supervisor/state.go
@@ -14,7 +14,7 @@
 	stateIntervalPerWatcher = 10 * time.Millisecond
 )
 
-// Flush sends the states that are due. It should be called when Pending says so.
+// Flush sends the states that are due. It should be called at the time returned by Pending.
 func (s *Supervisor) Flush(now time.Duration) {
 	s.flush(now)
 }
--- a/supervisor/stopping.go
+++ b/supervisor/stopping.go
@@ -20,22 +20,21 @@
 }
 
 // stop makes the target stop r. The run is kept until its end is certain.
-func (s *Supervisor) stop(now time.Duration, r *run, why code.Code) {
+func (s *Supervisor) stop(now time.Duration, r *run, reason code.Code) {
 	if r.stopping {
 		return
 	}
 	r.stopping = true
 	r.stoppedAt = now
-	r.reason = why
+	r.reason = reason
 	s.logStopping(now, r)
 	if r.specDeadline > 0 {
-		s.finish(now, r, task.EndRejected, why) // no start was sent
+		s.finish(now, r, task.EndRejected, reason) // no start was sent
 		return
 	}
 	s.sendStop(now, r)
 }
 
-// sendStop sends the stop of r to the target.
 func (s *Supervisor) sendStop(now time.Duration, r *run) {
 	r.sentAt = now
 	s.Stop(StopCall{
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -109,12 +109,12 @@
 	// Rules has the value of DefaultRules, except in tests.
 	Rules Rules
 
-	target  target
-	lease   lease
-	health  health
-	warmup  warmup
-	room    room
-	leaving bool // set while the agent itself shuts down
+	target       target
+	lease        lease
+	health       health
+	warmup       warmup
+	room         room
+	shuttingDown bool // set while the agent itself shuts down
 
 	claims *claim.Registry // claims of the jobs that have this agent as a home
 
@@ -186,7 +186,7 @@
 // Leave makes the agent reject new work because it is shutting down. Active runs continue.
 func (s *Supervisor) Leave(now time.Duration) {
 	defer s.flush(now)
-	s.leaving = true
+	s.shuttingDown = true
 	s.markChanged()
 }
 
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -120,7 +120,7 @@
 		b.advance(100 * ms)
 		b.answerRenewal(nil, nil)
 	}
-	assert.Equal(t, len(b.runs), 0) // no start can take effect any more
+	assert.Equal(t, len(b.runs), 0) // a start can no longer take effect
 	assert.Equal(t, b.sentEnds()[1].Reason, code.RunAbsent)
 }
 
--- a/task/job.go
+++ b/task/job.go
@@ -50,7 +50,6 @@
 
 // Step is a part of a job that consists of identical tasks.
 type Step struct {
-	// Count is the number of tasks.
 	Count int
 	// Needs is the resources of each task.
 	Needs Needs
@@ -93,7 +92,7 @@
 	Spec string
 	// Steps are numbered from 0.
 	Steps []Step
-	// Priority is the priority of the job; 0 is the most urgent.
+	// Priority 0 is the most urgent.
 	Priority int
 	// Attempts is the number of failed runs of a task after which the job fails.
 	Attempts int
@@ -183,7 +182,6 @@
 // End is how a run of a task ended. The values are used on the wire.
 type End uint8
 
-// Ends of a run.
 const (
 	// EndNone is an end of an unknown kind.
 	EndNone End = iota
