--- a/estimate/estimator.go
+++ b/estimate/estimator.go
@@ -14,7 +14,7 @@
 
 // Prior variances of natural logarithms: work within a queue differs by a factor of 1.6,
 // callers' estimates are off by 40%, tasks of a step differ by 20%, and the predictions are
-// off by 50%. Their weight falls as jobs are learned from.
+// off by 50%. Their weight falls with each learned step.
 const (
 	priorWorkVariance  = 0.25 // work of a queue's jobs
 	priorGuessVariance = 0.16 // error of the callers' estimates
@@ -24,11 +24,11 @@
 
 // Limits of the learning.
 const (
-	// maxJobs is the number of jobs that the averages cover.
-	maxJobs = 200
-	// fullWeightJobs is the number of jobs from which the queue's average has its full
-	// weight; a prior counts as that many jobs.
-	fullWeightJobs = 8
+	// maxSteps is the number of steps that the averages cover.
+	maxSteps = 200
+	// fullWeightSteps is the number of steps after which the queue's average has its full
+	// weight; a prior counts as that many steps.
+	fullWeightSteps = 8
 	// minVariance keeps weights finite.
 	minVariance = 0.001
 	// unit is the shortest duration that is distinguished.
@@ -37,7 +37,7 @@
 
 // Estimator learns from the jobs of one queue. It is not safe for concurrent use.
 type Estimator struct {
-	steps      float64 // number of steps learned from, at most maxJobs
+	steps      float64 // number of steps learned from, at most maxSteps
 	work       moments // level
 	guessError moments // logarithm of the caller's estimate minus the level
 	// taskVariance is the variance of the tasks of one step, errorVariance the mean squared
@@ -75,8 +75,8 @@
 	}
 	level, variance := levelOf(took)
 	predicted := logarithm(e.Likely(guess))
-	e.steps = min(e.steps+1, maxJobs)
-	errorWeight := 1 / (e.steps + fullWeightJobs)
+	e.steps = min(e.steps+1, maxSteps)
+	errorWeight := 1 / (e.steps + fullWeightSteps)
 	e.errorVariance += errorWeight * ((level-predicted)*(level-predicted) + variance - e.errorVariance)
 	if n := float64(len(took)); n > 1 {
 		e.taskVariance += errorWeight * (variance*n/(n-1) - e.taskVariance)
@@ -108,7 +108,7 @@
 func (e *Estimator) Likely(guess time.Duration) time.Duration {
 	corrected := logarithm(guess) - e.guessError.mean
 	byGuess := 1 / max(e.guessError.variance, minVariance)
-	byQueue := min(1, e.steps/fullWeightJobs) / max(e.work.variance, minVariance)
+	byQueue := min(1, e.steps/fullWeightSteps) / max(e.work.variance, minVariance)
 	return duration((corrected*byGuess + e.work.mean*byQueue) / (byGuess + byQueue))
 }
 
