--- a/supervisor/call.go
+++ b/supervisor/call.go
@@ -43,7 +43,7 @@
 	Incarnation Incarnation
 	Token       uint64
 	Deadline    time.Duration // on the target's clock; zero does not renew the lease
-	LastSeen    uint64        // sequence number of the last end applied
+	LastSeen    uint64        // EndedRow.N of the last end applied; acknowledges the ends up to it
 	Wait        time.Duration // longest time that the target may delay its answer
 	sent        time.Duration // send time, on the agent's clock
 }
@@ -78,16 +78,18 @@
 	Accepted Outcome = iota
 	// NoAnswer means that the call may have been carried out, or still may be.
 	NoAnswer
-	// RefusedToken means that the target has seen a higher fencing token.
+	// RefusedToken means that the call was rejected: the target has seen a higher fencing
+	// token.
 	RefusedToken
-	// RefusedOld means that the target has stopped or ended a run with this number or a
-	// higher one.
+	// RefusedOld means that the start was rejected: the target has stopped or ended a run
+	// with this number or a higher one.
 	RefusedOld
-	// RefusedLate means that the call arrived after its deadline.
+	// RefusedLate means that the call was rejected because it arrived after its deadline.
 	RefusedLate
-	// RefusedRoom means that the target lacks the resources for the run.
+	// RefusedRoom means that the start was rejected: the target lacks the resources.
 	RefusedRoom
-	// RefusedUnhealthy means that the target is temporarily unable to start runs.
+	// RefusedUnhealthy means that the start was rejected: the target is temporarily unable
+	// to start runs.
 	RefusedUnhealthy
 	// RefusedMalformed means that the target could not parse the call.
 	RefusedMalformed
@@ -95,7 +97,8 @@
 	WrongIncarnation
 )
 
-// outcomeCodes maps each outcome to the reason why the run did not start.
+// outcomeCodes maps each outcome to its code. For a start that was not accepted, the code is
+// the reason why the run did not start; for other calls it is only logged.
 var outcomeCodes = [...]code.Code{
 	Accepted:         code.OK,
 	NoAnswer:         code.RunAbsent,
@@ -108,7 +111,7 @@
 	WrongIncarnation: code.RunTargetGone,
 }
 
-// Code returns the reason why the run did not start.
+// Code returns the code of the outcome, or RunBadCall if it has none.
 func (o Outcome) Code() code.Code {
 	if int(o) < len(outcomeCodes) {
 		return outcomeCodes[o]
@@ -137,7 +140,7 @@
 	Cold     time.Duration // remaining warm-up time
 	Clock    time.Duration // reading of the target's clock, valid if HasClock
 	HasClock bool
-	Seq      uint64 // increases with each report of an incarnation
+	Seq      uint64 // sequence number, increases with each report of an incarnation
 }
 
 // incarnation returns the incarnation that sent the report.
--- a/supervisor/claim.go
+++ b/supervisor/claim.go
@@ -7,10 +7,8 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// Claims of the jobs that have this agent as a home (package claim). They do not depend on
-// the state of the target.
-
-// newClaims returns the registry of the jobs that have this agent as a home.
+// newClaims returns the registry of the jobs that have this agent as a home. It does not
+// depend on the state of the target.
 func (s *Supervisor) newClaims() *claim.Registry {
 	g := claim.NewRegistry(peer.ClearTime, s.Log)
 	g.Reply = func(id claim.ConnID, r claim.Reply) {
--- a/supervisor/clock.go
+++ b/supervisor/clock.go
@@ -7,15 +7,15 @@
 const minClockRate = 0.98
 
 // clock gives a lower bound of the target's clock, based on the latest reading received
-// with an answer.
+// with an answer, or with a heartbeat while no reading is known.
 type clock struct {
 	known   bool
 	reading time.Duration // on the target's clock
-	at      time.Duration // arrival of the answer, on the agent's clock
+	at      time.Duration // arrival of the reading, on the agent's clock
 }
 
-// update applies a reading from an answer that arrived at now. It ignores readings from
-// answers that arrived out of order.
+// update applies a reading that arrived at now. It ignores a reading lower than the last
+// one: its answer arrived out of order.
 func (c *clock) update(reading, now time.Duration) {
 	if c.known && reading < c.atLeast(now) && reading < c.reading {
 		return
--- a/supervisor/crash.go
+++ b/supervisor/crash.go
@@ -6,10 +6,11 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// A task may crash every target that starts it. A crash is recognised by runs that were
-// active when their incarnation ended without having announced a shutdown. A target that
-// restarts after some seconds is first treated as silent and its runs as lapsed; their
-// entries are informed once it turns out that the target crashed.
+// A task may crash every target that starts it, so that entries limit the runs of a task
+// that end with the loss of their target. An incarnation has crashed if it ended without
+// having announced a shutdown. A target that crashes and does not restart at once is first
+// treated as silent, and its runs as lapsed. If a later answer or heartbeat shows that their
+// incarnation is over, the entries are sent a late report that these runs ended by a crash.
 
 // lapsedRun is a run that was ended because its target was silent.
 type lapsedRun struct {
@@ -22,29 +23,35 @@
 	return t.report != nil && t.report.Draining
 }
 
-// lossReason returns the reason for the end of r, whose incarnation is over. A run whose
-// start was not answered may never have started.
+// lossReason returns the reason for the end of r, whose incarnation is over. A run that is
+// not known to have started may never have done so. Whether a shutdown was announced is
+// taken from the current report: after a restart under the same id, that is the report of
+// the new process.
 func (t *target) lossReason(r *run) code.Code {
 	switch {
 	case t.shutdownAnnounced():
 		return code.RunTargetLeft
-	case !r.answered:
+	case !r.started:
 		return code.RunAbsent
 	}
 	return code.RunTargetGone
 }
 
-// recordLapsed keeps a run until the target answers again.
+// recordLapsed records a run that is known to have started, until a renewal is accepted or
+// the incarnation ends.
 func (s *Supervisor) recordLapsed(r *run) {
-	if r.answered {
+	if r.started {
 		s.lapsed = append(s.lapsed, lapsedRun{r.session, task.Ref{Task: r.order.Task, Run: r.order.Run}})
 	}
 }
 
-// reportCrashed informs the entries of lapsed runs that the incarnation has ended.
+// reportCrashed reports the lapsed runs to their entries as ended by a crash, and discards
+// the list. It reports nothing if the target had announced its shutdown, or to entries that
+// have disconnected or do not support the report.
 func (s *Supervisor) reportCrashed() {
 	for _, l := range s.lapsed {
-		if !s.target.shutdownAnnounced() && s.sessions[l.session.id] == l.session && l.session.level >= peer.LevelClaim {
+		if !s.target.shutdownAnnounced() &&
+			s.sessions[l.session.id] == l.session && l.session.level >= peer.LevelClaim {
 			l.session.out.Crashed = append(l.session.out.Crashed, l.ref)
 			l.session.dirty = true
 		}
--- a/supervisor/evacuation.go
+++ b/supervisor/evacuation.go
@@ -7,13 +7,10 @@
 	"github.com/beaconpoint/beaconpoint/evacuation"
 )
 
-// Evacuation of the target's data hall. While the hall is evacuated, nothing new starts on
-// the target, even if the entry that sends an order has not received the evacuation. Active
-// runs continue to their end.
-
-// Evacuate applies a set of evacuated halls unless it is older than the current one.
-// Entries receive it with their next frame, so that those without access to the store get
-// it from here.
+// Evacuate applies a set of evacuated halls if it is newer than the current one. While the
+// target's hall is evacuated, all starts are rejected, even if the entry that orders them has
+// not received the evacuation; active runs continue to their end. Entries receive the set
+// with their next frame, so that those without access to the store obtain it as well.
 func (s *Supervisor) Evacuate(now time.Duration, set evacuation.Set) {
 	if !set.NewerThan(s.evacuations) {
 		return
@@ -23,7 +20,8 @@
 	s.checkEvacuation(now)
 }
 
-// evacuated reports whether the target's hall is evacuated.
+// evacuated reports whether starts are rejected because the target's hall is evacuated. It
+// is false without the rule RefuseEvacuated.
 func (s *Supervisor) evacuated() bool {
 	return s.Rules.RefuseEvacuated && s.target.report != nil && s.evacuations.Has(s.target.report.Hall)
 }
@@ -54,7 +52,7 @@
 	}
 }
 
-// logIfEmpty logs when the last run on an evacuated target has ended.
+// logIfEmpty logs that no run is left on an evacuated target, if that is the case.
 func (s *Supervisor) logIfEmpty(now time.Duration) {
 	if s.evacuatedSince > 0 && len(s.runs) == 0 {
 		s.logEmpty(now)
--- a/supervisor/evacuation_test.go
+++ b/supervisor/evacuation_test.go
@@ -11,21 +11,21 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// reportHall sends a heartbeat of the target with the given hall.
+// reportHall handles a heartbeat of the target with the given hall.
 func (b *harness) reportHall(hall string) {
 	r := b.report("i-1", b.target.report.Seq+1)
 	r.Hall = hall
 	b.Heartbeat(b.now, r)
 }
 
-// sendEvacuations sends the evacuated halls at a revision from the entry.
+// sendEvacuations handles a frame of the entry with the evacuated halls at a revision.
 func (b *harness) sendEvacuations(revision uint64, halls ...string) {
 	set := evacuation.NewSet(revision, halls)
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, Evacuations: &set})
 }
 
-// TestNoStartsInEvacuatedHall checks that orders are rejected with the reason, active runs
-// continue, and outdated messages have no effect.
+// TestNoStartsInEvacuatedHall guards against starts and stops on a target of an evacuated
+// hall, and against outdated sets of halls that take effect.
 func TestNoStartsInEvacuatedHall(t *testing.T) {
 	b := newHarness(t)
 	b.reportHall("mtm")
@@ -68,7 +68,8 @@
 func TestReservationsDroppedOnEvacuation(t *testing.T) {
 	b := newHarness(t)
 	b.reportHall("mtm")
-	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 1000}, Total: task.Needs{CPU: 1000}}})
+	b.Receive(b.now, 1, &peer.Frame{Echo: b.now,
+		RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 1000}, Total: task.Needs{CPU: 1000}}})
 	assert.Equal(t, len(b.room.reservations), 1)
 	b.sendEvacuations(7, "mtm")
 	assert.Equal(t, len(b.room.reservations), 0)
@@ -96,8 +97,8 @@
 	assert.Equal(t, len(b.starts), 0)
 }
 
-// TestEvacuationsForwardedToEntries checks that each entry receives a revision once, and
-// that the entry it came from does not receive it.
+// TestEvacuationsForwardedToEntries guards against entries that do not receive a revision,
+// receive it twice, or receive it back from the agent to which they sent it.
 func TestEvacuationsForwardedToEntries(t *testing.T) {
 	b := newHarness(t)
 	received := make(map[ConnID][]uint64)
--- a/supervisor/health.go
+++ b/supervisor/health.go
@@ -8,11 +8,6 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Outlier detection. A target is ejected when the runs of several jobs fail, are slow or
-// are overdue on it. Slowness is judged relative to the target's normal deviation from the
-// estimates (baseline), so that inaccurate estimates require more evidence. An ejected
-// target receives single probe runs; each success doubles the number of concurrent probes,
-// and after probesToRecover successes the target has recovered.
 const (
 	// maxEndRecords is the number of recent ends that are evaluated.
 	maxEndRecords = 24
@@ -20,57 +15,63 @@
 	// failureWindow ends.
 	ejectFailedJobs = 4
 	failureWindow   = 6
-	// A target is slow when the runs of the last slowMinJobs or more different jobs took on
-	// average ejectSlowFactor times as long as normal, and the mean exceeds the baseline by
-	// slowDeviations standard deviations of the mean.
+	// A target is slow if the runs of the last slowMinJobs or more different jobs took on
+	// average more than ejectSlowFactor times as long as normal, and the mean exceeds the
+	// baseline by more than slowDeviations standard deviations of the mean.
 	ejectSlowFactor = 2.5
 	slowDeviations  = 5.0
 	slowMinJobs     = 4
 	// An active run is overdue after its expected time, times the greater of
-	// ejectOverdueFactor and ejectOverdueDeviations standard deviations, plus
-	// ejectOverdueSlack. Overdue runs of ejectOverdueJobs different jobs eject the target
-	// if these are at least ejectOverdueShare of all jobs active there.
+	// ejectOverdueFactor and the factor that corresponds to ejectOverdueDeviations standard
+	// deviations of the log ratio, plus ejectOverdueSlack. Overdue runs of ejectOverdueJobs
+	// different jobs eject the target if these are at least ejectOverdueShare of all jobs
+	// active there.
 	ejectOverdueDeviations = 2.0
 	ejectOverdueFactor     = 2.0
 	ejectOverdueSlack      = 30 * time.Millisecond
 	ejectOverdueJobs       = 3
 	ejectOverdueShare      = 1.0 / 3
-	// A probe is slow beyond probeDeviations standard deviations, and beyond
-	// ejectSlowFactor.
+	// A probe is unsuccessful if it takes longer than normal by more than ejectSlowFactor
+	// and by more than the factor that corresponds to probeDeviations standard deviations of
+	// the log ratio.
 	probeDeviations = 2.0
 	// priorSpread is the standard deviation of the log ratio assumed for a new target; it
 	// counts as much as priorRuns runs.
 	priorSpread = 0.8
 	priorRuns   = 8
-	// baselineRuns is the number of runs that the baseline covers: many more than it takes
-	// to find a target slow.
+	// baselineRuns limits the number of runs that the baseline averages over.
 	baselineRuns = 200
-	// probeInterval is the time between the first probes.
+	// probeInterval is the shortest time between the orders of two probes while the last
+	// finished probe was unsuccessful or none has finished.
 	probeInterval = 300 * time.Millisecond
-	// trialDelay is how long after its ejection or an unsuccessful probe an ejected target
-	// goes on trial: it is reported to entries as healthy, to receive probes even if its
+	// trialDelay is the time from an ejection or an unsuccessful probe to the trial. On
+	// trial, the target is reported to entries as healthy, to receive probes even if its
 	// resources are not needed, but still admits only probes.
 	trialDelay = 2 * time.Second
 	// probesToRecover is the number of consecutive probes that must succeed.
 	probesToRecover = 3
 	// speedWeight is the weight of one end in the learned speed.
 	speedWeight = 0.08
-	// A run counts for the learned speed only if the uncertainty of its end is less than
-	// 1/maxUncertaintyShare of its duration.
-	maxUncertaintyShare = 3
+	// The time of a successful run is precise if it is more than precisionFactor times the
+	// uncertainty of its end. Only precise times enter the learned speed and the baseline.
+	precisionFactor = 3
 	// minRunTime is the shortest run time that is distinguished.
 	minRunTime = time.Millisecond
 )
 
 // health is the ejection state and the learned speed of a target, judged by ended and
-// overdue runs.
+// overdue runs (outlier detection). A target is ejected when the runs of several jobs fail,
+// are slow or are overdue on it. Slowness is judged relative to the target's normal deviation
+// from the estimates (baseline), so that inaccurate estimates require more evidence. An
+// ejected target receives single probe runs; each success doubles the number of concurrent
+// probes, and after probesToRecover successes the target has recovered.
 type health struct {
 	ejected bool
 	reason  code.Code   // reason for the last change
 	ends    []endRecord // the last maxEndRecords ends, oldest first
 
-	lastProbeAt time.Duration
-	lastBadAt   time.Duration // when the target was ejected, or the last probe failed
+	lastProbeAt time.Duration // when the last probe was ordered
+	lastBadAt   time.Duration // when the target was ejected, or the last unsuccessful probe ended
 	onTrial     bool
 	goodProbes  int // consecutive
 
@@ -133,9 +134,9 @@
 	return h.ejected
 }
 
-// recordRefusal records a start that the target refused as unhealthy. It reports whether
+// recordRejection records a start that the target rejected as unhealthy. It reports whether
 // the target was ejected as a result.
-func (h *health) recordRefusal(now time.Duration, job string) bool {
+func (h *health) recordRejection(now time.Duration, job string) bool {
 	h.add(endRecord{job: job, failed: true})
 	return h.evaluate()
 }
@@ -149,14 +150,14 @@
 		failed:   end == task.EndFailed,
 		minRatio: logRatio(max(minTook, minRunTime), r.order.Estimate),
 		maxRatio: logRatio(max(maxTook, minRunTime), r.order.Estimate),
-		precise:  end == task.EndDone && maxTook-minTook < maxTook/maxUncertaintyShare,
+		precise:  end == task.EndDone && maxTook-minTook < maxTook/precisionFactor,
 	}
 	if r.coldFraction > 0 { // discount the expected slowdown of a cold target
 		e.minRatio -= r.coldLogSlowdown
 		e.precise = false
 	}
 	if e.failed && r.order.FailedElsewhere {
-		return false // the job is at fault, not this target
+		return false // the job fails on other targets too
 	}
 	h.add(e)
 	if h.ejected {
@@ -168,8 +169,9 @@
 	return h.evaluate()
 }
 
-// learnSpeed updates the learned speed with the time of a run. It is learned against the
-// callers' estimates; against learned estimates the two would drift together.
+// learnSpeed updates the learned speed with the time of a run, relative to the caller's
+// estimate. Relative to the learned estimates (package estimate), which assume the learned
+// speed, both would drift.
 func (h *health) learnSpeed(guess, took time.Duration) {
 	h.logSlowdown += speedWeight * (logRatio(took, guess) - h.logSlowdown)
 }
@@ -224,9 +226,9 @@
 	return false
 }
 
-// slow reports whether the latest runs of the last jobs, one per job, took so much longer
-// than normal that chance is not a plausible cause. A failure among them makes the result
-// false.
+// slow reports whether the latest run of each of the last jobs took so much longer than
+// normal that chance is not a plausible cause. It looks for the smallest number of jobs, at
+// least slowMinJobs, that meets the limits; a failure among their ends makes the result false.
 func (h *health) slow() bool {
 	seen := make(map[string]bool)
 	sum := 0.0
--- a/supervisor/health_test.go
+++ b/supervisor/health_test.go
@@ -67,7 +67,7 @@
 }
 
 // TestLateListDoesNotMakeTargetSlow guards against counting the delay of a list as run
-// time: the runs may have ended at any time since the list before.
+// time: the runs may have ended at any time since the previous list.
 func TestLateListDoesNotMakeTargetSlow(t *testing.T) {
 	h := newHealth()
 	for k := range 20 {
@@ -105,8 +105,8 @@
 	assert.Assert(t, h.checkOverdue(time.Second, running[:3*ejectOverdueJobs]))
 }
 
-// TestInaccurateEstimatesNeedMoreEvidence checks the number of slow jobs that eject a
-// target, with accurate and with inaccurate estimates.
+// TestInaccurateEstimatesNeedMoreEvidence guards against ejecting a target after as few slow
+// jobs with inaccurate estimates as with accurate ones.
 func TestInaccurateEstimatesNeedMoreEvidence(t *testing.T) {
 	jobsUntilEjected := func(times, spread float64) int {
 		h := healthWithSpread(spread)
@@ -123,9 +123,9 @@
 	assert.Equal(t, jobsUntilEjected(6, 0.9), 7)
 }
 
-// TestBaselineIsLearned guards against ejecting a target on which all runs take twice their
-// estimate, and checks that slower runs eject it.
-func TestBaselineIsLearned(t *testing.T) {
+// TestTargetIsJudgedByItsBaseline guards against ejecting a target on which all runs take
+// twice their estimate, and against not ejecting it when they take much longer than that.
+func TestTargetIsJudgedByItsBaseline(t *testing.T) {
 	h := newHealth()
 	for k := range 300 {
 		assert.Assert(t, !recordRun(&h, fmt.Sprint(k), task.EndDone, 2+0.2*float64(k%2), false))
@@ -142,7 +142,8 @@
 	h := newHealth()
 	assert.Equal(t, h.baseline.spread(), priorSpread)
 	for k := range 6 {
-		assert.Assert(t, !recordRun(&h, fmt.Sprint(k), task.EndDone, 2.6, false), "estimates may be off by this factor")
+		assert.Assert(t, !recordRun(&h, fmt.Sprint(k), task.EndDone, 2.6, false),
+			"a new target was ejected for runs of 2.6 times their estimate")
 	}
 }
 
@@ -181,13 +182,13 @@
 	assert.Assert(t, h.speed() > 0.79 && h.speed() < 0.81, h.speed())
 }
 
-// TestEjectedTargetGoesOnTrial guards against a target that stays ejected for lack of
-// probes. On trial it still admits only probes, and an unsuccessful probe ends the trial.
+// TestEjectedTargetGoesOnTrial guards against a target that stays ejected because it receives
+// no probes, that admits other runs on trial, or stays on trial after an unsuccessful probe.
 func TestEjectedTargetGoesOnTrial(t *testing.T) {
 	b := newHarness(t)
 	b.health.eject(code.TargetSlow)
 	b.announceHealth(b.now)
-	sentHealth := func() peer.Health { return b.state(b.now, b.sessions[1]).Health }
+	sentHealth := func() peer.Health { return b.stateToSend(b.now, b.sessions[1]).Health }
 	assert.Equal(t, sentHealth(), peer.Ejected)
 	b.now += trialDelay - ms
 	b.Tick(b.now)
@@ -195,7 +196,10 @@
 	b.now += ms
 	b.Tick(b.now)
 	assert.Equal(t, sentHealth(), peer.Healthy)
-	r := &run{order: task.Order{Task: task.ID{Job: "1"}, Estimate: 100 * ms}, answered: true, probe: b.health.recordStart(b.now)}
+	r := &run{
+		order:   task.Order{Task: task.ID{Job: "1"}, Estimate: 100 * ms},
+		started: true, probe: b.health.recordStart(b.now),
+	}
 	assert.Assert(t, r.probe)
 	assert.Assert(t, !b.health.admits(b.now, 1))
 	b.recordHealth(b.now, r, task.EndStopped)
--- a/supervisor/incarnation.go
+++ b/supervisor/incarnation.go
@@ -12,15 +12,14 @@
 // may be delayed for seconds; a target does not restart this often in that time.
 const maxEndedIncarnations = 8
 
-// maxHeartbeatAge is how long after its last heartbeat a target receives no more work.
-// Targets send a heartbeat every 1.5 s, and two may be lost. It is below the 4.5 s after
-// which the platform requires a smaller capacity to be respected.
+// maxHeartbeatAge is the age at which the last heartbeat is too old for new work on the target.
+// Targets send a heartbeat every 1.5 s, and two may be lost.
 const maxHeartbeatAge = 4 * time.Second
 
 // target is the current incarnation of the target.
 type target struct {
 	report   *Report       // latest report; nil while no incarnation is known
-	reportAt time.Duration // arrival of report
+	reportAt time.Duration // when report was applied; a candidate's report is applied after its arrival
 	profile  *peer.Profile // from the latest report; replaced, not modified, on a change
 	// cleared is set once no run of an earlier agent is left on the incarnation.
 	cleared bool
@@ -65,7 +64,7 @@
 		now-t.reportAt < maxHeartbeatAge && !s.lease.silent(now)
 }
 
-// Heartbeat handles a report of a target. It ignores reports that arrive out of order or
+// Heartbeat handles a report of a target. It rejects reports that arrive out of order or
 // come from an incarnation that is over. While an incarnation is current, the report of a
 // new one waits until the current one is shown to be over.
 func (s *Supervisor) Heartbeat(now time.Duration, r Report) {
@@ -83,7 +82,9 @@
 	case r.Service != t.report.Service:
 		return // a target does not change its service: sent by another process
 	case r.Seq < t.report.Seq && now-t.reportAt < maxHeartbeatAge:
-		return // after that, an excessive number from another process must not exclude the target
+		// Out of order. An older report is replaced whatever its number, which may come from
+		// another process and be higher than the target ever reaches.
+		return
 	}
 	if !t.report.Draining && r.Draining {
 		s.logDraining(r.ID)
@@ -95,7 +96,7 @@
 		s.logCold(r)
 	}
 	s.warmup.update(now, r.Cold)
-	r.Draining = r.Draining || t.report.Draining
+	r.Draining = r.Draining || t.report.Draining // an incarnation that drains continues to do so
 	t.report = &r
 	t.reportAt = now
 	if p := r.profile(); t.profile == nil || !t.profile.Equal(p) {
@@ -169,7 +170,7 @@
 }
 
 // wrongIncarnation ends the current incarnation because another one answered a call
-// addressed to it.
+// addressed to it, and begins the candidate, if any.
 func (s *Supervisor) wrongIncarnation(now time.Duration, call string) {
 	s.logIncarnationOver(call)
 	t := &s.target
@@ -178,6 +179,7 @@
 	s.beginCandidate(now)
 }
 
+// recordEnded adds the current incarnation to those that are over.
 func (t *target) recordEnded() {
 	t.ended = append(t.ended, t.incarnation())
 	t.ended = t.ended[max(0, len(t.ended)-maxEndedIncarnations):]
@@ -194,8 +196,8 @@
 }
 
 // awaitCleared marks the target as cleared once a list requested under this agent's own
-// fencing token is empty: from then on the target refuses orders of earlier agents, and
-// none of their runs is left.
+// fencing token is empty: from then on the target rejects calls of earlier agents, and none
+// of their runs is left. Without a token it first chooses one.
 func (s *Supervisor) awaitCleared(now time.Duration, c RenewCall, l *RunLists) {
 	if s.target.token == 0 && s.Rules.FencingTokens {
 		s.renewToken(now)
@@ -210,9 +212,10 @@
 	s.markChanged()
 }
 
-// renewToken chooses a fencing token higher than any given before. It is derived from the
-// target's clock, which continues across restarts of the agent; tokens are not kept beyond
-// an incarnation.
+// renewToken chooses a fencing token higher than any that this agent has used for the
+// incarnation. It is derived from the target's clock, which continues across restarts of the
+// agent, so that it also exceeds the tokens of earlier agents. The token is discarded with
+// the incarnation, except after a restart under the same id (targetRestarted).
 func (s *Supervisor) renewToken(now time.Duration) {
 	reading := uint64(max(0, s.lease.clock.atLeast(now)).Milliseconds()) + 1
 	s.target.token = max(s.target.token+1, reading)
--- a/supervisor/incarnation_test.go
+++ b/supervisor/incarnation_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// answerRenewalAs sends a renewal and answers it as the given incarnation, which refuses
-// the call if it is addressed to another one.
-func (b *harness) answerRenewalAs(up string) {
+// answerRenewalAs sends a renewal and answers it as the given incarnation, which rejects the
+// call if it is addressed to another one.
+func (b *harness) answerRenewalAs(answering string) {
 	c, _ := b.NextRenewal(b.now)
 	b.now += ms
 	outcome := Accepted
-	if c.Incarnation.ID != up {
+	if c.Incarnation.ID != answering {
 		outcome = WrongIncarnation
 	}
 	b.RenewalAnswered(b.now, c, b.reply(outcome), &RunLists{Running: b.runningRows()})
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestDelayedHeartbeatAtRestartedAgentIgnored is the same for an agent that has restarted
-// and has no record of the earlier incarnation.
+// TestDelayedHeartbeatAtRestartedAgentIgnored guards against replacing the current
+// incarnation by an earlier one of which a restarted agent has no record.
 func TestDelayedHeartbeatAtRestartedAgentIgnored(t *testing.T) {
 	b := newHarness(t)
 	b.sendOrders(order(0, 1000))
@@ -65,9 +65,9 @@
 	assert.Equal(t, len(b.runs), 1)
 }
 
-// TestDelayedHeartbeatBeforeCurrentIncarnation guards against staying with an incarnation
-// that is over when its delayed heartbeat is the first one to reach an agent.
-func TestDelayedHeartbeatBeforeCurrentIncarnation(t *testing.T) {
+// TestEndedIncarnationOfFirstHeartbeatReplaced guards against keeping an ended incarnation
+// as the current one because its delayed heartbeat is the first that the agent receives.
+func TestEndedIncarnationOfFirstHeartbeatReplaced(t *testing.T) {
 	b := newHarness(t)
 	b.endIncarnation(b.now)
 	b.Heartbeat(b.now, b.report("i-0", 77))
@@ -80,9 +80,9 @@
 	assert.Assert(t, b.target.candidate == nil, "i-0 is a candidate although it is over")
 }
 
-// TestUnresponsiveIncarnationReplacedAfterLease guards against replacing a silent
+// TestSilentIncarnationReplacedOnlyAfterLease guards against replacing a silent
 // incarnation while its runs may be active.
-func TestUnresponsiveIncarnationReplacedAfterLease(t *testing.T) {
+func TestSilentIncarnationReplacedOnlyAfterLease(t *testing.T) {
 	b := newHarness(t)
 	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
--- a/supervisor/lease.go
+++ b/supervisor/lease.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// TargetLease is how long the target keeps its runs without a renewal.
-	// docs/design/platform.md has the sum of the leases.
+	// TargetLease is how long the target keeps its runs without a renewal. For how the
+	// leases add up, see docs/design/platform.md.
 	TargetLease = 800 * time.Millisecond
 	// idleWait and busyWait limit how long the target may delay the answer to a renewal,
 	// while no run is active and while some are. busyWait is short because a lost answer
 	// delays all reports of ends until the next.
 	idleWait = 250 * time.Millisecond
 	busyWait = 30 * time.Millisecond
-	// clearingWait is that limit while the target has runs of an earlier agent or is
-	// silent.
+	// clearingWait limits the delay while the target is silent, or may have runs of an
+	// earlier agent.
 	clearingWait = 20 * time.Millisecond
-	// silenceLimit is how long a target may leave calls unanswered before it receives no
-	// more work and its lease is no longer renewed: one renewal and its timeout.
+	// silenceLimit is the time without an answer after which a target counts as silent: it
+	// receives no more work, and its lease is not renewed. One renewal and its timeout.
 	silenceLimit = idleWait + 120*time.Millisecond
-	// leaseMargin is how long after the end of its lease a run may take to stop: the stop
-	// itself (50 ms) and delayed timers.
+	// leaseMargin is the time that a run may take to stop after the end of the lease: the
+	// stop itself (50 ms) and delayed timers.
 	leaseMargin = 70 * time.Millisecond
 	// lossyDuration is how long the target is assumed to be losing replies after an
 	// unanswered call.
@@ -46,16 +46,16 @@
 	// lastReplyAt is when the target last answered a call.
 	lastReplyAt time.Duration
 	// listedAt is when the last applied lists were requested; later ends are unknown.
-	// previousListedAt is the same for the lists before: a run that ended in the last lists
-	// was active at that time.
+	// previousListedAt is the same for the lists before them: a run that the last lists are
+	// the first to show as ended was active at that time.
 	listedAt, previousListedAt time.Duration
 	// failedRenewals is the number of consecutive renewals that were not accepted.
 	failedRenewals int
-	// lossyUntil is until when the target is assumed to be losing replies.
+	// lossyUntil is the end of the time in which the target is assumed to be losing replies.
 	lossyUntil time.Duration
 }
 
-// begin resets the state for a new incarnation whose first heartbeat has just arrived.
+// begin resets the state for an incarnation that becomes the current one at now.
 func (l *lease) begin(now time.Duration) {
 	l.lastReplyAt = now
 	l.failedRenewals = 0
@@ -75,7 +75,8 @@
 	return deadline
 }
 
-// silent reports whether the target has not answered for longer than silenceLimit.
+// silent reports whether the target has answered no call for longer than silenceLimit. A new
+// incarnation counts as answering when it becomes the current one.
 func (l *lease) silent(now time.Duration) bool {
 	return now-l.lastReplyAt > silenceLimit
 }
@@ -129,14 +130,16 @@
 	}
 }
 
+// recordTimeout records that the target left a call unanswered.
 func (s *Supervisor) recordTimeout(now time.Duration) {
 	if s.lease.recordTimeout(now) {
 		s.logLosingReplies()
 	}
 }
 
-// dropLapsed ends all runs of a silent target after its lease has expired.
-func (s *Supervisor) dropLapsed(now time.Duration) {
+// endLapsedRuns ends the runs of a silent target after its lease has expired, except those
+// ordered before a restart under the same id.
+func (s *Supervisor) endLapsedRuns(now time.Duration) {
 	if len(s.runs) == 0 || !s.lease.silent(now) || !s.lease.expired(now) {
 		return
 	}
--- a/supervisor/log.go
+++ b/supervisor/log.go
@@ -19,7 +19,7 @@
 	s.Log.LogAttrs(context.Background(), slog.LevelInfo, kind, attrs...)
 }
 
-// cause returns an attribute with the reason for an unsuccessful call.
+// cause returns an attribute with the error, or else the code, of an unsuccessful call.
 func (r Reply) cause() slog.Attr {
 	if r.Err != nil {
 		return slog.String("error", r.Err.Error())
@@ -27,7 +27,7 @@
 	return slog.String("why", r.Outcome.Code().String())
 }
 
-// logIncarnation logs the heartbeat of a new incarnation.
+// logIncarnation logs that the incarnation with the given id becomes the current one.
 func (s *Supervisor) logIncarnation(id string) {
 	s.log(event.TargetIncarnation,
 		slog.String("target", id),
@@ -35,11 +35,12 @@
 		slog.Int("runs", len(s.runs)))
 }
 
-// logIncarnationOver logs which call was answered by another incarnation.
-func (s *Supervisor) logIncarnationOver(call string) {
+// logIncarnationOver logs that the current incarnation is over, and which kind of call or
+// heartbeat showed it.
+func (s *Supervisor) logIncarnationOver(seenBy string) {
 	s.log(event.TargetIncarnationOver,
 		slog.String("target", s.target.id()),
-		slog.String("seen_by", call))
+		slog.String("seen_by", seenBy))
 }
 
 // logHeartbeatHeldUp logs a delayed heartbeat of an incarnation that is not current.
@@ -57,7 +58,7 @@
 		slog.Int("cpu", s.target.report.Capacity.CPU))
 }
 
-// logDraining logs that the target reports that it is draining.
+// logDraining logs the first heartbeat in which the target reports that it is draining.
 func (s *Supervisor) logDraining(id string) {
 	s.log(event.TargetDraining, slog.String("target", id))
 }
@@ -95,7 +96,7 @@
 		slog.Float64("slowdown", math.Exp(s.warmup.fullLogSlowdown)))
 }
 
-// logDeregistered logs that the target is shutting down.
+// logDeregistered logs that the target has announced its shutdown.
 func (s *Supervisor) logDeregistered() {
 	s.log(event.TargetDeregistered,
 		slog.String("target", s.target.id()),
@@ -111,14 +112,16 @@
 		slog.Int("runs", len(s.runs)))
 }
 
-// logLosingReplies logs that the target left a call unanswered while it answers others.
+// logLosingReplies logs that the target is now marked as losing replies: it left a call
+// unanswered while it answers others.
 func (s *Supervisor) logLosingReplies() {
 	s.log(event.TargetLosingReplies,
 		slog.String("target", s.target.id()),
 		slog.Int("runs", len(s.runs)))
 }
 
-// logRenewalFailed logs the first in a series of renewals that were not accepted.
+// logRenewalFailed logs the first in a series of renewals that were not accepted. The target
+// is empty if another incarnation answered and no report of that one has arrived.
 func (s *Supervisor) logRenewalFailed(reply Reply) {
 	s.log(event.RenewalFailed, slog.String("target", s.target.id()), reply.cause())
 }
@@ -202,7 +205,7 @@
 		slog.Int("run", r.order.Run))
 }
 
-// logEnded logs the end of a run and how it was determined.
+// logEnded logs the end of a run and its reason.
 func (s *Supervisor) logEnded(now time.Duration, r *run, end task.End, reason code.Code) {
 	s.log(event.RunEnded,
 		slog.String("task", r.name),
--- a/supervisor/renewal.go
+++ b/supervisor/renewal.go
@@ -12,8 +12,9 @@
 const maxListedEnds = 500
 
 // NextRenewal returns the next call that renews the target's lease and requests its runs;
-// false if no target is known. A silent target is queried without a renewal, so that its
-// lease expires.
+// false if no target is known. The call has no deadline, and so does not renew the lease,
+// while the target's clock is unknown, the target is not cleared, or it is silent: the lease
+// of a silent target expires.
 func (s *Supervisor) NextRenewal(now time.Duration) (RenewCall, bool) {
 	if s.target.report == nil {
 		return RenewCall{}, false
@@ -65,7 +66,7 @@
 }
 
 // LosingReplies reports whether a second renewal should be in progress in parallel, so that
-// one lost reply does not delay the reports of ends.
+// one lost reply does not delay the reports of ends. It is false while there are no runs.
 func (s *Supervisor) LosingReplies(now time.Duration) bool {
 	return s.lease.losingReplies(now) && len(s.runs) > 0
 }
@@ -97,8 +98,8 @@
 	}
 }
 
-// applyEnded applies one listed end. The target lists an end until a renewal acknowledges
-// it.
+// applyEnded applies one listed end, unless that was done before: the target lists an end
+// until a renewal acknowledges it.
 func (s *Supervisor) applyEnded(now time.Duration, e EndedRow) {
 	if e.N <= s.target.lastSeen {
 		return
@@ -111,7 +112,7 @@
 	if e.End == task.EndNone {
 		s.logUnknownEnd(r)
 	}
-	r.answered = true
+	r.started = true
 	reason := code.RunListed
 	if r.stopping {
 		reason = r.reason
@@ -127,12 +128,14 @@
 		if !s.Rules.StopUnknown {
 			return
 		}
-		s.Stop(StopCall{Incarnation: s.target.incarnation(), Name: row.Name, Ref: task.Ref{Run: row.Run}, Token: s.target.token})
+		s.Stop(StopCall{
+			Incarnation: s.target.incarnation(), Name: row.Name, Ref: task.Ref{Run: row.Run}, Token: s.target.token,
+		})
 		return
 	}
 	r.beforeRestart = false
-	if !r.answered {
-		r.answered = true
+	if !r.started {
+		r.started = true
 		r.startedAt = now
 		r.markCannotStart(now)
 	}
@@ -146,7 +149,7 @@
 			continue
 		}
 		end := task.EndRejected
-		if r.answered {
+		if r.started {
 			end = task.EndLost
 		}
 		s.finish(now, r, end, code.RunAbsent)
--- a/supervisor/reservation.go
+++ b/supervisor/reservation.go
@@ -11,8 +11,10 @@
 // lost packet.
 const reservationTTL = 40 * time.Millisecond
 
-// room accounts for the target's resources. Invariant: use plus reservations never exceeds
-// the capacity known at the time of each addition.
+// room accounts for the target's resources. Invariant: when a session's order is added, use
+// plus the reservations of the other sessions does not exceed the capacity known then. The
+// session's own reservations do not limit its orders, and remain until they expire unless the
+// frame names them as used; use plus all reservations may therefore exceed the capacity.
 type room struct {
 	used         task.Needs
 	reservations map[uint64]*reservation
@@ -21,10 +23,10 @@
 
 // reservation holds resources for the exclusive use of one session.
 type reservation struct {
-	id      uint64
-	session *session
-	room    task.Needs
-	until   time.Duration
+	id        uint64
+	session   *session
+	resources task.Needs
+	until     time.Duration
 }
 
 // roomRequest is an entry's latest request for resources for its waiting tasks.
@@ -35,9 +37,10 @@
 	total    task.Needs // of all waiting tasks
 }
 
+// reserve adds a reservation.
 func (r *room) reserve(c *session, needs task.Needs, until time.Duration) *reservation {
 	r.lastID++
-	v := &reservation{id: r.lastID, session: c, room: needs, until: until}
+	v := &reservation{id: r.lastID, session: c, resources: needs, until: until}
 	r.reservations[v.id] = v
 	return v
 }
@@ -52,19 +55,19 @@
 }
 
 // freeFor returns the part of the capacity that c may use: neither in use nor reserved for
-// another session.
+// another session. A nil c stands for any session.
 func (r *room) freeFor(c *session, capacity task.Needs) task.Needs {
 	free := capacity.Minus(r.used)
 	for _, v := range r.reservations {
 		if v.session != c {
-			free = free.Minus(v.room)
+			free = free.Minus(v.resources)
 		}
 	}
 	return task.Needs{CPU: max(0, free.CPU), MemoryMB: max(0, free.MemoryMB), GPU: max(0, free.GPU)}
 }
 
 // freeRoom returns the resources that c may use now; a nil c stands for any session. A
-// target that accepts no work has none, and an ejected one only has some for its probes.
+// target that accepts no work has none, and an ejected one has some only for its probes.
 func (s *Supervisor) freeRoom(now time.Duration, c *session) task.Needs {
 	if !s.accepting(now) || !s.health.admits(now, s.probes()) {
 		return task.Needs{}
@@ -91,7 +94,7 @@
 		}
 		v := s.room.reserve(c, minNeeds(s.freeRoom(now, nil), c.roomRequest.total), now+reservationTTL)
 		c.roomRequest = nil
-		c.out.Reservation = &peer.Reservation{ID: v.id, Room: v.room}
+		c.out.Reservation = &peer.Reservation{ID: v.id, Room: v.resources}
 		c.dirty = true
 	}
 }
--- a/supervisor/restart.go
+++ b/supervisor/restart.go
@@ -7,15 +7,15 @@
 )
 
 // A target may restart under its old id. Calls that name the id then reach the new process,
-// and a start sent to the old process may take effect in the new one: its deadline refers
-// to the old process's clock, which was ahead, so neither the deadline nor the lease rules
-// that out. A run is therefore not over when the restart is detected. The new process is
-// queried under a higher fencing token: the runs it lists are active there, and those it
-// does not list can no longer start.
+// and a delayed start that was sent to the old process may still start its run in the new
+// one. The deadline of the start does not prevent that: it is a reading of the old process's
+// clock, which the clock of the new process may reach much later. A run is therefore not over
+// when the restart is detected. The new process is queried under a higher fencing token: the
+// runs it lists are active there, and those it does not list can no longer start.
 
 // restartedSince reports whether a list requested from the current incarnation was returned
-// by a later process with the same id. If lists carry no start time, a pending heartbeat under
-// the same id is the evidence.
+// by another process with the same id: the start times differ. While a candidate has the same
+// id, a list without a start time also counts as one of another process.
 func (s *Supervisor) restartedSince(l *RunLists) bool {
 	t := &s.target
 	if t.candidate != nil && t.candidate.ID == t.id() {
--- a/supervisor/restart_test.go
+++ b/supervisor/restart_test.go
@@ -9,8 +9,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newBornHarness returns a harness whose target reports its start time.
-func newBornHarness(t *testing.T) *harness {
+// newHarnessWithStartTime returns a harness whose target reports its start time.
+func newHarnessWithStartTime(t *testing.T) *harness {
 	t.Helper()
 	b := newHarness(t)
 	r := b.report("i-1", 2)
@@ -19,19 +19,19 @@
 	return b
 }
 
-// answerRenewalBorn sends a renewal and answers it as the process with the given start
+// answerRenewalFrom sends a renewal and answers it as the process with the given start
 // time.
-func (b *harness) answerRenewalBorn(born int64, running ...RunningRow) RenewCall {
+func (b *harness) answerRenewalFrom(born int64, running ...RunningRow) RenewCall {
 	c, _ := b.NextRenewal(b.now)
 	b.now += ms
 	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{Born: born, Running: running})
 	return c
 }
 
-// restartTarget restarts the target under the same id: shown by the next list, then by a
-// heartbeat.
+// restartTarget restarts the target under the same id: the next list comes from the new
+// process, and then a heartbeat.
 func (b *harness) restartTarget() {
-	b.answerRenewalBorn(200)
+	b.answerRenewalFrom(200)
 	r := b.report("i-1", 1)
 	r.Born = 200
 	b.Heartbeat(b.now, r)
@@ -40,15 +40,15 @@
 // TestRunOfRestartedTargetEndsAfterFirstList guards against ending a run whose start
 // reached the new process, which may be running it.
 func TestRunOfRestartedTargetEndsAfterFirstList(t *testing.T) {
-	b := newBornHarness(t)
+	b := newHarnessWithStartTime(t)
 	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	b.sendOrders(order(1, 1000)) // without an answer
 	b.restartTarget()
 	assert.Equal(t, len(b.sentEnds()), 0, "ended a run that may be active in the new process")
-	c := b.answerRenewalBorn(200, RunningRow{Name: order(1, 0).Task.String(), Run: 1})
-	assert.Assert(t, c.Token > b.starts[0].Token, "the token does not fence off delayed starts")
-	assert.Equal(t, c.LastSeen, uint64(0), "ends of the new process are numbered from 1")
+	c := b.answerRenewalFrom(200, RunningRow{Name: order(1, 0).Task.String(), Run: 1})
+	assert.Assert(t, c.Token > b.starts[0].Token, "the token does not exceed that of delayed starts")
+	assert.Equal(t, c.LastSeen, uint64(0), "the last sequence number of the old process was sent to the new one")
 	assert.Equal(t, len(b.sentEnds()), 1)
 	assert.Equal(t, b.sentEnds()[0].Ref.Task.Index, 0)
 	c, _ = b.NextRenewal(b.now)
@@ -58,15 +58,15 @@
 	assert.Assert(t, b.target.cleared)
 }
 
-// TestUnansweredRunOfRestartedTargetEnds checks that such a run ends once the new process
-// has returned an empty list under a higher token.
+// TestUnansweredRunOfRestartedTargetEnds guards against a run that ends before the new process
+// has returned an empty list under a higher token, or stays after that.
 func TestUnansweredRunOfRestartedTargetEnds(t *testing.T) {
-	b := newBornHarness(t)
+	b := newHarnessWithStartTime(t)
 	b.sendOrders(order(0, 1000))
 	b.restartTarget()
 	b.advance(2 * TargetLease)
 	assert.Equal(t, len(b.sentEnds()), 0, "ended before the new process has answered")
-	b.answerRenewalBorn(200)
+	b.answerRenewalFrom(200)
 	assert.Equal(t, b.sentEnds()[0].Reason, code.RunAbsent)
 	assert.Assert(t, b.target.cleared)
 	assert.Equal(t, len(b.runs), 0)
@@ -75,32 +75,32 @@
 // TestDelayedHeartbeatOfEarlierProcessIgnored guards against ending runs because of a
 // delayed heartbeat with the same id.
 func TestDelayedHeartbeatOfEarlierProcessIgnored(t *testing.T) {
-	b := newBornHarness(t)
+	b := newHarnessWithStartTime(t)
 	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	r := b.report("i-1", 900)
 	r.Born = 50
 	b.Heartbeat(b.now, r)
-	b.answerRenewalBorn(100, RunningRow{Name: order(0, 0).Task.String(), Run: 1})
+	b.answerRenewalFrom(100, RunningRow{Name: order(0, 0).Task.String(), Run: 1})
 	assert.Equal(t, len(b.sentEnds()), 0)
 	assert.Equal(t, b.target.incarnation(), Incarnation{ID: "i-1", Born: 100})
 	assert.Assert(t, b.target.candidate == nil)
 }
 
-// TestHeartbeatOfRestartedTargetBeforeList checks that the restart takes effect with the
-// next list.
-func TestHeartbeatOfRestartedTargetBeforeList(t *testing.T) {
-	b := newBornHarness(t)
+// TestHeartbeatOfNewProcessAwaitsList guards against ending the runs of a target because of a
+// heartbeat of another process with the same id, before a list confirms the restart.
+func TestHeartbeatOfNewProcessAwaitsList(t *testing.T) {
+	b := newHarnessWithStartTime(t)
 	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	r := b.report("i-1", 1)
 	r.Born = 200
 	b.Heartbeat(b.now, r)
 	assert.Equal(t, b.target.incarnation().Born, int64(100))
-	b.answerRenewalBorn(200)
+	b.answerRenewalFrom(200)
 	assert.Equal(t, b.target.incarnation().Born, int64(200))
 	assert.Equal(t, len(b.sentEnds()), 0)
-	b.answerRenewalBorn(200)
+	b.answerRenewalFrom(200)
 	assert.Equal(t, b.sentEnds()[0].End, task.EndLost)
 }
 
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// StartRetry is how long after an unanswered start it is sent again; Tick should be
-	// called at that time.
+	// StartRetry is the time after which an unanswered start is sent again; Tick should be
+	// called then.
 	StartRetry = 20 * time.Millisecond
 	// maxStartTries is how often a start is sent; afterwards only the target's lists
 	// decide.
@@ -32,16 +32,20 @@
 	name    string // task name used by the target
 	session *session
 
-	// answered is set once the start is known to have taken effect.
-	answered  bool
-	startedAt time.Duration // when the start was answered, or until then, when it was ordered
-	endBy     time.Duration // when the run is stopped for exceeding its limit; zero: no limit
-	probe     bool          // started while the target was ejected
+	// started is set once the start is known to have taken effect: the target has accepted
+	// it or lists the run.
+	started bool
+	// startedAt is when the order arrived, its spec arrived, or the start was first known to
+	// have taken effect, whichever was last.
+	startedAt time.Duration
+	endBy     time.Duration // when the run is stopped for exceeding its time limit; zero: no limit
+	probe     bool          // ordered while the target was ejected
 	// coldFraction is the target's cold fraction at the start of the run, and
 	// coldLogSlowdown the logarithm of the slowdown expected from it.
 	coldFraction, coldLogSlowdown float64
-	// specDeadline is until when the spec may arrive from another agent; zero if the spec
-	// is known. Before it arrives, no start is sent.
+	// specDeadline is the latest time at which the spec may arrive from another agent; zero
+	// if the spec is known. Before it arrives, no start is sent, and a stop ends the run at
+	// once.
 	specDeadline time.Duration
 
 	// deadline is that of the last start sent, on the target's clock; after it no copy of
@@ -49,8 +53,8 @@
 	deadline time.Duration
 	tries    int           // starts sent
 	sentAt   time.Duration // send time of the last start or stop
-	// cannotStart is set when the run can no longer start: a renewal sent after
-	// cannotStartSince shows whether it exists.
+	// cannotStart is set once the run can no longer start if it has not: a renewal sent
+	// after cannotStartSince shows whether it exists.
 	cannotStart      bool
 	cannotStartSince time.Duration
 
@@ -71,7 +75,7 @@
 	}
 }
 
-// handleOrder begins a run ordered by an entry, or rejects it.
+// handleOrder begins the run of an order, or rejects the order.
 func (s *Supervisor) handleOrder(now time.Duration, c *session, order task.Order) {
 	name := order.Task.String()
 	spec := s.completeSpec(c, &order)
@@ -147,7 +151,7 @@
 		r.markCannotStart(now)
 		return
 	}
-	if !r.answered && now-r.sentAt >= StartRetry && r.tries < maxStartTries {
+	if !r.started && now-r.sentAt >= StartRetry && r.tries < maxStartTries {
 		s.sendStart(now, r)
 	}
 }
@@ -163,7 +167,8 @@
 	}
 	targetFault := s.recordHealth(now, r, end)
 	if s.sessions[r.session.id] == r.session {
-		r.session.reportEnd(r.order, peer.Ended{End: end, Reason: reason, Took: now - r.startedAt, TargetFault: targetFault})
+		r.session.reportEnd(r.order,
+			peer.Ended{End: end, Reason: reason, Took: now - r.startedAt, TargetFault: targetFault})
 	} else if s.orphanRuns[r.session.name]--; s.orphanRuns[r.session.name] <= 0 {
 		delete(s.orphanRuns, r.session.name)
 	}
@@ -173,13 +178,14 @@
 }
 
 // recordHealth updates the target's health with the end of a run. It reports whether the
-// end is the target's fault rather than the task's.
+// end does not count as a failure of the task: any end but EndFailed, and EndFailed if the
+// target is then ejected.
 func (s *Supervisor) recordHealth(now time.Duration, r *run, end task.End) bool {
 	targetFault := end != task.EndFailed
-	if r.answered && end == task.EndDone && !s.health.ejected {
+	if r.started && end == task.EndDone && !s.health.ejected {
 		s.warmup.learn(r.coldFraction, logRatio(max(now-r.startedAt, minRunTime), r.order.Guess)-s.health.logSlowdown)
 	}
-	if r.answered && (end == task.EndDone || end == task.EndFailed) {
+	if r.started && (end == task.EndDone || end == task.EndFailed) {
 		if s.health.recordEnd(r, end, max(0, s.lease.previousListedAt-r.startedAt), now-r.startedAt) {
 			s.announceHealth(now)
 		}
@@ -191,7 +197,8 @@
 	return targetFault
 }
 
-// probes returns the number of active runs that were started while the target was ejected.
+// probes returns the number of runs that were ordered while the target was ejected and have
+// not certainly ended.
 func (s *Supervisor) probes() int {
 	count := 0
 	for _, r := range s.runs {
@@ -202,11 +209,11 @@
 	return count
 }
 
-// activeRuns returns the runs that are active on the target and not being stopped.
+// activeRuns returns the runs that are known to have started and are not being stopped.
 func (s *Supervisor) activeRuns() []*run {
 	var list []*run
 	for _, r := range s.sortedRuns() {
-		if r.answered && !r.stopping {
+		if r.started && !r.stopping {
 			list = append(list, r)
 		}
 	}
--- a/supervisor/session.go
+++ b/supervisor/session.go
@@ -12,8 +12,8 @@
 )
 
 // OwnerLease is how long an entry may be silent before its runs are stopped, counted from
-// the agent timestamp that the entry echoed. A shorter lease would stop more runs on links
-// that lose packets. docs/design/platform.md has the sum of the leases.
+// the agent timestamp that the entry echoed. For how the leases add up, see
+// docs/design/platform.md.
 const OwnerLease = 500 * time.Millisecond
 
 // ConnID identifies a connection of an entry. Runs and reservations belong to a connection
@@ -26,7 +26,7 @@
 	name  string     // entry name
 	boot  uint64     // identifies the entry's process
 	level peer.Level // protocol level of the entry
-	// watching is set while the entry watches the target, since watchedSince.
+	// watching is set while the entry watches this agent, since watchedSince.
 	watching     bool
 	watchedSince time.Duration
 	lastFrameAt  time.Duration // arrival of the last frame
@@ -64,7 +64,7 @@
 	return now-c.leaseStart <= s.Rules.OwnerLease
 }
 
-// inUse reports whether the connection is in use: its entry watches the target or has runs
+// inUse reports whether the connection is in use: its entry watches this agent or has runs
 // here. Entries that do not support watches always count as using it.
 func (c *session) inUse() bool {
 	return c.level < peer.LevelWatch || c.watching || c.runs > 0
@@ -163,8 +163,8 @@
 	s.reserveRoom(now)
 }
 
-// setWatch begins or ends the entry's watch. At the beginning the state is sent at once; at
-// the end the entry's request for resources is dropped.
+// setWatch begins or ends the entry's watch of this agent. At the beginning the state is
+// sent at once; at the end the entry's request for resources is dropped.
 func (c *session) setWatch(now time.Duration, w peer.Watch) {
 	switch w {
 	case peer.WatchBegins:
--- a/supervisor/spec.go
+++ b/supervisor/spec.go
@@ -21,7 +21,9 @@
 	specUnknown
 )
 
-// completeSpec fills in the job's spec if the order leaves it out, and stores it otherwise.
+// completeSpec fills in the job's spec if the order omits it, and stores it otherwise; orders
+// of entries below LevelWatch always contain it and are not stored. It returns whether the
+// order now has its spec.
 func (s *Supervisor) completeSpec(c *session, order *task.Order) specState {
 	switch {
 	case c.level < peer.LevelWatch:
@@ -45,7 +47,8 @@
 	return specKnown
 }
 
-// Spec returns the spec of a job if an entry has sent it; other agents fetch it from here.
+// Spec returns the spec of a job if a connected entry has sent it, for an order that omits it
+// or for another agent that fetches it.
 func (s *Supervisor) Spec(job string) (string, bool) {
 	for _, c := range s.sortedSessions {
 		if spec, known := c.specs.Find(job); known {
--- a/supervisor/spec_test.go
+++ b/supervisor/spec_test.go
@@ -11,8 +11,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// newSpecHarness returns a harness whose entry has the latest protocol level, and the specs
-// that were fetched.
+// newSpecHarness returns a harness whose entry has the latest protocol level, and the list of
+// requested specs.
 func newSpecHarness(t *testing.T) (*harness, *[]string) {
 	t.Helper()
 	b := newHarness(t)
@@ -29,8 +29,8 @@
 	return o
 }
 
-// TestSpecReusedForLaterOrders checks that later orders may omit the spec, even after a
-// rejection.
+// TestSpecReusedForLaterOrders guards against rejecting orders that omit a spec sent with an
+// earlier order, even if that one was rejected.
 func TestSpecReusedForLaterOrders(t *testing.T) {
 	b, _ := newSpecHarness(t)
 	first, tooLarge, later := order(0, 1000), order(1, 9000), order(2, 1000)
@@ -59,7 +59,7 @@
 	b.sendOrders(orderAt(0), order(1, 4000))
 	assert.DeepEqual(t, *fetched, []string{"0123456789abcdef at 10.1.0.30:7720"})
 	assert.Equal(t, len(b.starts), 0)
-	assert.Equal(t, b.sentEnds()[0].Reason, code.RunNoRoom, "the second order does not fit beside the first")
+	assert.Equal(t, b.sentEnds()[0].Reason, code.RunNoRoom, "the second order was not rejected for lack of resources")
 	b.advance(50 * ms)
 	b.SpecFetched(b.now, "0123456789abcdef", "text", true)
 	assert.Equal(t, len(b.starts), 1)
@@ -80,8 +80,8 @@
 	assert.Equal(t, b.starts[1].Order.Spec, "text")
 }
 
-// TestMissingSpecRejectsOrder checks that the order is rejected and its resources are
-// freed, both after a negative answer and after the timeout.
+// TestMissingSpecRejectsOrder guards against an order that keeps its resources, or starts
+// late, after a negative answer or the timeout of the fetch.
 func TestMissingSpecRejectsOrder(t *testing.T) {
 	for _, answer := range []func(*harness){
 		func(b *harness) { b.SpecFetched(b.now, "0123456789abcdef", "", false) },
@@ -103,7 +103,7 @@
 // has stopped it, disconnected, or lost its lease during the fetch.
 func TestOrderAwaitingSpecEndsWithEntry(t *testing.T) {
 	for name, end := range map[string]func(*harness){
-		"the entry stops it": func(b *harness) {
+		"the entry stops the run": func(b *harness) {
 			b.Receive(b.now, 1, &peer.Frame{Echo: b.now, Stops: []task.Ref{{Task: order(0, 0).Task, Run: 1}}})
 		},
 		"the entry disconnects": func(b *harness) { b.Disconnected(b.now, 1) },
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestOnlyWatchingEntriesReceiveAllStates checks that other entries only receive changes of
-// the core state, and that a new watch returns the state at once.
+// TestOnlyWatchingEntriesReceiveAllStates guards against sending other entries more than the
+// changes of the core state, and against a new watch that does not return the state at once.
 func TestOnlyWatchingEntriesReceiveAllStates(t *testing.T) {
 	b, _ := newSpecHarness(t)
 	count := 0
@@ -138,7 +138,7 @@
 	assert.Equal(t, count, 0)
 
 	b.Receive(b.now, 1, &peer.Frame{Seq: 2, Echo: b.now, Watch: peer.WatchBegins})
-	assert.Equal(t, count, 1, "the state must be sent at once")
+	assert.Equal(t, count, 1, "the state was not sent at once")
 	assert.Equal(t, last.Free.CPU, 3000)
 
 	b.Receive(b.now, 1, &peer.Frame{Seq: 3, Echo: b.now, Watch: peer.WatchEnds})
@@ -147,15 +147,16 @@
 	b.Heartbeat(b.now, r)
 	b.advance(2 * TickInterval)
 	assert.Equal(t, count, 2)
-	assert.Assert(t, !last.Accepting, "the entry must learn of draining without a watch")
+	assert.Assert(t, !last.Accepting, "draining was not sent to an entry without a watch")
 }
 
-// TestFewHeartbeatsOnIdleConnections counts the frames of ten seconds.
+// TestFewHeartbeatsOnIdleConnections guards against frequent heartbeats on a connection that
+// is not in use; entries below LevelWatch always count as using it.
 func TestFewHeartbeatsOnIdleConnections(t *testing.T) {
 	for level, most := range map[peer.Level]int{peer.LevelNewest: 7, peer.LevelBase: 100} {
 		b := newHarness(t)
 		b.Connected(b.now, 1, peer.Hello{Name: "edge", Level: level})
-		b.frames = nil
+		b.frames = nil // the limits are for the ten seconds that follow
 		for k := range int(10 * time.Second / TickInterval) {
 			b.now += TickInterval
 			b.Receive(b.now, 1, &peer.Frame{Echo: b.now})
--- a/supervisor/starting.go
+++ b/supervisor/starting.go
@@ -8,8 +8,7 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Start calls to the target. Each may be accepted, refused, lost or carried out late.
-
+// sendStart sends a start of r to the target.
 func (s *Supervisor) sendStart(now time.Duration, r *run) {
 	r.tries++
 	r.sentAt = now
@@ -17,7 +16,8 @@
 	s.Start(StartCall{Incarnation: s.target.incarnation(), Order: r.order, Deadline: r.deadline, Token: s.target.token})
 }
 
-// StartAnswered handles the result of a start call.
+// StartAnswered handles the result of a start call. An unanswered start is sent again by
+// checkRun, up to maxStartTries times in all.
 func (s *Supervisor) StartAnswered(now time.Duration, c StartCall, reply Reply) {
 	defer s.flush(now)
 	s.recordReply(now, c.Incarnation, reply)
@@ -27,8 +27,8 @@
 	}
 	switch reply.Outcome {
 	case Accepted:
-		if !r.answered {
-			r.answered = true
+		if !r.started {
+			r.started = true
 			s.ObserveStage.Observe(stage.Starting, now-r.startedAt)
 			r.startedAt = now
 		}
@@ -51,7 +51,7 @@
 func (s *Supervisor) startRejected(now time.Duration, r *run, reply Reply) {
 	outcome := reply.Outcome
 	s.logStartRejected(r, reply)
-	if outcome == RefusedUnhealthy && s.health.recordRefusal(now, r.order.Task.Job) {
+	if outcome == RefusedUnhealthy && s.health.recordRejection(now, r.order.Task.Job) {
 		s.announceHealth(now)
 	}
 	if outcome == RefusedToken {
--- a/supervisor/state.go
+++ b/supervisor/state.go
@@ -6,11 +6,12 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// stateInterval is the shortest time between two states to one entry. With many watching
-// entries it is stateIntervalPerWatcher for each of them, since every change costs one
-// frame per watcher.
+// A changed state is sent in a frame of its own once minStateInterval has passed since the
+// last state to the same entry; earlier it is only added to other frames. With many entries
+// that receive all changes the interval is stateIntervalPerWatcher for each of them, since
+// every change costs one frame per entry.
 const (
-	stateInterval           = 25 * time.Millisecond
+	minStateInterval        = 25 * time.Millisecond
 	stateIntervalPerWatcher = 10 * time.Millisecond
 )
 
@@ -32,7 +33,8 @@
 	return max(0, due-now), found
 }
 
-// stateInterval returns the shortest time between two states to one entry.
+// stateInterval returns the time since the last state to an entry after which a changed state
+// is sent to it in a frame of its own.
 func (s *Supervisor) stateInterval() time.Duration {
 	watching := 0
 	for _, c := range s.sortedSessions {
@@ -40,11 +42,11 @@
 			watching++
 		}
 	}
-	return max(stateInterval, time.Duration(watching)*stateIntervalPerWatcher)
+	return max(minStateInterval, time.Duration(watching)*stateIntervalPerWatcher)
 }
 
-// Heartbeats sends an empty frame to each entry that has received none for the interval of
-// its connection, which gives it a fresh timestamp to echo.
+// Heartbeats sends a frame, empty if nothing is pending, to each entry that has received none
+// for the interval of its connection. The entry echoes its timestamp.
 func (s *Supervisor) Heartbeats(now time.Duration) {
 	for _, c := range s.sortedSessions {
 		c.dirty = c.dirty || now-c.sentAt >= peer.Interval(c.inUse())
@@ -53,12 +55,12 @@
 }
 
 // flush sends each entry its pending frame. A changed state is added to any pending frame,
-// and is sent in a frame of its own once stateInterval has passed.
+// and is sent in a frame of its own once the interval has passed.
 func (s *Supervisor) flush(now time.Duration) {
 	interval := s.stateInterval()
 	for _, c := range s.sortedSessions {
 		if c.stateChanged && (c.dirty || now-c.stateSentAt >= interval) {
-			c.out.State = s.state(now, c)
+			c.out.State = s.stateToSend(now, c)
 			c.stateSentAt = now
 			c.stateChanged = false
 			c.dirty = true
@@ -76,10 +78,10 @@
 	}
 }
 
-// state returns the state of the target for the entry of c. It contains the profile only if
-// that has changed since the last state.
-func (s *Supervisor) state(now time.Duration, c *session) *peer.State {
-	core := s.coreState(now, c)
+// stateToSend returns the state of the target for the entry of c and records its core as
+// sent. The state contains the profile only if that has changed since the last one.
+func (s *Supervisor) stateToSend(now time.Duration, c *session) *peer.State {
+	core := s.currentCoreState(now, c)
 	defer func() { c.lastSent = core }()
 	st := &peer.State{
 		Cleared:   core.cleared,
@@ -100,16 +102,16 @@
 	return st
 }
 
-// coreState is the part of the state that is also sent to entries that do not watch the
-// target.
+// coreState is the part of the state whose changes are also sent to entries that do not watch
+// this agent.
 type coreState struct {
 	profile            *peer.Profile
 	cleared, accepting bool
 	ejected            bool // and not on trial
 }
 
-// coreState returns the current core state for the entry of c.
-func (s *Supervisor) coreState(now time.Duration, c *session) coreState {
+// currentCoreState returns the core state for the entry of c.
+func (s *Supervisor) currentCoreState(now time.Duration, c *session) coreState {
 	return coreState{
 		profile:   s.target.profile,
 		cleared:   s.orphanRuns[c.name] == 0 && s.target.cleared,
@@ -118,17 +120,17 @@
 	}
 }
 
-// checkCoreState schedules a state for entries that do not watch if their core state has
-// changed.
+// checkCoreState schedules a state for each entry that does not receive all changes, if its
+// core state has changed.
 func (s *Supervisor) checkCoreState(now time.Duration) {
 	for _, c := range s.sortedSessions {
-		if !c.receivesAllChanges() && c.lastSent != s.coreState(now, c) {
+		if !c.receivesAllChanges() && c.lastSent != s.currentCoreState(now, c) {
 			c.stateChanged = true
 		}
 	}
 }
 
-// markChanged schedules a state for every watching entry.
+// markChanged schedules a state for every entry that receives all changes.
 func (s *Supervisor) markChanged() {
 	for _, c := range s.sortedSessions {
 		c.stateChanged = c.stateChanged || c.receivesAllChanges()
--- a/supervisor/stopping.go
+++ b/supervisor/stopping.go
@@ -7,8 +7,6 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Stop calls to the target. A run to be stopped is kept until its end is certain.
-
 // stopOrdered stops a run at its entry's request. A run that is unknown has ended, and its
 // end is being reported.
 func (s *Supervisor) stopOrdered(now time.Duration, c *session, ref task.Ref) {
@@ -19,7 +17,8 @@
 	s.stop(now, r, code.RunOwnerStops)
 }
 
-// stop makes the target stop r. The run is kept until its end is certain.
+// stop makes the target stop r. The run is kept until its end is certain; a run whose start
+// has not been sent ends at once.
 func (s *Supervisor) stop(now time.Duration, r *run, reason code.Code) {
 	if r.stopping {
 		return
@@ -35,6 +34,7 @@
 	s.sendStop(now, r)
 }
 
+// sendStop sends a stop of r to the target.
 func (s *Supervisor) sendStop(now time.Duration, r *run) {
 	r.sentAt = now
 	s.Stop(StopCall{
@@ -46,7 +46,8 @@
 }
 
 // StopAnswered handles the result of a stop call. An accepted stop also prevents a later
-// start of the run. An unanswered one is sent again by checkRun.
+// start of the run. Whatever the result, checkRun repeats the stop until the end of the run
+// is certain.
 func (s *Supervisor) StopAnswered(now time.Duration, c StopCall, reply Reply) {
 	defer s.flush(now)
 	s.recordReply(now, c.Incarnation, reply)
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -1,45 +1,50 @@
 // Package supervisor controls one target: it decides which runs start there, renews the
 // target's lease, and stops the runs of entries that are lost.
 //
-// It holds the authoritative state of the target: its free resources, runs, health and
-// incarnation. It learns the end of each run from the target and what should run from the
-// entries (package owner).
+// The package holds the authoritative state of the target: its free resources, runs, health
+// and incarnation. Entries (package owner) order runs and stops; the target reports the end
+// of each run.
 //
 // Supervisor is a state machine without goroutines, clock or sockets. Its process (package
 // node) calls it under one lock, passes the time of a monotonic clock and carries out its
 // calls; package testutil/fleet runs it in virtual time. Methods that handle an input may
-// send frames and begin calls before they return; Stats, Idle, Pending, NextRenewal,
-// LosingReplies and RenewalBackoff do not. The process
+// send frames and begin calls before they return; Stats, Claims, Idle, Pending, NextRenewal,
+// LosingReplies, RenewalBackoff, Spec and SilentTooLong do not. The process
 //
 //   - passes on every input: Heartbeat and Deregister from the target, Connected,
-//     Receive and Disconnected from entries, StartAnswered and StopAnswered for the
-//     calls it was asked to make;
+//     Receive and Disconnected from entries, StartAnswered, StopAnswered and SpecFetched
+//     for the calls it was asked to make, Evacuate for the evacuated halls, and Leave
+//     when the agent shuts down;
 //   - keeps one renewal in progress: NextRenewal, the call, RenewalAnswered, a pause
 //     of RenewalBackoff; and a second renewal in parallel while LosingReplies is true;
 //   - calls Tick every TickInterval, and once StartRetry after each start;
-//   - calls Flush when Pending asks for it, and Heartbeats regularly.
+//   - calls Flush at the time that Pending returns, and Heartbeats regularly.
 //
 // The files, by responsibility:
 //
+//	call.go         calls to the target, their results, and the content of its heartbeat
 //	incarnation.go  which incarnation of the target is current, and whether it accepts work
 //	restart.go      restarts of a target under the same id
 //	lease.go        the target's lease, and detection of a silent target
+//	clock.go        lower bound of the target's clock
 //	session.go      connections of entries, each with its own lease
 //	run.go          the life of a run, from its order until its end is certain
 //	starting.go     start calls and their answers
 //	stopping.go     stop calls and their answers
-//	spec.go         specs that an order leaves out
-//	reservation.go  resource accounting: use and reservations never exceed the capacity
+//	spec.go         specs that an order omits
+//	reservation.go  resource accounting: resources in use, and reservations of sessions
 //	health.go       ejection and recovery of the target
+//	baseline.go     the target's normal ratio of run time to estimate
 //	crash.go        runs that were active when the target crashed
 //	warmup.go       slowdown of a target that is warming up
 //	renewal.go      lists of runs that the target returns with each renewal
 //	state.go        target state sent to entries
 //	evacuation.go   evacuation of the target's data hall
 //	claim.go        claims of jobs that have this agent as a home
+//	log.go          one function per log line
 //
-// Invariant: a run keeps its resources and its task remains taken until it is certain that
-// the target is not working on it and will not start to.
+// Invariant: a run keeps its resources, and no other run of its task starts here, until it
+// is certain that the target is not working on it and will not start to.
 package supervisor
 
 import (
@@ -57,8 +62,9 @@
 // leases and timeouts.
 const TickInterval = 30 * time.Millisecond
 
-// Rules are the mechanisms that keep a task from running twice. They have the values of
-// DefaultRules, except in tests that show what fails without one of them.
+// Rules are the mechanisms that keep a task from running twice, or from starting in an
+// evacuated hall. They have the values of DefaultRules, except in tests that show what fails
+// without one of them.
 type Rules struct {
 	// OwnerLease is how long an entry may be silent before its runs are stopped.
 	OwnerLease time.Duration
@@ -155,8 +161,9 @@
 	Runs    int
 	FreeCPU int     // thousandths of a core
 	Ejected int     // 1 while the target is ejected, else 0
-	Speed   float64 // measured speed; 1 is nominal
-	// Evacuated is 1 while the target's data hall is evacuated, else 0.
+	Speed   float64 // expected speed, including the warm-up; 1 is nominal
+	// Evacuated is 1 while starts are rejected because the target's data hall is evacuated,
+	// else 0.
 	Evacuated int
 }
 
@@ -190,14 +197,16 @@
 	s.markChanged()
 }
 
-// Tick handles everything that is due: expired leases, call timeouts, expired reservations
-// and overdue runs. It should be called every TickInterval.
+// Tick handles everything that is due: expired leases of entries and of the target, retries
+// of starts and stops, time limits of runs, specs that have not arrived, a candidate for the
+// current incarnation, expired reservations, overdue runs, the trial of an ejected target,
+// and claims. It should be called every TickInterval.
 func (s *Supervisor) Tick(now time.Duration) {
 	defer s.flush(now)
 	for _, r := range s.sortedRuns() {
 		s.checkRun(now, r)
 	}
-	s.dropLapsed(now)
+	s.endLapsedRuns(now)
 	s.checkCandidate(now)
 	s.dropExpiredReservations(now)
 	if s.health.checkOverdue(s.lease.listedAt, s.activeRuns()) {
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -40,7 +40,10 @@
 }
 
 func (b *harness) report(id string, seq uint64) Report {
-	return Report{ID: id, Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 1000}, Clock: b.targetClock(), HasClock: true, Seq: seq}
+	return Report{
+		ID: id, Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 1000},
+		Clock: b.targetClock(), HasClock: true, Seq: seq,
+	}
 }
 
 func (b *harness) targetClock() time.Duration {
@@ -116,7 +119,7 @@
 	assert.Equal(t, b.starts[1].Order.Run, 1)
 	b.answerRenewal(nil, nil)
 	assert.Equal(t, len(b.runs), 1) // a start may still take effect
-	for range 14 {
+	for range 14 {                  // beyond the deadline of the last start
 		b.advance(100 * ms)
 		b.answerRenewal(nil, nil)
 	}
@@ -171,8 +174,8 @@
 	assert.Equal(t, b.sentEnds()[1].Reason, code.RunNotTaking) // until the target is cleared
 }
 
-// TestNewAgentWaitsForClearedTarget checks that orders of an earlier agent are fenced off,
-// and its runs stopped, before a new agent accepts work.
+// TestNewAgentWaitsForClearedTarget guards against starts by a new agent before the orders of
+// an earlier agent are fenced off and its runs are stopped.
 func TestNewAgentWaitsForClearedTarget(t *testing.T) {
 	b := newHarness(t)
 	earlier := b.target.token
@@ -211,8 +214,10 @@
 	b.sendOrders(order(0, 4000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	need := task.Needs{CPU: 3000}
-	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, RoomRequest: &peer.RoomRequest{Slack: 80 * ms, Needs: need, Total: need}})
-	b.Receive(b.now, 2, &peer.Frame{Echo: b.now, RoomRequest: &peer.RoomRequest{Slack: 20 * ms, Needs: need, Total: need}})
+	b.Receive(b.now, 1, &peer.Frame{Echo: b.now,
+		RoomRequest: &peer.RoomRequest{Slack: 80 * ms, Needs: need, Total: need}})
+	b.Receive(b.now, 2, &peer.Frame{Echo: b.now,
+		RoomRequest: &peer.RoomRequest{Slack: 20 * ms, Needs: need, Total: need}})
 	b.frames = nil
 	var first ConnID
 	b.Send = func(id ConnID, f *peer.Frame) {
@@ -258,8 +263,8 @@
 	assert.Equal(t, b.countProfiles(sent), 1) // the new connection needs the profile
 }
 
-// TestStateIntervalGrowsWithEntries checks that the number of state frames per second is
-// bounded.
+// TestStateIntervalGrowsWithEntries guards against a number of state frames per second that
+// grows with the number of entries.
 func TestStateIntervalGrowsWithEntries(t *testing.T) {
 	b := newHarness(t)
 	assert.Equal(t, b.stateInterval(), 25*ms)
@@ -269,8 +274,8 @@
 	assert.Equal(t, b.stateInterval(), 120*ms)
 }
 
-// TestFailedRenewalsBackOff guards against retrying at the full rate when a target refuses
-// all connections.
+// TestFailedRenewalsBackOff guards against retrying at the full rate when a target answers no
+// renewal.
 func TestFailedRenewalsBackOff(t *testing.T) {
 	b := newHarness(t)
 	var waits []time.Duration
@@ -284,8 +289,8 @@
 	assert.Equal(t, b.RenewalBackoff(), time.Duration(0))
 }
 
-// TestLostReplyStartsSecondRenewal guards against ends that stay unknown while one reply is
-// lost, and against reporting an end twice.
+// TestLostReplyStartsSecondRenewal guards against reports of ends that wait for the timeout
+// of a lost reply, and against reporting an end twice.
 func TestLostReplyStartsSecondRenewal(t *testing.T) {
 	b := newHarness(t)
 	b.sendOrders(order(1, 1000))
@@ -316,19 +321,21 @@
 	assert.Assert(t, !b.LosingReplies(b.now))
 }
 
-// TestShrunkCapacityNotOverallocated checks that a smaller capacity invalidates earlier
-// reservations and admits no new runs, while active runs continue.
+// TestShrunkCapacityNotOverallocated guards against starts beyond a reduced capacity, also
+// under an earlier reservation, and against stopping active runs because of it.
 func TestShrunkCapacityNotOverallocated(t *testing.T) {
 	b := newHarness(t)
 	b.sendOrders(order(0, 1500))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
-	b.Receive(b.now, 1, &peer.Frame{Seq: 2, Echo: b.now, RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 2000}, Total: task.Needs{CPU: 2000}}})
+	b.Receive(b.now, 1, &peer.Frame{Seq: 2, Echo: b.now,
+		RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 2000}, Total: task.Needs{CPU: 2000}}})
 	reserved := b.frames[len(b.frames)-1].Reservation
 	assert.Equal(t, reserved.Room.CPU, 2000)
 	shrunk := b.report("i-1", 2)
 	shrunk.Capacity.CPU = 1000
 	b.Heartbeat(b.now, shrunk)
-	b.Receive(b.now, 1, &peer.Frame{Seq: 3, Echo: b.now, UsedReservation: reserved.ID, Starts: []task.Order{order(1, 2000), order(2, 100)}})
+	b.Receive(b.now, 1, &peer.Frame{Seq: 3, Echo: b.now, UsedReservation: reserved.ID,
+		Starts: []task.Order{order(1, 2000), order(2, 100)}})
 	assert.Equal(t, len(b.starts), 1)
 	assert.Equal(t, len(b.sentEnds()), 2)
 	assert.Equal(t, b.sentEnds()[1].Reason, code.RunNoRoom)
--- a/supervisor/warmup.go
+++ b/supervisor/warmup.go
@@ -5,11 +5,6 @@
 	"time"
 )
 
-// Warm-up of a target. A target is slower for a while after its start, or after the
-// evacuation of its hall ended, and reports for how much longer. The speed sent to entries
-// rises gradually, and so does the target's share of the load. The cold slowdown is learned
-// separately, so that it neither distorts the normal speed nor ejects the target.
-
 const (
 	// priorColdSlowdown is the assumed slowdown of a fully cold target before any run has
 	// ended.
@@ -18,9 +13,13 @@
 	coldWeight = 0.1
 )
 
-// warmup is the state of a target's warm-up and the slowdown learned from it.
+// warmup is the state of a target's warm-up and the slowdown learned from it. A target is
+// slower for a while after its start, or after the evacuation of its hall ended, and reports
+// the time that remains. The speed sent to entries rises gradually, and so does the target's
+// share of the load. The cold slowdown is learned separately, so that it neither distorts the
+// normal speed nor ejects the target.
 type warmup struct {
-	// until is when the warm-up ends; length is its longest reported duration.
+	// until is when the warm-up ends; length is the longest remaining time reported in it.
 	until  time.Duration
 	length time.Duration
 	// fullLogSlowdown is the logarithm of the slowdown of a fully cold target.
--- a/supervisor/warmup_test.go
+++ b/supervisor/warmup_test.go
@@ -11,8 +11,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// TestSpeedRisesSteadilyDuringWarmup guards against steps in the reported speed, in
-// particular back when a heartbeat reports less remaining time than expected.
+// TestSpeedRisesSteadilyDuringWarmup guards against a reported speed that jumps or falls
+// between two heartbeats.
 func TestSpeedRisesSteadilyDuringWarmup(t *testing.T) {
 	b := newHarness(t)
 	r := b.report("i-1", 2)
@@ -29,8 +29,8 @@
 	assert.Equal(t, b.speed(b.now), 1.0)
 }
 
-// TestColdRunsDoNotEjectOrSkewSpeed checks that slow runs during warm-up only change the
-// learned cold slowdown.
+// TestColdRunsDoNotEjectOrSkewSpeed guards against slow runs during warm-up that eject the
+// target or change more than the learned cold slowdown.
 func TestColdRunsDoNotEjectOrSkewSpeed(t *testing.T) {
 	b := newHarness(t)
 	slow := math.Exp(b.warmup.fullLogSlowdown)
