--- a/supervisor/incarnation_test.go
+++ b/supervisor/incarnation_test.go
@@ -94,3 +94,15 @@
 	assert.Equal(t, b.target.id(), "i-2")
 	assert.Equal(t, len(b.runs), 0)
 }
+
+// TestExcessiveHeartbeatNumberDoesNotExcludeTarget guards against a heartbeat of another
+// process with the target's id and a sequence number that the target never reaches.
+func TestExcessiveHeartbeatNumberDoesNotExcludeTarget(t *testing.T) {
+	b := newHarness(t)
+	b.Heartbeat(b.now, b.report("i-1", 1<<53))
+	b.Heartbeat(b.now, b.report("i-1", 3))
+	assert.Equal(t, b.target.report.Seq, uint64(1<<53))
+	b.now += maxHeartbeatAge
+	b.Heartbeat(b.now, b.report("i-1", 4))
+	assert.Equal(t, b.target.report.Seq, uint64(4))
+}
--- a/supervisor/restart_test.go
+++ b/supervisor/restart_test.go
@@ -103,15 +103,3 @@
 	b.answerRenewalFrom(200)
 	assert.Equal(t, b.sentEnds()[0].End, task.EndLost)
 }
-
-// TestExcessiveHeartbeatNumberDoesNotExcludeTarget guards against a heartbeat of another
-// process with the target's id and a sequence number that the target never reaches.
-func TestExcessiveHeartbeatNumberDoesNotExcludeTarget(t *testing.T) {
-	b := newHarness(t)
-	b.Heartbeat(b.now, b.report("i-1", 1<<53))
-	b.Heartbeat(b.now, b.report("i-1", 3))
-	assert.Equal(t, b.target.report.Seq, uint64(1<<53))
-	b.now += maxHeartbeatAge
-	b.Heartbeat(b.now, b.report("i-1", 4))
-	assert.Equal(t, b.target.report.Seq, uint64(4))
-}
