--- a/supervisor/health.go
+++ b/supervisor/health.go
@@ -141,7 +141,7 @@
 	return h.evaluate()
 }
 
-// recordEnd records the end of a run. minTook is the time for which it was seen active,
+// recordEnd records the end of a run. minTook is the time for which it was listed as active,
 // maxTook the time until its end was listed. It reports whether the target was ejected or
 // has recovered.
 func (h *health) recordEnd(r *run, end task.End, minTook, maxTook time.Duration) bool {
--- a/supervisor/restart.go
+++ b/supervisor/restart.go
@@ -39,8 +39,9 @@
 	s.beginCandidate(now)
 }
 
-// endRunsBeforeRestart ends the runs of the previous process that are certain not to exist
-// in the current one.
+// endRunsBeforeRestart ends the remaining runs of the previous process, which are certain not
+// to exist in the current one. Those that could no longer start, such as all runs known to
+// have started, have been ended by dropAbsent, with the reason RunAbsent.
 func (s *Supervisor) endRunsBeforeRestart(now time.Duration) {
 	for _, r := range s.sortedRuns() {
 		if r.beforeRestart {
