--- a/claim/claim.go
+++ b/claim/claim.go
@@ -4,10 +4,10 @@
 // job's answer.
 //
 //	claim.go     messages between entries and homes
-//	home.go      selection of the homes of a job
+//	home.go      ranks of agents, by which the homes are selected
 //	registry.go  state machine of a home
 //
-// The package holds, in memory only, which entry has claimed a job and how the job was
+// The package records, in memory only, which entry has claimed a job and how the job was
 // answered. It relies on entries (package owner) to start nothing without a claim and to
 // report when all runs of a job have ended, and on the detection of closed connections.
 // docs/design/submissions.md has the rationale.
@@ -19,14 +19,12 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-// Field names on the wire are short: claims account for a tenth of a job's bytes on slow
-// links.
-
-// Claim is an entry's claim of a job, or a caller's request to cancel it.
+// Claim is an entry's claim of a job, or a caller's request to cancel it. Like those of
+// Settlement, its fields have short names on the wire: every job sends several of both.
 type Claim struct {
 	Job string `msgpack:"j"`
-	// Lasts is the longest time for which the entry holds the job: after it, the entry's
-	// runs are over even if the entry is lost. Zero means unknown.
+	// Lasts is the longest time for which the entry holds the job. After that time no run of
+	// the entry is left, even if the entry has been lost meanwhile. Zero means unknown.
 	Lasts time.Duration `msgpack:"l"`
 	// Begun is set if tasks of the job have been started. An entry that has started none
 	// yields the job to one that has.
@@ -35,7 +33,7 @@
 	Cancel bool `msgpack:"c"`
 }
 
-// State is a home's reply to a claim.
+// State is the kind of a home's reply.
 type State uint8
 
 const (
@@ -48,7 +46,8 @@
 	Answered
 	// Unknown means that the job to be cancelled is not known.
 	Unknown
-	// Cancelling means that the cancellation was forwarded.
+	// Cancelling means that the job is now cancelled, and that its holder is informed if it
+	// is connected.
 	Cancelling
 )
 
@@ -60,12 +59,13 @@
 	None Outcome = iota
 	Completed
 	Failed
-	// GivenUp is forwarded to waiting entries but not retained: the caller may submit the
-	// job again.
+	// GivenUp means that the entry has given up the job. It is forwarded to waiting entries
+	// but not retained: the caller may submit the job again.
 	GivenUp
 	Cancelled
-	// Refused is retained until the time at which the caller may retry. Until then, delayed
-	// copies of its request must not run.
+	// Refused means that the entry has refused the job. It is retained until the caller may
+	// retry, so that delayed copies of the request do not run, or for AnswerTime if that is
+	// shorter.
 	Refused
 )
 
@@ -74,7 +74,7 @@
 	return o == Completed || o == Failed || o == Cancelled || o == Refused
 }
 
-// Reply is a home's reply to a claim.
+// Reply is a home's reply to a claim or a cancellation, or a later message about the job.
 type Reply struct {
 	Job   string
 	State State
@@ -84,8 +84,8 @@
 	Retry   time.Duration
 	// Ran is set if an earlier submission of a granted job may have run.
 	Ran bool
-	// Losses is the highest number of runs of one task that ended with the loss of their
-	// target.
+	// Losses is the highest number of runs that any single task of the job has lost with
+	// their targets, over all submissions so far.
 	Losses int
 }
 
@@ -95,22 +95,22 @@
 	Job     string    `msgpack:"j"`
 	Outcome Outcome   `msgpack:"o"`
 	Why     code.Code `msgpack:"w"`
-	// Retry is the delay after which the caller should retry.
+	// Retry is the delay after which the caller should retry, from the settlement on.
 	Retry time.Duration `msgpack:"r"`
 	// Clear is set if the sender has no more runs of the job; Ran is set if it may have had
 	// one.
 	Clear bool `msgpack:"c"`
 	Ran   bool `msgpack:"n"`
-	// Losses is the highest number of runs of one task that ended with the loss of their
-	// target.
+	// Losses is the highest number of runs that any single task of the job has lost with
+	// their targets, over all submissions so far.
 	Losses int `msgpack:"x"`
 }
 
 // Interest informs the holder of a job about other entries with the same job.
 type Interest struct {
 	Job string
-	// Waits is set while another entry waits for the answer. Begun is set if one of them
-	// has started tasks of the job.
+	// Waits is set while other entries wait for the answer. Begun is set if one of them has
+	// started tasks of the job.
 	Waits, Begun bool
 	// Cancel is set if a caller cancels the job.
 	Cancel bool
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// AnswerTime is how long an answer is retained. Callers retry 1.3 s after a broken
-	// connection, and copies of a request may arrive seconds after its answer.
+	// AnswerTime is how long an answer is retained, for callers that retry after a broken
+	// connection and for delayed copies of a request.
 	AnswerTime = 10 * time.Second
-	// maxRecords limits the number of records of a home, at about 200 bytes each. Beyond it
-	// the oldest answers are evicted.
+	// maxRecords is the number of records of a home beyond which the oldest answers are
+	// evicted.
 	maxRecords = 8192
 	// interestTimeout is how long the holder of a job may stay silent after an Interest
-	// before it counts as lost: about ten round trips and three ticks.
+	// before it counts as lost.
 	interestTimeout = 100 * time.Millisecond
-	// retryMargin is how much earlier than requested a caller may retry: the refusal
-	// reaches the caller sooner than the home.
+	// retryMargin is how much earlier than requested a caller may retry: the delay of the
+	// caller begins before the refusal reaches the home.
 	retryMargin = 50 * time.Millisecond
-	// expiryMargin is how long after its duration a claim expires: it covers the stop of
-	// runs (50 ms) and delayed timers, as in the target's lease (package supervisor).
+	// expiryMargin is the time from the end of a claim's duration to its expiry: it covers
+	// the stop of runs (50 ms) and delayed timers, as in the target's lease (package
+	// supervisor).
 	expiryMargin = 200 * time.Millisecond
 )
 
@@ -46,20 +47,20 @@
 	// clearAt is when the runs of a lost holder are certain to be over; zero while it is
 	// connected.
 	clearAt time.Duration
-	// interestSentAt is when an Interest was sent to the holder; zero if a frame of the
-	// holder has arrived since.
+	// interestSentAt is when the first Interest was sent to the holder that no frame of the
+	// holder has followed yet; zero if there is none.
 	interestSentAt time.Duration
 	// released is set when the holder has given up the job without an answer; its runs may
 	// continue until it reports that they have ended. mayHaveRun is set if a run of the job
 	// may have started.
 	released, mayHaveRun bool
-	losses               int // of one task, over all submissions so far
+	losses               int // as in Reply
 	waiting              []waiter
 
-	answer     Reply // valid if its state is Answered
-	answeredAt time.Duration
-	// unowned is set, since answeredAt, if the job has no holder but may have run.
-	unowned bool
+	answer Reply // valid if its state is Answered
+	// unowned is set if the job has neither a holder nor an answer but may have run.
+	unowned    bool
+	retainedAt time.Duration // since when the record is answered or unowned
 }
 
 // waiter is an entry that waits for a job held by another.
@@ -84,17 +85,20 @@
 	// Log receives one line for each job that another entry waits for or takes over.
 	Log *slog.Logger
 
-	records  map[string]*record
-	held     []*record // unanswered, in the order of their claims
-	answered []*record // in the order of their answers
+	records map[string]*record
+	// held are the claimed records, in the order of their claims. Tick removes those that are
+	// answered, unowned or deleted.
+	held     []*record
+	retained []*record // answered or unowned records, in the order of retainedAt
 	stats    Stats
 }
 
 // Stats holds the counters of a home.
 type Stats struct {
-	// Claims counts claims granted at once, Joined those that met another holder or an
-	// answer, TakenOver grants after another entry gave up the job or was lost, and
-	// Forgotten answers evicted for lack of space.
+	// Claims counts the claims for which a record is added; Joined those of a job that another
+	// entry holds or that is answered; TakenOver the grants after another entry gave up the job
+	// or was lost; Forgotten the evictions for lack of space, including those of records whose
+	// job has a new record or none.
 	Claims, Joined, TakenOver, Forgotten uint64
 	// Records is the current number of records.
 	Records int
@@ -112,7 +116,9 @@
 	return s
 }
 
-// Claim handles a claim of an entry.
+// Claim handles a claim of an entry, or a cancellation. Either one first deletes the record
+// of an unowned job, or of a refused one that may be retried. A claim carries over whether the
+// job may have run, and its losses; a cancellation does not.
 func (g *Registry) Claim(now time.Duration, from Holder, conn ConnID, c Claim) {
 	r := g.records[c.Job]
 	mayHaveRun, losses := false, 0
@@ -147,9 +153,9 @@
 	}
 }
 
-// add returns a new record. If the registry is full it evicts the oldest answer.
+// add returns a new record. While the registry is full it evicts the oldest retained ones.
 func (g *Registry) add(job string) *record {
-	for len(g.records) >= maxRecords && len(g.answered) > 0 {
+	for len(g.records) >= maxRecords && len(g.retained) > 0 {
 		g.evictOldest()
 		g.stats.Forgotten++
 	}
@@ -158,10 +164,10 @@
 	return r
 }
 
-// evictOldest evicts the oldest answer.
+// evictOldest evicts the oldest retained record, unless its job has a new record by now.
 func (g *Registry) evictOldest() {
-	oldest := g.answered[0]
-	g.answered = g.answered[1:]
+	oldest := g.retained[0]
+	g.retained = g.retained[1:]
 	if g.records[oldest.job] == oldest {
 		delete(g.records, oldest.job)
 	}
@@ -169,14 +175,14 @@
 
 // retryAllowed reports whether the job was refused and its caller may retry at now.
 func (r *record) retryAllowed(now time.Duration) bool {
-	return r.answer.Outcome == Refused && now-r.answeredAt >= r.answer.Retry-retryMargin
+	return r.answer.Outcome == Refused && now-r.retainedAt >= r.answer.Retry-retryMargin
 }
 
 // answerAt returns the answer with the remaining retry delay.
 func (r *record) answerAt(now time.Duration) Reply {
 	a := r.answer
 	if a.Retry > 0 {
-		a.Retry = max(time.Millisecond, a.Retry-(now-r.answeredAt))
+		a.Retry = max(time.Millisecond, a.Retry-(now-r.retainedAt))
 	}
 	return a
 }
@@ -224,8 +230,8 @@
 	g.Tell(r.conn, Interest{Job: r.job, Waits: true, Begun: begun})
 }
 
-// claimExpired reports whether the claim has expired and the holder's runs are certain to
-// be over.
+// claimExpired reports whether the claim has expired, or its holder is lost and the holder's
+// runs are certain to be over.
 func (g *Registry) claimExpired(now time.Duration, r *record) bool {
 	switch {
 	case r.expiresAt > 0 && now >= r.expiresAt:
@@ -237,7 +243,7 @@
 }
 
 // cancel forwards a caller's cancellation to the holder of the job and retains it as the
-// answer.
+// answer. If the job is answered, the reply is that answer with the original retry delay.
 func (g *Registry) cancel(now time.Duration, conn ConnID, job string, r *record) {
 	switch {
 	case r == nil || g.claimExpired(now, r) && r.answer.State != Answered:
@@ -254,8 +260,10 @@
 	g.recordAnswer(now, r, Settlement{Job: job, Outcome: Cancelled, Why: code.JobCancelled})
 }
 
-// Settle handles an entry's report on a job that it holds or waits for. An answer is valid
-// even if the job was taken over or evicted meanwhile; the current holder receives it too.
+// Settle handles an entry's report on a job that it holds or waits for. An outcome that is
+// retained is recorded as the answer even if the job was taken over or evicted meanwhile; the
+// current holder receives it too. Otherwise, if the sender holds the job, the job is released,
+// and passes on once the sender has no more runs of it; if not, the sender stops waiting.
 func (g *Registry) Settle(now time.Duration, from Holder, s Settlement) {
 	r := g.records[s.Job]
 	if s.Outcome.retained() {
@@ -293,15 +301,14 @@
 	r.waiting = nil
 }
 
-// stopWaiting removes an entry that no longer waits.
+// stopWaiting removes an entry that no longer waits, if it did.
 func (g *Registry) stopWaiting(r *record, from Holder) {
 	if g.removeWaiter(r, from) {
 		g.sendNoInterest(r)
 	}
 }
 
-// sendNoInterest informs the holder of a job that no other entry waits for it, if that is
-// so.
+// sendNoInterest informs the holder of a job if no other entry waits for it any more.
 func (g *Registry) sendNoInterest(r *record) {
 	if len(r.waiting) == 0 && r.conn != 0 {
 		r.interestSentAt = 0
@@ -321,21 +328,22 @@
 		return
 	}
 	r.answer = s.reply()
-	r.answeredAt = now
+	r.retainedAt = now
 	g.replyWaiting(r, r.answer)
-	g.answered = append(g.answered, r)
+	g.retained = append(g.retained, r)
 }
 
-// runsEnded handles the end of all runs of an unanswered job: the next waiting entry
-// receives it, or its record is released.
+// runsEnded handles the end of all runs of an unanswered job: the next waiting entry is
+// granted it. If none waits, the job becomes unowned if it may have run, and its record is
+// deleted otherwise.
 func (g *Registry) runsEnded(now time.Duration, r *record) {
 	switch {
 	case len(r.waiting) > 0:
 		g.takeOver(now, r, r.waiting[0])
 	case r.mayHaveRun:
 		r.unowned = true
-		r.answeredAt = now
-		g.answered = append(g.answered, r)
+		r.retainedAt = now
+		g.retained = append(g.retained, r)
 	default:
 		delete(g.records, r.job)
 	}
@@ -357,7 +365,8 @@
 	}
 }
 
-// Tick handles what is due: expired claims, lost holders and answers past their retention.
+// Tick handles what is due: expired claims, silent and lost holders, and records past their
+// retention.
 func (g *Registry) Tick(now time.Duration) {
 	g.held = slices.DeleteFunc(g.held, func(r *record) bool {
 		return g.records[r.job] != r || r.answer.State == Answered || r.unowned
@@ -369,7 +378,7 @@
 			g.runsEnded(now, r)
 		}
 	}
-	for len(g.answered) > 0 && now-g.answered[0].answeredAt >= AnswerTime {
+	for len(g.retained) > 0 && now-g.retained[0].retainedAt >= AnswerTime {
 		g.evictOldest()
 	}
 }
@@ -388,7 +397,7 @@
 	}
 }
 
-// removeWaiter removes an entry from the waiting ones and reports whether it was one.
+// removeWaiter removes an entry from those that wait, and reports whether it was one of them.
 func (g *Registry) removeWaiter(r *record, h Holder) bool {
 	before := len(r.waiting)
 	r.waiting = slices.DeleteFunc(r.waiting, func(w waiter) bool { return w.holder == h })
--- a/claim/registry_test.go
+++ b/claim/registry_test.go
@@ -14,7 +14,7 @@
 
 const (
 	ms        = time.Millisecond
-	clearTime = 1450 * ms
+	clearTime = 1450 * ms // as peer.ClearTime, which this package cannot import
 )
 
 var a, b, c = Holder{"a", 1}, Holder{"b", 1}, Holder{"c", 1}
@@ -32,7 +32,9 @@
 func newHarness() *harness {
 	g := &harness{
 		Registry: NewRegistry(clearTime, slog.New(slog.DiscardHandler)), now: time.Minute,
-		replies: make(map[ConnID][]Reply), interests: make(map[ConnID][]Interest), heard: make(map[ConnID]time.Duration),
+		replies:   make(map[ConnID][]Reply),
+		interests: make(map[ConnID][]Interest),
+		heard:     make(map[ConnID]time.Duration),
 	}
 	g.Reply = func(id ConnID, r Reply) { g.replies[id] = append(g.replies[id], r) }
 	g.Tell = func(id ConnID, i Interest) { g.interests[id] = append(g.interests[id], i) }
@@ -131,19 +133,20 @@
 	}
 }
 
-// TestRefusalRetainedUntilRetryTime guards against running a copy of a refused request.
+// TestRefusalRetainedUntilRetryTime guards against running a delayed copy of a refused request.
 func TestRefusalRetainedUntilRetryTime(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
 	g.Settle(g.now, a, Settlement{Job: "j", Outcome: Refused, Why: code.JobBehind, Retry: time.Second, Clear: true})
 	g.advance(400 * ms)
-	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Answered, Outcome: Refused, Why: code.JobBehind, Retry: 600 * ms})
+	assert.DeepEqual(t, g.claim(b, 2, "j"),
+		Reply{Job: "j", State: Answered, Outcome: Refused, Why: code.JobBehind, Retry: 600 * ms})
 	g.advance(600 * ms)
 	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Granted})
 }
 
-// TestGivenUpJobMayBeResubmitted checks that waiting entries receive the result, and that a
-// later submission is marked as possibly having run.
+// TestGivenUpJobMayBeResubmitted guards against waiting entries that do not receive the result,
+// and against a later grant without the mark that the job may have run.
 func TestGivenUpJobMayBeResubmitted(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
@@ -180,8 +183,8 @@
 	assert.Equal(t, g.lastReply(2).Outcome, Completed)
 }
 
-// TestRecordCountBounded checks that the oldest answers are evicted and held claims are
-// kept.
+// TestRecordCountBounded guards against a registry that grows without limit, and against the
+// eviction of held claims.
 func TestRecordCountBounded(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "held")
@@ -198,8 +201,8 @@
 	assert.Equal(t, g.Stats().Records, 1)
 }
 
-// TestJobNeverHasTwoHolders checks random histories. An entry holds a job from its grant
-// until it reports its last run, or for ClearTime after its loss.
+// TestJobNeverHasTwoHolders guards against two holders of a job in random histories. An entry
+// holds a job from its grant until it reports its last run, or for ClearTime after its loss.
 func TestJobNeverHasTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newHarness()
@@ -215,7 +218,8 @@
 				for _, r := range list[granted[conn]:] {
 					if r.State == Granted {
 						for other, until := range heldUntil {
-							assert.Assert(t, other == k || until <= g.now, "entry %d holds the job until %s, entry %d is granted it at %s", other, until, k, g.now)
+							assert.Assert(t, other == k || until <= g.now,
+								"entry %d holds the job until %s, entry %d is granted it at %s", other, until, k, g.now)
 						}
 						heldUntil[k] = unbounded
 					}
@@ -236,7 +240,7 @@
 				g.Settle(g.now, entries[k], Settlement{Job: "j", Clear: true, Ran: true})
 			case 3: // the entry is lost and restarts
 				g.Lost(g.now, conns[k])
-				if heldUntil[k] == unbounded {
+				if heldUntil[k] == unbounded { // a key apart from those of entries; reused only with a later time
 					heldUntil[len(heldUntil)+10] = g.now + clearTime
 				}
 				delete(heldUntil, k)
@@ -267,6 +271,7 @@
 		count[best]++
 	}
 	for k := range agents {
-		assert.Assert(t, count[k] > jobs/agents/2 && count[k] < jobs/agents*3/2, "agent %d is the first home of %d jobs", k, count[k])
+		assert.Assert(t, count[k] > jobs/agents/2 && count[k] < jobs/agents*3/2,
+			"agent %d is the first home of %d jobs", k, count[k])
 	}
 }
