--- a/reach/reach.go
+++ b/reach/reach.go
@@ -6,15 +6,15 @@
 //     all entries, so that the entries have the same homes;
 //   - the entry's own agents, where its tasks run: the lowest ranks in an order
 //     specific to the entry, enough for each agent to be selected by some entries;
-//   - further own agents while jobs wait for free resources, as long as those added
-//     last provide some.
+//   - further own agents while jobs wait for free resources, as long as one of the
+//     agents that were added last runs tasks of the entry.
 //
 // Lost agents remain selected but do not count towards the bounds, so that others replace
 // them until they return.
 //
-// The package holds which agents are known, wanted and homes. It relies on its process
-// (package node) to connect to the wanted ones, and on package owner to report which
-// connections are in use. Set is a state machine without goroutines, clock or sockets,
+// The package records which agents are known, wanted, own and homes. It relies on its process
+// (package node) to connect to the wanted ones, and on package owner to report which agents
+// run tasks of the entry. Set is a state machine without goroutines, clock or sockets,
 // called under one lock. docs/design/fleet.md has the rationale and the alternatives.
 package reach
 
@@ -27,22 +27,20 @@
 )
 
 const (
-	// FullMesh is the largest number of agents to which an entry connects completely.
+	// FullMesh is the largest fleet, in agents, in which an entry connects to all of them.
 	FullMesh = 128
-	// homeAgents is the number of home agents. After the loss of half of the fleet, about
-	// 32 of them remain before others replace the lost ones.
+	// homeAgents is the number of home agents that are not lost.
 	homeAgents = 64
-	// minOwn is the smallest number of own agents of an entry.
+	// minOwn is the smallest number of own agents of an entry that are not lost.
 	minOwn = 64
-	// coverage is the mean number of entries that select an agent as their own. A share of
-	// e^-8 of the agents is then selected by none.
+	// coverage is the mean number of entries that select an agent as their own, at least.
 	coverage = 8
-	// maxTriedFactor limits the number of agents tried per wanted one when many are lost.
-	// It suffices for the loss of three quarters of the fleet.
+	// maxTriedFactor limits the number of agents tried per wanted one when many are lost:
+	// enough for the loss of three quarters of the fleet.
 	maxTriedFactor = 4
 	// growStep is the number of agents added at once while resources are short, and
-	// growInterval the shortest time between two steps: the time for a connection, a watch
-	// and a reservation.
+	// growInterval the shortest time between two additions: the time for a connection, a
+	// watch and a reservation.
 	growStep     = 32
 	growInterval = 100 * time.Millisecond
 	// growRetention is how long added agents stay wanted after the shortage ends.
@@ -56,7 +54,7 @@
 type agent struct {
 	name              string
 	homeRank, ownRank claim.Rank
-	lost              bool // a connection was tried and is not established
+	lost              bool // not connected although a connection was tried
 	wanted, home, own bool
 	wasWanted         bool // wanted before the last Update
 }
@@ -72,11 +70,11 @@
 	changed   bool
 
 	extra          int           // additional own agents because of a shortage
-	lastAdded      []string      // agents added by the last step
+	lastAdded      []string      // agents added the last time, because of a shortage
 	shortAt        time.Duration // time of the last shortage
-	grownAt        time.Duration // time of the last step
-	allWantedUntil time.Duration // until when all agents are wanted
-	allWanted      bool
+	grownAt        time.Duration // when agents were last added because of a shortage
+	allWantedUntil time.Duration // end of the time in which all agents are wanted
+	allWanted      bool          // as of the last Update
 }
 
 // NewSet returns the set of an entry without known agents.
@@ -118,9 +116,9 @@
 	s.entries = n
 }
 
-// SetFleet records the number of agents reported by another process. With it, an entry that
-// has found only a few agents, because the directory is unavailable, selects the same homes
-// as the others.
+// SetFleet records the number of agents reported by another process, if it is higher than
+// those before. With it, an entry that has found only a few agents, because the directory is
+// unavailable, selects its homes as the others do.
 func (s *Set) SetFleet(n int) {
 	s.changed = s.changed || n > s.fleetSize
 	s.fleetSize = max(s.fleetSize, n)
@@ -161,15 +159,16 @@
 	return a != nil && a.home
 }
 
-// Short records that jobs are waiting for free resources at now, and adds agents if a step
-// is due. runsTasks reports whether an agent runs tasks of this entry: if none of the agents
-// added last does, the fleet has no free resources, and more connections would not help.
+// Short records that jobs are waiting for free resources at now, and adds own agents if
+// growInterval has passed since the last time. runsTasks reports whether an agent runs tasks
+// of this entry: if none of the agents added last does, the fleet has no free resources, and
+// more connections would not help. Update must follow with the same time.
 func (s *Set) Short(now time.Duration, runsTasks func(name string) bool) {
 	s.shortAt = now
 	if !s.Partial() || s.grownAt > 0 && now-s.grownAt < growInterval {
 		return
 	}
-	if len(s.lastAdded) > 0 && !slices.ContainsFunc(s.lastAdded, runsTasks) || s.own() >= len(s.agents) {
+	if len(s.lastAdded) > 0 && !slices.ContainsFunc(s.lastAdded, runsTasks) || s.ownCount() >= len(s.agents) {
 		return
 	}
 	s.grownAt = now
@@ -183,8 +182,8 @@
 	s.allWantedUntil = now + wantAllDuration
 }
 
-// own returns the number of own agents that the entry wants.
-func (s *Set) own() int {
+// ownCount returns the number of own agents that the entry wants and that are not lost.
+func (s *Set) ownCount() int {
 	covering := 0
 	if s.entries > 0 {
 		covering = (coverage*len(s.agents) + s.entries - 1) / s.entries
@@ -199,7 +198,8 @@
 	return a != nil && a.own
 }
 
-// Update recomputes the wanted agents if anything has changed. It reports whether it did.
+// Update recomputes the wanted agents, the own ones and the homes if anything has changed. It
+// reports whether it did.
 func (s *Set) Update(now time.Duration) bool {
 	if s.extra > 0 && now-s.shortAt >= growRetention {
 		s.extra, s.lastAdded, s.changed = 0, nil, true
@@ -217,7 +217,7 @@
 	}
 	if s.large() {
 		selectLive(s.byHome, homeAgents, func(a *agent) { a.wanted, a.home = true, true })
-		selectLive(s.byOwn, s.own(), func(a *agent) { a.wanted, a.own = true, true })
+		selectLive(s.byOwn, s.ownCount(), func(a *agent) { a.wanted, a.own = true, true })
 	}
 	if s.grownAt == now && now > 0 {
 		s.lastAdded = nil
@@ -230,8 +230,8 @@
 	return true
 }
 
-// selectLive passes agents to take in order until count of them are not lost, or the limit
-// of tries is reached.
+// selectLive calls take for the agents of list, in its order, until count of them were not
+// lost. It stops after maxTriedFactor*count agents.
 func selectLive(list []*agent, count int, take func(*agent)) {
 	list = list[:min(len(list), maxTriedFactor*count)]
 	for _, a := range list {
@@ -255,6 +255,7 @@
 	return cmp.Or(cmp.Compare(a.ownRank, b.ownRank), cmp.Compare(a.name, b.name))
 }
 
+// insert inserts a into a sorted list.
 func insert(list []*agent, a *agent, compare func(a, b *agent) int) []*agent {
 	k, _ := slices.BinarySearchFunc(list, a, compare)
 	return slices.Insert(list, k, a)
--- a/reach/reach_test.go
+++ b/reach/reach_test.go
@@ -23,8 +23,8 @@
 
 func agentName(k int) string { return fmt.Sprintf("side-%d", k) }
 
-// where returns the names of the agents that meet a condition.
-func (s *Set) where(meets func(*agent) bool) []string {
+// namesOf returns the names of the agents that meet a condition.
+func (s *Set) namesOf(meets func(*agent) bool) []string {
 	var names []string
 	for _, a := range s.byHome {
 		if meets(a) {
@@ -34,8 +34,8 @@
 	return names
 }
 
-func (s *Set) wantedNames() []string { return s.where(func(a *agent) bool { return a.wanted }) }
-func (s *Set) homeNames() []string   { return s.where(func(a *agent) bool { return a.home }) }
+func (s *Set) wantedNames() []string { return s.namesOf(func(a *agent) bool { return a.wanted }) }
+func (s *Set) homeNames() []string   { return s.namesOf(func(a *agent) bool { return a.home }) }
 
 func TestSmallFleetIsFullMesh(t *testing.T) {
 	for _, agents := range []int{1, 11, 70, FullMesh} {
@@ -49,12 +49,14 @@
 // TestSetSizeIndependentOfFleetSize guards against connection counts that grow with the
 // fleet, at entries and at agents that are not homes.
 func TestSetSizeIndependentOfFleetSize(t *testing.T) {
+	// The last fleet has so few entries that coverage exceeds minOwn.
 	for _, c := range []struct{ entries, agents int }{{184, 800}, {368, 1600}, {20, 1200}} {
 		covered := make(map[string]int)
 		for k := range c.entries {
 			s := newSet(fmt.Sprintf("edge-%d", k), c.entries, c.agents)
 			covering := (coverage*c.agents + c.entries - 1) / c.entries
-			assert.Assert(t, len(s.wantedNames()) <= homeAgents+max(minOwn, covering), "%d wanted", len(s.wantedNames()))
+			assert.Assert(t, len(s.wantedNames()) <= homeAgents+max(minOwn, covering),
+				"%d wanted", len(s.wantedNames()))
 			assert.Equal(t, len(s.homeNames()), homeAgents)
 			for _, name := range s.wantedNames() {
 				covered[name]++
@@ -71,15 +73,17 @@
 				most = max(most, n)
 			}
 		}
-		t.Logf("%d entries, %d agents: %d agents in no set, those that are no homes in at most %d sets", c.entries, c.agents, none, most)
+		t.Logf("%d entries, %d agents: %d agents in no set, those that are no homes in at most %d sets",
+			c.entries, c.agents, none, most)
 		assert.Assert(t, none*1000 <= c.agents, "%d of %d agents are in no set", none, c.agents)
+		// Four times the mean leaves room for the chance distribution.
 		assert.Assert(t, most <= 4*max(coverage, minOwn*c.entries/c.agents), "an agent is in %d sets", most)
 	}
 }
 
-// TestEntriesSelectSameHomesDespiteLosses guards against entries without a common home
-// after they have lost different agents.
-func TestEntriesSelectSameHomesDespiteLosses(t *testing.T) {
+// TestLossesKeepCommonHomes guards against entries without common homes after one of them
+// has lost agents.
+func TestLossesKeepCommonHomes(t *testing.T) {
 	a, b := newSet("edge-a", 50, 500), newSet("edge-b", 50, 500)
 	assert.DeepEqual(t, a.homeNames(), b.homeNames())
 	for _, name := range a.homeNames()[:30] {
@@ -93,7 +97,7 @@
 }
 
 // TestEntryWithPartialDirectorySelectsSameHomes guards against different homes at an entry
-// that restarts while the store is down and only learns the agents it was connected to.
+// that restarts while the store is down and only finds the agents it was connected to.
 func TestEntryWithPartialDirectorySelectsSameHomes(t *testing.T) {
 	before := newSet("edge-1", 184, 800)
 	after := NewSet("edge-1")
@@ -105,8 +109,8 @@
 	assert.DeepEqual(t, after.homeNames(), before.homeNames())
 }
 
-// TestLostAgentsReplacedWithinBounds checks that half of the fleet can be replaced with a
-// bounded number of tries, and that the set is restored when the agents return.
+// TestLostAgentsReplacedWithinBounds guards against too few live agents after the loss of half
+// of the fleet, unbounded tries, and a set that is not restored when the agents return.
 func TestLostAgentsReplacedWithinBounds(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
 	before := s.wantedNames()
@@ -114,14 +118,16 @@
 		s.SetLost(agentName(k), true)
 	}
 	s.Update(0)
-	live := s.where(func(a *agent) bool { return a.wanted && !a.lost })
-	assert.Assert(t, len(live) >= homeAgents+minOwn-homeAgents/4, "%d live agents wanted", len(live)) // some agents are both homes and own
+	live := s.namesOf(func(a *agent) bool { return a.wanted && !a.lost })
+	// Fewer than a quarter of the homes are also own agents.
+	assert.Assert(t, len(live) >= homeAgents+minOwn-homeAgents/4, "%d live agents wanted", len(live))
 	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn))
 	for k := range 800 {
 		s.SetLost(agentName(k), true)
 	}
 	s.Update(0)
-	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn), "%d agents tried", len(s.wantedNames()))
+	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn),
+		"%d agents tried", len(s.wantedNames()))
 	for k := range 800 {
 		s.SetLost(agentName(k), false)
 	}
@@ -141,7 +147,7 @@
 		now += growInterval
 		return len(s.wantedNames())
 	}
-	first := step(false) // the first step is unconditional
+	first := step(false) // no agents were added before
 	assert.Assert(t, first > usual)
 	assert.Equal(t, step(false), first, "grew although the added agents run no tasks")
 	second := step(true)
@@ -155,8 +161,8 @@
 	assert.Equal(t, len(s.wantedNames()), usual)
 }
 
-// TestMissingLabelWantsAllAgents checks that a job's missing label widens the set for a
-// while: labels of a target are only known to connected entries.
+// TestMissingLabelWantsAllAgents guards against a job that never finds a target with its
+// label: an entry has the labels of the targets of connected agents only.
 func TestMissingLabelWantsAllAgents(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
 	usual := len(s.wantedNames())
@@ -164,14 +170,14 @@
 	s.Update(time.Second)
 	assert.Equal(t, len(s.wantedNames()), 800)
 	assert.Assert(t, !s.Partial())
-	assert.Equal(t, len(s.homeNames()), homeAgents, "homes are the same for all entries")
+	assert.Equal(t, len(s.homeNames()), homeAgents, "the homes changed in number when all agents were wanted")
 	s.Update(time.Second + wantAllDuration)
 	assert.Equal(t, len(s.wantedNames()), usual)
 }
 
-// TestSetInvariants checks with random histories that homes are wanted, that a full mesh
-// contains all agents, and that the orders stay sorted.
-func TestSetInvariants(t *testing.T) {
+// TestRandomHistoriesKeepSetConsistent guards against homes that are not wanted, a full mesh
+// without some agents, an unsorted order of homes, and orders of different length.
+func TestRandomHistoriesKeepSetConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSet("edge-1", 20, rapid.IntRange(0, 300).Draw(t, "agents"))
 		now := time.Second
