--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -3,7 +3,8 @@
 
 import "time"
 
-// maxDoublings keeps the shift from overflowing; all limits in use are reached before it.
+// maxDoublings keeps the shift from overflowing. Interval does not reach a limit that is more
+// than 2^maxDoublings times the initial interval.
 const maxDoublings = 16
 
 // Interval returns the time between two tries after the given number of consecutive
--- a/estimate/estimator.go
+++ b/estimate/estimator.go
@@ -1,6 +1,6 @@
-// Package estimate learns the run times of a queue's tasks from the callers' estimates and
-// the measured times, together with the usual error. Durations refer to a target of speed
-// 1. The package holds a few moving averages per queue and has no dependencies.
+// Package estimate predicts the run times of a queue's tasks, and the usual error of the
+// predictions, from the callers' estimates and the measured times. Durations refer to a target
+// of speed 1. The package holds a few moving averages per queue and has no dependencies.
 //
 // The model is log-normal: the logarithm of a task's time is the level of its step plus a
 // deviation of the task. Levels are normally distributed around the prediction from the
@@ -12,22 +12,20 @@
 	"time"
 )
 
-// Prior variances of natural logarithms: work within a queue differs by a factor of 1.6,
-// callers' estimates are off by 40%, tasks of a step differ by 20%, and the predictions are
-// off by 50%. Their weight falls with each learned step.
+// Prior variances of natural logarithms. Their weight falls with each learned step.
 const (
-	priorWorkVariance  = 0.25 // work of a queue's jobs
+	priorWorkVariance  = 0.25 // levels of a queue's steps
 	priorGuessVariance = 0.16 // error of the callers' estimates
 	priorTaskVariance  = 0.04 // tasks of one step
 	priorErrorVariance = 0.25 // ratio of run time to prediction
 )
 
-// Limits of the learning.
 const (
 	// maxSteps is the number of steps that the averages cover.
 	maxSteps = 200
 	// fullWeightSteps is the number of steps after which the queue's average has its full
-	// weight; a prior counts as that many steps.
+	// weight. In taskVariance and errorVariance the prior counts as that many steps; in the
+	// averages of level and caller's error it counts as one.
 	fullWeightSteps = 8
 	// minVariance keeps weights finite.
 	minVariance = 0.001
@@ -38,7 +36,7 @@
 // Estimator learns from the jobs of one queue. It is not safe for concurrent use.
 type Estimator struct {
 	steps      float64 // number of steps learned from, at most maxSteps
-	work       moments // level
+	work       moments // level of a step
 	guessError moments // logarithm of the caller's estimate minus the level
 	// taskVariance is the variance of the tasks of one step, errorVariance the mean squared
 	// error of the predictions.
@@ -50,7 +48,7 @@
 	mean, variance float64
 }
 
-// add includes x with a weight between 0 and 1.
+// add updates a with x, which has the given weight between 0 and 1.
 func (a *moments) add(x, weight float64) {
 	d := x - a.mean
 	a.mean += weight * d
@@ -89,7 +87,8 @@
 	e.guessError.add(logarithm(guess)-level, weight)
 }
 
-// levelOf returns the mean and the variance of the logarithms.
+// levelOf returns the level of a step, which is the mean of the logarithms of its tasks'
+// times, and the variance of these logarithms.
 func levelOf(took []time.Duration) (mean, variance float64) {
 	n := float64(len(took))
 	for _, t := range took {
--- a/estimate/estimator_test.go
+++ b/estimate/estimator_test.go
@@ -26,8 +26,8 @@
 	assert.Assert(t, got > 90*time.Millisecond && got < 110*time.Millisecond, got)
 }
 
-// TestPredictionsBeatCallerEstimates checks that the squared error is well below that of
-// the callers' estimates.
+// TestPredictionsBeatCallerEstimates guards against predictions whose squared error is not well
+// below that of the callers' estimates.
 func TestPredictionsBeatCallerEstimates(t *testing.T) {
 	e := NewEstimator()
 	r := rand.New(rand.NewPCG(3, 4))
@@ -45,9 +45,9 @@
 	assert.Assert(t, learned < 0.6*guessed, "squared errors: learned %f, guessed %f", learned, guessed)
 }
 
-// TestLongestTaskPredictionUnbiased checks the predictions for one task of a step, for the
-// longest, and from the first one to end.
-func TestLongestTaskPredictionUnbiased(t *testing.T) {
+// TestPredictionsUnbiased guards against a bias of the predictions for one task of a step, for
+// the longest, and from the first one to end.
+func TestPredictionsUnbiased(t *testing.T) {
 	const spread, tasks = 0.4, 8
 	e := NewEstimator()
 	r := rand.New(rand.NewPCG(5, 6))
@@ -74,8 +74,8 @@
 	assert.Assert(t, e.Spread() > 0.35 && e.Spread() < 0.5, e.Spread())
 }
 
-// TestSpreadStartsAtPriorAndConverges checks that estimates count as off by 50% before any
-// job.
+// TestSpreadStartsAtPriorAndConverges guards against estimates that count as accurate before
+// any job, or as inaccurate after many accurate ones.
 func TestSpreadStartsAtPriorAndConverges(t *testing.T) {
 	e := NewEstimator()
 	assert.Equal(t, e.Spread(), 0.5)
--- a/evacuation/evacuation.go
+++ b/evacuation/evacuation.go
@@ -3,9 +3,10 @@
 // continue to their end. The package holds the set of evacuated halls as an immutable value
 // and has no dependencies.
 //
-// Invariant: a set contains all halls that were evacuated at one revision of the operators'
-// store. Of two sets the one with the later revision is therefore valid, whatever the
-// source and order of their arrival, and an old message cannot evacuate a hall again.
+// Invariant: a set contains exactly the halls that were evacuated at one revision of the
+// operators' store. Of two sets the one with the later revision is therefore valid, whatever
+// their source and the order of their arrival, and an old message cannot evacuate a hall
+// again.
 package evacuation
 
 import "slices"
--- a/evacuation/evacuation_test.go
+++ b/evacuation/evacuation_test.go
@@ -7,7 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-func TestWith(t *testing.T) {
+// TestOutdatedChangeHasNoEffect guards against changes that take effect although their revision
+// is not newer, or that modify the previous set.
+func TestOutdatedChangeHasNoEffect(t *testing.T) {
 	s := Set{}.With(5, "mtm", true).With(7, "bay", true)
 	assert.DeepEqual(t, s, Set{Revision: 7, Halls: []string{"bay", "mtm"}})
 	assert.Assert(t, s.Has("mtm") && s.Has("bay") && !s.Has("tepuke"))
@@ -64,7 +66,7 @@
 	})
 }
 
-// truthAt returns the set that was valid at a revision.
+// storedAt returns the set that was valid at a revision.
 func storedAt(stored []Set, revision uint64) Set {
 	for _, s := range stored {
 		if s.Revision == revision {
--- a/routing/table.go
+++ b/routing/table.go
@@ -1,4 +1,4 @@
-// Package routing maps requests to queues by an immutable table of the operators'
+// Package routing maps requests to queues according to an immutable table of the operators'
 // configuration. A process replaces the whole table through an atomic pointer. The package
 // has no dependencies.
 package routing
@@ -28,7 +28,8 @@
 	// path, plus ObjectiveSlack.
 	ObjectiveFactor float64
 	ObjectiveSlack  time.Duration
-	// Timeout limits requests that are not jobs. It is unused, since all requests are jobs.
+	// Timeout limits requests that are not jobs. It has no effect, since all requests are
+	// jobs.
 	Timeout time.Duration
 	// NeedsAdvice is set if an external service must decide where a step may run. Jobs of
 	// such queues are refused.
@@ -62,8 +63,8 @@
 	return t
 }
 
-// Match returns the queue for a request: among the queues of its host, which may include a
-// port, the one with the longest prefix of the path. rest is the path without the prefix.
+// Match returns the queue for a request: among the queues of the host, the one with the
+// longest prefix of the path. host may include a port; rest is the path without the prefix.
 func (t *Table) Match(host, path string) (q Queue, rest string, ok bool) {
 	host, _, _ = strings.Cut(host, ":")
 	for _, q := range t.byHost[strings.ToLower(host)] {
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestLongestPrefixOfTheHostMatches(t *testing.T) {
+func TestLongestPrefixOfHostMatches(t *testing.T) {
 	table := NewTable(3, []Queue{
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
 		{Name: "long", Host: "A.example", Prefix: "/x/y/"},
--- a/stage/stage.go
+++ b/stage/stage.go
@@ -1,9 +1,9 @@
-// Package stage defines the stages of a job whose durations are exposed as metrics.
+// Package stage defines the stages of jobs and runs whose durations are exposed as metrics.
 package stage
 
 import "time"
 
-// Stage is a stage of the processing of a job.
+// Stage is a stage of the processing of a job or of one of its runs.
 type Stage uint8
 
 const (
--- a/task/job.go
+++ b/task/job.go
@@ -1,5 +1,5 @@
 // Package task is the model of work shared by entries and agents: a job has steps, a step
-// has identical tasks, a task has runs. It describes the resources that a task needs of a
+// has identical tasks, a task has runs. It describes the resources that a task needs on a
 // target and the objective of a job. Its values are plain data; the package has no
 // dependencies.
 package task
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// lateObjectiveFactor is the multiple of its objective within which a late job still
-// counts, as defined by the platform.
+// lateObjectiveFactor is the ratio of the late objective to the objective, as defined by the
+// platform.
 const lateObjectiveFactor = 3
 
-// milliCores is the number of CPU units in a core.
-const milliCores = 1000
+// unitsPerCore is the number of CPU units in a core.
+const unitsPerCore = 1000
 
 // Needs is an amount of resources: what a task needs, or what a target has.
 type Needs struct {
@@ -30,7 +30,7 @@
 
 // Cores returns the CPU in cores.
 func (n Needs) Cores() float64 {
-	return float64(n.CPU) / milliCores
+	return float64(n.CPU) / unitsPerCore
 }
 
 // Fits reports whether n fits into room.
@@ -53,14 +53,15 @@
 	Count int
 	// Needs is the resources of each task.
 	Needs Needs
-	// Guess is the caller's estimate of the time of one task on a target of speed 1;
+	// Guess is the caller's estimate of the time of one task on a target of nominal speed;
 	// Estimate is the entry's estimate derived from it.
 	Estimate time.Duration
 	Guess    time.Duration
 	// Longest is the estimate for the longest of the tasks on a target of nominal speed;
 	// zero means Estimate.
 	Longest time.Duration
-	// DependsOn holds the numbers of the earlier steps that must be done first.
+	// DependsOn holds the numbers of the earlier steps that must be complete before this one
+	// starts.
 	DependsOn []int
 	// Label is the label that the target must have; empty means none.
 	Label string
@@ -127,12 +128,14 @@
 	return longest
 }
 
-// Objective returns the time within which the job counts in full.
+// Objective returns the time from the arrival of the job within which its completion has its
+// full value.
 func (j Job) Objective() time.Duration {
 	return time.Duration(j.ObjectiveFactor*float64(j.Chain())) + j.ObjectiveSlack
 }
 
-// LateObjective returns the time within which the job counts at all.
+// LateObjective returns the time from the arrival of the job after which its completion has no
+// value.
 func (j Job) LateObjective() time.Duration {
 	return lateObjectiveFactor * j.Objective()
 }
@@ -183,19 +186,20 @@
 type End uint8
 
 const (
-	// EndNone is an end of an unknown kind.
+	// EndNone means that the kind of the end is unknown.
 	EndNone End = iota
-	// EndDone is a success.
+	// EndDone means that the run succeeded.
 	EndDone
-	// EndFailed is a failure of the task or of its target.
+	// EndFailed means that the run failed, because of the task or of its target.
 	EndFailed
-	// EndStopped is a run that was stopped by order.
+	// EndStopped means that the run was stopped by order.
 	EndStopped
-	// EndLapsed is a run whose target's lease expired.
+	// EndLapsed means that the lease of the run's target expired.
 	EndLapsed
-	// EndLost is a run whose target is gone.
+	// EndLost means that the run is gone with its target, or without an end that the target
+	// listed.
 	EndLost
-	// EndRejected is a run that never started.
+	// EndRejected means that the run never started.
 	EndRejected
 )
 
@@ -212,7 +216,7 @@
 // Order requests a run of a task from an agent.
 type Order struct {
 	Task ID
-	// Run numbers the starts of the task from 1.
+	// Run is the number of the run, from 1 in each task.
 	Run  int
 	Spec string
 	// SpecKept is set if Spec is omitted because the agent has it from an earlier order of
@@ -223,12 +227,12 @@
 	SpecAt string
 	// Needs is the resources of the run.
 	Needs Needs
-	// Estimate is the expected time of the run on a target of speed 1; Guess is the
-	// caller's estimate. The speed of targets is learned against Guess.
+	// Estimate is the expected time of the run on a target of nominal speed; Guess is the
+	// caller's estimate, relative to which the speed of targets is learned.
 	Estimate time.Duration
 	Guess    time.Duration
-	// FailedElsewhere is set if a run of the job has failed on another target: a failure on
-	// this one is then not held against it.
+	// FailedElsewhere is set if a run of the job has failed on another target: a failure of
+	// this run then does not affect the health of its target.
 	FailedElsewhere bool
 	// TimeLeft is the longest duration of the run from this order; zero means no limit.
 	TimeLeft time.Duration
--- a/task/job_test.go
+++ b/task/job_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, room.Plus(room).Minus(room), room)
 }
 
-func TestTaskAndEndNames(t *testing.T) {
+func TestTaskAndEndNamesUnchanged(t *testing.T) {
 	assert.Equal(t, ID{Job: "5c0e7a21d94b36f8", Step: 1, Index: 17}.String(), "5c0e7a21d94b36f8.0.1.17")
 	assert.Equal(t, EndLapsed.String(), "lapsed")
 	assert.Equal(t, End(99).String(), "end-99")
