--- a/claim/registry.go
+++ b/claim/registry.go
@@ -57,10 +57,10 @@
 	losses               int // as in Reply
 	waiting              []waiter
 
-	answer Reply // valid if its state is Answered
+	answer     Reply         // valid if its state is Answered
+	retainedAt time.Duration // when the record became answered or unowned
 	// unowned is set if the job has neither a holder nor an answer but may have run.
-	unowned    bool
-	retainedAt time.Duration // since when the record is answered or unowned
+	unowned bool
 }
 
 // waiter is an entry that waits for a job held by another.
