--- a/claim/home.go
+++ b/claim/home.go
@@ -2,22 +2,23 @@
 
 import "hash/fnv"
 
-// Rank is an agent's place among the homes of a job: the least goes first. It hangs on the
-// two names alone, so that all entries reckon alike.
+// Rank orders the agents for a selection under a key (rendezvous hashing), such as that of
+// the homes of a job; the lowest ranks are selected. It depends only on the agent's name and
+// the key, so that all entries make the same selection under the same key.
 type Rank uint64
 
-// Hash returns the hash of the name of an agent or a job, for RankOf.
+// Hash returns the hash of the name of an agent, a job or an entry, for RankOf.
 func Hash(name string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(name)) // a hash takes everything
+	_, _ = h.Write([]byte(name)) // never fails
 	return h.Sum64()
 }
 
-// RankOf returns the rank of an agent for a job, by the hashes of their names (rendezvous
-// hashing): where an agent comes or goes, only its own jobs get another home.
-func RankOf(job, agent uint64) Rank {
-	// The finalizer of splitmix64, so that close hashes give unlike ranks.
-	x := job ^ agent
+// RankOf returns the rank, under a key, of the agent whose name has the given hash. When an
+// agent joins or leaves, only the selections that contain it change.
+func RankOf(key, agent uint64) Rank {
+	// The finalizer of splitmix64, to decorrelate the ranks of similar hashes.
+	x := key ^ agent
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/reach/reach_test.go
+++ b/reach/reach_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// newSet returns the set of an entry in a fleet.
+// newSet returns the set of an entry in a fleet of the given size.
 func newSet(entry string, entries, agents int) *Set {
 	s := NewSet(entry)
 	s.SetEntries(entries)
@@ -23,8 +23,8 @@
 
 func agentName(k int) string { return fmt.Sprintf("side-%d", k) }
 
-// where returns the names of the agents that meet a condition.
-func (s *Set) where(meets func(*agent) bool) []string {
+// namesOf returns the names of the agents that meet a condition.
+func (s *Set) namesOf(meets func(*agent) bool) []string {
 	var names []string
 	for _, a := range s.byHome {
 		if meets(a) {
@@ -34,29 +34,31 @@
 	return names
 }
 
-func (s *Set) wanted() []string { return s.where(func(a *agent) bool { return a.wanted }) }
-func (s *Set) homes() []string  { return s.where(func(a *agent) bool { return a.home }) }
+func (s *Set) wantedNames() []string { return s.namesOf(func(a *agent) bool { return a.wanted }) }
+func (s *Set) homeNames() []string   { return s.namesOf(func(a *agent) bool { return a.home }) }
 
-func TestASmallFleetIsConnectedWhole(t *testing.T) {
+func TestSmallFleetIsFullMesh(t *testing.T) {
 	for _, agents := range []int{1, 11, 70, FullMesh} {
 		s := newSet("edge-1", 3, agents)
-		assert.Equal(t, len(s.wanted()), agents)
-		assert.Equal(t, len(s.homes()), agents)
+		assert.Equal(t, len(s.wantedNames()), agents)
+		assert.Equal(t, len(s.homeNames()), agents)
 		assert.Assert(t, !s.Partial())
 	}
 }
 
-// TestASetDoesNotGrowWithTheFleet: twice as many entries and agents, the same number of
-// connections at an entry, and at an agent that is no home.
-func TestASetDoesNotGrowWithTheFleet(t *testing.T) {
+// TestSetSizeIndependentOfFleetSize guards against connection counts that grow with the
+// fleet, at entries and at agents that are not homes.
+func TestSetSizeIndependentOfFleetSize(t *testing.T) {
+	// The last fleet has so few entries that coverage exceeds minOwn.
 	for _, c := range []struct{ entries, agents int }{{184, 800}, {368, 1600}, {20, 1200}} {
 		covered := make(map[string]int)
 		for k := range c.entries {
 			s := newSet(fmt.Sprintf("edge-%d", k), c.entries, c.agents)
 			covering := (coverage*c.agents + c.entries - 1) / c.entries
-			assert.Assert(t, len(s.wanted()) <= homes+max(leastOwn, covering), "%d wanted", len(s.wanted()))
-			assert.Equal(t, len(s.homes()), homes)
-			for _, name := range s.wanted() {
+			assert.Assert(t, len(s.wantedNames()) <= homeAgents+max(minOwn, covering),
+				"%d wanted", len(s.wantedNames()))
+			assert.Equal(t, len(s.homeNames()), homeAgents)
+			for _, name := range s.wantedNames() {
 				covered[name]++
 			}
 		}
@@ -71,105 +73,111 @@
 				most = max(most, n)
 			}
 		}
-		t.Logf("%d x %d: %d in no set, no home in more than %d", c.entries, c.agents, none, most)
-		assert.Assert(t, none*1000 <= c.agents, "%d of %d are in no set", none, c.agents)
-		assert.Assert(t, most <= 4*max(coverage, leastOwn*c.entries/c.agents), "an agent is in %d sets", most)
+		t.Logf("%d entries, %d agents: %d agents in no set, those that are no homes in at most %d sets",
+			c.entries, c.agents, none, most)
+		assert.Assert(t, none*1000 <= c.agents, "%d of %d agents are in no set", none, c.agents)
+		// Four times the mean leaves room for the chance distribution.
+		assert.Assert(t, most <= 4*max(coverage, minOwn*c.entries/c.agents), "an agent is in %d sets", most)
 	}
 }
 
-// TestEntriesMeetAtTheSameHomes whichever agents they have lost, but for those that others took the
-// place of.
-func TestEntriesMeetAtTheSameHomes(t *testing.T) {
+// TestLossesKeepCommonHomes guards against entries without common homes after one of them
+// has lost agents.
+func TestLossesKeepCommonHomes(t *testing.T) {
 	a, b := newSet("edge-a", 50, 500), newSet("edge-b", 50, 500)
-	assert.DeepEqual(t, a.homes(), b.homes())
-	for _, name := range a.homes()[:30] {
+	assert.DeepEqual(t, a.homeNames(), b.homeNames())
+	for _, name := range a.homeNames()[:30] {
 		a.SetLost(name, true)
 	}
 	a.Update(0)
-	assert.Equal(t, len(a.homes()), homes+30)
-	for _, name := range b.homes() {
+	assert.Equal(t, len(a.homeNames()), homeAgents+30)
+	for _, name := range b.homeNames() {
 		assert.Assert(t, a.Home(name))
 	}
 }
 
-// TestAnEntryThatFindsFewAgentsHasTheSameHomes: one that restarts while the store is down hears
-// from the agents that it was connected to, all homes among them.
-func TestAnEntryThatFindsFewAgentsHasTheSameHomes(t *testing.T) {
+// TestEntryWithPartialDirectorySelectsSameHomes guards against different homes at an entry
+// that restarts while the store is down and only finds the agents it was connected to.
+func TestEntryWithPartialDirectorySelectsSameHomes(t *testing.T) {
 	before := newSet("edge-1", 184, 800)
 	after := NewSet("edge-1")
-	for _, name := range before.wanted() {
+	for _, name := range before.wantedNames() {
 		after.Add(name)
 	}
 	after.SetFleet(800)
 	after.Update(0)
-	assert.DeepEqual(t, after.homes(), before.homes())
+	assert.DeepEqual(t, after.homeNames(), before.homeNames())
 }
 
-// TestLostAgentsAreReplacedWithinBounds: of a fleet that loses half, entries find as many as before,
-// and try a bounded number; when all are back the set is as it was.
-func TestLostAgentsAreReplacedWithinBounds(t *testing.T) {
+// TestLostAgentsReplacedWithinBounds guards against too few live agents after the loss of half
+// of the fleet, unbounded tries, and a set that is not restored when the agents return.
+func TestLostAgentsReplacedWithinBounds(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
-	before := s.wanted()
+	before := s.wantedNames()
 	for k := 0; k < 800; k += 2 {
 		s.SetLost(agentName(k), true)
 	}
 	s.Update(0)
-	live := s.where(func(a *agent) bool { return a.wanted && !a.lost })
-	assert.Assert(t, len(live) >= homes+leastOwn-homes/4, "%d live", len(live)) // some are in both
-	assert.Assert(t, len(s.wanted()) <= walkFactor*(homes+leastOwn))
+	live := s.namesOf(func(a *agent) bool { return a.wanted && !a.lost })
+	// Fewer than a quarter of the homes are also own agents.
+	assert.Assert(t, len(live) >= homeAgents+minOwn-homeAgents/4, "%d live agents wanted", len(live))
+	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn))
 	for k := range 800 {
 		s.SetLost(agentName(k), true)
 	}
 	s.Update(0)
-	assert.Assert(t, len(s.wanted()) <= walkFactor*(homes+leastOwn), "%d are tried", len(s.wanted()))
+	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn),
+		"%d agents tried", len(s.wantedNames()))
 	for k := range 800 {
 		s.SetLost(agentName(k), false)
 	}
 	s.Update(0)
-	assert.DeepEqual(t, s.wanted(), before)
+	assert.DeepEqual(t, s.wantedNames(), before)
 }
 
-// TestASetGrowsWhileItHelps: more agents as long as those that came last give room.
-func TestASetGrowsWhileItHelps(t *testing.T) {
+// TestSetGrowsWhileAddedAgentsRunTasks guards against adding agents without end in a full
+// fleet.
+func TestSetGrowsWhileAddedAgentsRunTasks(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
-	usual := len(s.wanted())
+	usual := len(s.wantedNames())
 	now := time.Second
-	step := func(gives bool) int {
-		s.Short(now, func(string) bool { return gives })
+	step := func(runsTasks bool) int {
+		s.Short(now, func(string) bool { return runsTasks })
 		s.Update(now)
-		now += growPause
-		return len(s.wanted())
+		now += growInterval
+		return len(s.wantedNames())
 	}
-	first := step(false) // nothing was added yet
+	first := step(false) // no agents were added before
 	assert.Assert(t, first > usual)
-	assert.Equal(t, step(false), first, "no room was found there")
+	assert.Equal(t, step(false), first, "grew although the added agents run no tasks")
 	second := step(true)
 	assert.Assert(t, second > first)
 	for range 100 {
 		step(true)
 	}
-	assert.Equal(t, len(s.wanted()), 800)
-	now += growTime
+	assert.Equal(t, len(s.wantedNames()), 800)
+	now += growRetention
 	s.Update(now)
-	assert.Equal(t, len(s.wanted()), usual)
+	assert.Equal(t, len(s.wantedNames()), usual)
 }
 
-// TestAMissingLabelWantsAll for a while: only a connection tells which labels a target has.
-func TestAMissingLabelWantsAll(t *testing.T) {
+// TestMissingLabelWantsAllAgents guards against a job that never finds a target with its
+// label: an entry has the labels of the targets of connected agents only.
+func TestMissingLabelWantsAllAgents(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
-	usual := len(s.wanted())
+	usual := len(s.wantedNames())
 	s.Widen(time.Second)
 	s.Update(time.Second)
-	assert.Equal(t, len(s.wanted()), 800)
+	assert.Equal(t, len(s.wantedNames()), 800)
 	assert.Assert(t, !s.Partial())
-	assert.Equal(t, len(s.homes()), homes, "homes are the same for all entries")
-	s.Update(time.Second + wideTime)
-	assert.Equal(t, len(s.wanted()), usual)
+	assert.Equal(t, len(s.homeNames()), homeAgents, "the homes changed in number when all agents were wanted")
+	s.Update(time.Second + wantAllDuration)
+	assert.Equal(t, len(s.wantedNames()), usual)
 }
 
-// TestAnyHistoryOfASet: whatever comes, homes are wanted, the count is bounded, and the same state
-// gives the same set.
-func TestAnyHistoryOfASet(t *testing.T) {
+// TestRandomHistoriesKeepSetConsistent guards against homes that are not wanted, a full mesh
+// without some agents, an unsorted order of homes, and orders of different length.
+func TestRandomHistoriesKeepSetConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSet("edge-1", 20, rapid.IntRange(0, 300).Draw(t, "agents"))
 		now := time.Second
@@ -188,12 +196,12 @@
 				s.SetEntries(rapid.IntRange(1, 40).Draw(t, "entries"))
 			}
 			s.Update(now)
-			now += growPause
-			for _, name := range s.homes() {
+			now += growInterval
+			for _, name := range s.homeNames() {
 				assert.Assert(t, s.Wanted(name))
 			}
 			if !s.Partial() {
-				assert.Equal(t, len(s.wanted()), s.Known())
+				assert.Equal(t, len(s.wantedNames()), s.Known())
 			}
 		}
 		assert.Assert(t, slices.IsSortedFunc(s.byHome, (*agent).byHomeRank))
@@ -201,7 +209,7 @@
 	})
 }
 
-// BenchmarkUpdate is what one change costs an entry.
+// BenchmarkUpdate measures Update after the loss or return of one agent.
 func BenchmarkUpdate(b *testing.B) {
 	for _, agents := range []int{800, 1600} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -13,75 +13,78 @@
 )
 
 const (
-	// StartRetry is how long after it was sent a start without an answer is sent
-	// again; Tick should be called then. Measured with the second renewal: see
-	// LosingReplies.
+	// StartRetry is the time after which an unanswered start is sent again; Tick should be
+	// called then.
 	StartRetry = 20 * time.Millisecond
-	// maxStartTries is how often a start is sent before only the target's lists
-	// tell what became of it. Half and double: no difference.
+	// maxStartTries is how often a start is sent; afterwards only the target's lists
+	// decide.
 	maxStartTries = 5
-	// stopRetry is how long after it was sent a stop is sent again, until the end
-	// of the run is listed. Half and double: no difference.
+	// stopRetry is the interval at which a stop is repeated until the end of the run is
+	// listed.
 	stopRetry = 100 * time.Millisecond
 )
 
-// run is a run that may be on the target. It keeps its room until its end is
-// certain: the target lists the end, or does not list the run though it can't begin
-// any more, or the target's lease has expired or its incarnation is over.
+// run is a run that may exist on the target. It keeps its resources until its end is
+// certain: the target lists the end, or does not list the run although it can no longer
+// start, or the target's lease has expired or its incarnation is over.
 type run struct {
 	order   task.Order
-	name    string // as the target knows the task
+	name    string // task name used by the target
 	session *session
 
-	// answered says that the start took effect: the run is or was on the target.
-	answered bool
-	began    time.Duration // when the start was answered; before, when it was ordered
-	endBy    time.Duration // when it is stopped at the latest; zero: never
-	probe    bool          // it began while the target was ejected
-	// coldness is how cold the target was when it began, and coldSlowness the logarithm of
-	// how many times as long it was expected to take for that.
-	coldness, coldSlowness float64
-	// awaitsSpecUntil is until when the spec may take to come from another agent; zero
-	// where it is known. Until then no start is sent.
-	awaitsSpecUntil time.Duration
-
-	// deadline is that of the last start sent, on the target's clock: afterwards
-	// no copy of the call can begin the run.
+	// started is set once the start is known to have taken effect: the target has accepted
+	// it or lists the run.
+	started bool
+	// startedAt is when the order arrived, its spec arrived, or the start was first known to
+	// have taken effect, whichever was last.
+	startedAt time.Duration
+	endBy     time.Duration // when the run is stopped for exceeding its time limit; zero: no limit
+	probe     bool          // ordered while the target was ejected
+	// coldFraction is the target's cold fraction at the start of the run, and
+	// coldLogSlowdown the logarithm of the slowdown expected from it.
+	coldFraction, coldLogSlowdown float64
+	// specDeadline is the latest time at which the spec may arrive from another agent; zero
+	// if the spec is known. Before it arrives, no start is sent, and a stop ends the run at
+	// once.
+	specDeadline time.Duration
+
+	// deadline is that of the last start sent, on the target's clock; after it no copy of
+	// the call can start the run.
 	deadline time.Duration
-	tries    int           // starts that were sent
-	sentAt   time.Duration // when the last start or stop was sent
-	// cannotBegin says that the run does not begin any more if it has not:
-	// a renewal sent after cannotBeginSince tells whether it is there.
-	cannotBegin      bool
-	cannotBeginSince time.Duration
+	tries    int           // starts sent
+	sentAt   time.Duration // send time of the last start or stop
+	// cannotStart is set once the run can no longer start if it has not: a renewal sent
+	// after cannotStartSince shows whether it exists.
+	cannotStart      bool
+	cannotStartSince time.Duration
 
-	// reborn says that the target has restarted under the same id since: the run may be over,
-	// or begin in the new life.
-	reborn bool
+	// beforeRestart is set when the target has restarted under the same id since the order:
+	// the run may be over, or may start in the new process.
+	beforeRestart bool
 
 	stopping  bool
-	stoppedAt time.Duration // when its stop was decided
-	reason    code.Code     // of the stop
+	stoppedAt time.Duration // when the stop was decided
+	reason    code.Code     // reason for the stop
 }
 
-// markCannotBegin records that r does not begin any more if it has not.
-func (r *run) markCannotBegin(now time.Duration) {
-	if !r.cannotBegin {
-		r.cannotBegin = true
-		r.cannotBeginSince = now
+// markCannotStart records that r can no longer start if it has not started.
+func (r *run) markCannotStart(now time.Duration) {
+	if !r.cannotStart {
+		r.cannotStart = true
+		r.cannotStartSince = now
 	}
 }
 
-// takeOrder begins a run that an entry ordered, or rejects it.
-func (s *Supervisor) takeOrder(now time.Duration, c *session, order task.Order) {
+// handleOrder begins the run of an order, or rejects the order.
+func (s *Supervisor) handleOrder(now time.Duration, c *session, order task.Order) {
 	name := order.Task.String()
 	spec := s.completeSpec(c, &order)
-	if why := s.rejection(now, c, order, name, spec); why != code.OK {
-		s.logOrderRejected(now, c, order, why)
-		c.reportEnd(order, peer.Ended{End: task.EndRejected, Reason: why, TargetFault: true})
+	if reason := s.rejection(now, c, order, name, spec); reason != code.OK {
+		s.logOrderRejected(now, c, order, reason)
+		c.reportEnd(order, peer.Ended{End: task.EndRejected, Reason: reason, TargetFault: true})
 		return
 	}
-	r := &run{order: order, name: name, session: c, began: now}
+	r := &run{order: order, name: name, session: c, startedAt: now}
 	if order.TimeLeft > 0 {
 		r.endBy = now + order.TimeLeft
 	}
@@ -90,17 +93,17 @@
 	s.room.used = s.room.used.Plus(order.Needs)
 	s.markChanged()
 	r.probe = s.health.recordStart(now)
-	r.coldness, r.coldSlowness = s.warmth.coldness(now), s.warmth.slowness(now)
-	if spec == specElsewhere {
+	r.coldFraction, r.coldLogSlowdown = s.warmup.coldFraction(now), s.warmup.logSlowdown(now)
+	if spec == specRemote {
 		s.awaitSpec(now, r)
 		return
 	}
 	s.sendStart(now, r)
 }
 
-// rejection decides whether an order is taken: code.OK, or why not. The entry's
-// lease comes first, since an order under an old one may belong to a run that was
-// stopped already.
+// rejection returns the reason for rejecting an order, or code.OK. The entry's lease is
+// checked before the state of the target, since an order under an expired lease may belong
+// to a run that was already stopped.
 func (s *Supervisor) rejection(now time.Duration, c *session, order task.Order, name string, spec specState) code.Code {
 	switch {
 	case spec == specUnknown:
@@ -119,11 +122,11 @@
 	return code.OK
 }
 
-// checkRun acts on what has run out of time for r: its entry's lease, its own
-// limit, a stop or a start that was not answered.
+// checkRun handles what is due for r: its entry's lease, its time limit, and the retry of a
+// stop or start.
 func (s *Supervisor) checkRun(now time.Duration, r *run) {
-	if r.reborn {
-		return // the new life's lists tell
+	if r.beforeRestart {
+		return // decided by the lists of the new process
 	}
 	if s.sessions[r.session.id] == r.session && !s.leased(now, r.session) && !r.stopping {
 		s.logOwnerLeaseOver(now, r)
@@ -141,21 +144,21 @@
 		}
 		return
 	}
-	if r.cannotBegin {
+	if r.cannotStart {
 		return
 	}
 	if s.lease.clock.known && s.lease.clock.atLeast(now) > r.deadline {
-		r.markCannotBegin(now)
+		r.markCannotStart(now)
 		return
 	}
-	if !r.answered && now-r.sentAt >= StartRetry && r.tries < maxStartTries {
+	if !r.started && now-r.sentAt >= StartRetry && r.tries < maxStartTries {
 		s.sendStart(now, r)
 	}
 }
 
-// finish ends r: its end is certain. Its entry is told, if the connection that
-// ordered it is still there.
-func (s *Supervisor) finish(now time.Duration, r *run, end task.End, why code.Code) {
+// finish removes r, whose end is certain, and reports the end to its entry if the ordering
+// connection still exists.
+func (s *Supervisor) finish(now time.Duration, r *run, end task.End, reason code.Code) {
 	delete(s.runs, r.name)
 	r.session.runs--
 	s.room.used = s.room.used.Minus(r.order.Needs)
@@ -164,35 +167,38 @@
 	}
 	targetFault := s.recordHealth(now, r, end)
 	if s.sessions[r.session.id] == r.session {
-		r.session.reportEnd(r.order, peer.Ended{End: end, Reason: why, Took: now - r.began, TargetFault: targetFault})
+		r.session.reportEnd(r.order,
+			peer.Ended{End: end, Reason: reason, Took: now - r.startedAt, TargetFault: targetFault})
 	} else if s.orphanRuns[r.session.name]--; s.orphanRuns[r.session.name] <= 0 {
 		delete(s.orphanRuns, r.session.name)
 	}
-	s.logEnded(now, r, end, why)
+	s.logEnded(now, r, end, reason)
 	s.logIfEmpty(now)
 	s.markChanged()
 }
 
-// recordHealth takes the end of a run into the target's health. It reports whether
-// the end is the target's fault and not the task's.
+// recordHealth updates the target's health with the end of a run. It reports whether the
+// end does not count as a failure of the task: any end but EndFailed, and EndFailed if the
+// target is then ejected.
 func (s *Supervisor) recordHealth(now time.Duration, r *run, end task.End) bool {
 	targetFault := end != task.EndFailed
-	if r.answered && end == task.EndDone && !s.health.ejected {
-		s.warmth.learn(r.coldness, logRatio(max(now-r.began, minRunTime), r.order.Guess)-s.health.slowness)
+	if r.started && end == task.EndDone && !s.health.ejected {
+		s.warmup.learn(r.coldFraction, logRatio(max(now-r.startedAt, minRunTime), r.order.Guess)-s.health.logSlowdown)
 	}
-	if r.answered && (end == task.EndDone || end == task.EndFailed) {
-		if s.health.recordEnd(r, end, max(0, s.lease.listedBefore-r.began), now-r.began) {
+	if r.started && (end == task.EndDone || end == task.EndFailed) {
+		if s.health.recordEnd(r, end, max(0, s.lease.previousListedAt-r.startedAt), now-r.startedAt) {
 			s.announceHealth(now)
 		}
 		targetFault = targetFault || s.health.ejected
 	}
 	if r.probe && s.health.ejected && (end != task.EndDone || s.health.goodProbes == 0) {
-		s.health.bad(now)
+		s.health.resetTrial(now)
 	}
 	return targetFault
 }
 
-// probes returns how many runs were begun while the target was ejected.
+// probes returns the number of runs that were ordered while the target was ejected and have
+// not certainly ended.
 func (s *Supervisor) probes() int {
 	count := 0
 	for _, r := range s.runs {
@@ -203,18 +209,18 @@
 	return count
 }
 
-// activeRuns returns the runs that are at work on the target and not being stopped.
+// activeRuns returns the runs that are known to have started and are not being stopped.
 func (s *Supervisor) activeRuns() []*run {
 	var list []*run
 	for _, r := range s.sortedRuns() {
-		if r.answered && !r.stopping {
+		if r.started && !r.stopping {
 			list = append(list, r)
 		}
 	}
 	return list
 }
 
-// sortedRuns returns the runs by name, so that histories repeat exactly.
+// sortedRuns returns the runs sorted by name, for a deterministic order of processing.
 func (s *Supervisor) sortedRuns() []*run {
 	return slices.SortedFunc(maps.Values(s.runs), func(a, b *run) int { return strings.Compare(a.name, b.name) })
 }
--- a/supervisor/stopping.go
+++ b/supervisor/stopping.go
@@ -7,10 +7,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// Stops: a run that is to end stays until its end is certain.
-
-// stopOrdered stops a run on its entry's order. A run that is not there has ended,
-// and its end is on its way.
+// stopOrdered stops a run at its entry's request. A run that is unknown has ended, and its
+// end is being reported.
 func (s *Supervisor) stopOrdered(now time.Duration, c *session, ref task.Ref) {
 	r := s.runs[ref.Task.String()]
 	if r == nil || r.session != c || r.order.Run != ref.Run {
@@ -19,23 +17,24 @@
 	s.stop(now, r, code.RunOwnerStops)
 }
 
-// stop has the target stop r. The run stays until its end is certain.
-func (s *Supervisor) stop(now time.Duration, r *run, why code.Code) {
+// stop makes the target stop r. The run is kept until its end is certain; a run whose start
+// has not been sent ends at once.
+func (s *Supervisor) stop(now time.Duration, r *run, reason code.Code) {
 	if r.stopping {
 		return
 	}
 	r.stopping = true
 	r.stoppedAt = now
-	r.reason = why
+	r.reason = reason
 	s.logStopping(now, r)
-	if r.awaitsSpecUntil > 0 {
-		s.finish(now, r, task.EndRejected, why) // no start was sent
+	if r.specDeadline > 0 {
+		s.finish(now, r, task.EndRejected, reason) // no start was sent
 		return
 	}
 	s.sendStop(now, r)
 }
 
-// sendStop sends the stop of r to the target.
+// sendStop sends a stop of r to the target.
 func (s *Supervisor) sendStop(now time.Duration, r *run) {
 	r.sentAt = now
 	s.Stop(StopCall{
@@ -46,8 +45,9 @@
 	})
 }
 
-// StopAnswered handles the answer to a stop. An accepted stop keeps the run from
-// beginning, too. One without an answer is sent again by checkRun.
+// StopAnswered handles the result of a stop call. An accepted stop also prevents a later
+// start of the run. Whatever the result, checkRun repeats the stop until the end of the run
+// is certain.
 func (s *Supervisor) StopAnswered(now time.Duration, c StopCall, reply Reply) {
 	defer s.flush(now)
 	s.recordReply(now, c.Incarnation, reply)
@@ -61,7 +61,7 @@
 	}
 	switch reply.Outcome {
 	case Accepted:
-		r.markCannotBegin(now)
+		r.markCannotStart(now)
 	case RefusedToken:
 		s.renewToken(now)
 	default:
