--- a/testutil/account/main.go
+++ b/testutil/account/main.go
@@ -5,9 +5,9 @@
 //
 // Requests without an answer (no host was reachable, or the host lost power) count as lost for
 // any dispatcher. Requests that were refused or answered late count as lost by this system. The
-// bound is what the day would have earned if all of the latter had been served in time, at the
-// same prices. It is too high where the load exceeded the capacity of the targets. Field names
-// are those of the reports.
+// bound is what the day would have earned if all of the latter had been served in time, with the
+// same deductions from the weighted parts of the report. The bound is too high if the load
+// exceeded the capacity of the targets. Field names are those of the reports.
 package main
 
 import (
@@ -20,30 +20,29 @@
 	"strings"
 )
 
-// worstWindowCount is the number of windows that the benchmark averages in the part "worst
-// windows".
+// worstWindowCount is the number of windows whose mean is the part "worst windows" of a report.
 const worstWindowCount = 2
 
 // minShownLoss is the smallest loss of a window that is printed.
 const minShownLoss = 0.02
 
-// report has the fields used of a benchmark report.
+// report has the fields of a benchmark report that are used.
 type report struct {
 	Worth   float64         `json:"G"`
-	Parts   []component     `json:"parts"`
+	Parts   []part          `json:"parts"`
 	All     requestCounts   `json:"all"`
 	Classes []requestCounts `json:"classes"`
 	Windows []requestCounts `json:"windows"`
 }
 
-// component is one weighted term of the worth before prices.
-type component struct {
+// part is one weighted term of the worth before deductions.
+type part struct {
 	name          string
 	weight, value float64
 }
 
 // UnmarshalJSON decodes the array [name, weight, value].
-func (p *component) UnmarshalJSON(raw []byte) error {
+func (p *part) UnmarshalJSON(raw []byte) error {
 	return json.Unmarshal(raw, &[]any{&p.name, &p.weight, &p.value})
 }
 
@@ -58,7 +57,8 @@
 	Worth   float64 `json:"worth"`
 }
 
-// bound returns what the group would have earned without refused and late requests.
+// bound returns the earned share of the group if its refused and late requests had been served
+// in time. Each lost request is taken to lose the same share.
 func (c requestCounts) bound() float64 {
 	lost := c.Late + c.Refused + c.Failed
 	if lost == 0 {
@@ -67,18 +67,19 @@
 	return c.Worth + (1-c.Worth)*float64(c.Late+c.Refused)/float64(lost)
 }
 
-// bound returns what the day would have earned without refused and late requests.
+// bound returns what the day would have earned if its refused and late requests had been served
+// in time.
 func (r report) bound() float64 {
-	prices, sum := -r.Worth, 0.0
+	deductions, sum := -r.Worth, 0.0
 	for _, p := range r.Parts {
-		prices += p.weight * p.value
+		deductions += p.weight * p.value
 		sum += p.weight * r.boundOf(p)
 	}
-	return sum - prices
+	return sum - deductions
 }
 
-// boundOf returns the bound of one component, or its value if its name is unknown.
-func (r report) boundOf(p component) float64 {
+// boundOf returns the bound of one part, or its value if its name is unknown.
+func (r report) boundOf(p part) float64 {
 	switch p.name {
 	case "whole day":
 		return r.All.bound()
--- a/testutil/fleet/client.go
+++ b/testutil/fleet/caller.go
@@ -9,30 +9,30 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// attempts is the number of failed runs of a task that fail its job.
+// attempts is the number of failed runs of a task after which its job fails.
 const attempts = 3
 
-// faultEffectTime is how long after its start a fault may affect jobs.
+// faultEffectTime is how long a fault may affect jobs, counted from the start of the fault.
 const faultEffectTime = 5000 * time.Millisecond
 
 // callerLatency is the one-way delay between a caller and its entry.
 const callerLatency = 3 * time.Millisecond
 
-// client is the caller of one job. It submits the job again, at any entry, if its connection
-// breaks or no answer arrives in time.
-type client struct {
+// caller is the caller of one job. The job is submitted again, to a random entry, if the
+// connection breaks or no answer arrives in time.
+type caller struct {
 	w            *World
 	spec         task.Job
 	afterFaults  bool // submitted after the faults
-	tries        int
+	tries        int  // number of the current try, one more while a resend is pending
 	refusedTries int
-	// duplicates counts copies of the submission that another entry received, refusedDuplicates
-	// those that it refused.
+	// duplicates counts copies of the submission sent to other entries, refusedDuplicates the
+	// refused ones.
 	duplicates, refusedDuplicates int
 	retries                       int // after a refusal
 	submissions                   int
 	waitingToRetry                bool // between a refusal and the retry
-	answered                      bool
+	answered                      bool // also set when the caller abandons the job
 	crashesTargets                bool // its tasks crash each target that starts them
 	// targetCrashes counts the target crashes caused by each task, startsAfterLimit the starts
 	// of a task after crashLimit crashes.
@@ -52,7 +52,7 @@
 	taskDurations   []time.Duration
 	worth           float64
 	sentAt          time.Duration
-	earnedFraction  float64
+	earnedShare     float64
 }
 
 // scheduleJobs schedules the arrivals of random jobs for the configured length.
@@ -79,14 +79,17 @@
 		guess = w.cfg.LongGuess
 	}
 	guess = guess/2 + w.randomUpTo(guess)
-	c := &client{w: w, afterFaults: afterFaults, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int)}
+	c := &caller{w: w, afterFaults: afterFaults, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int)}
 	c.spec = task.Job{
 		ID: id, Queue: "q", Service: service, Spec: w.specOf(id), Attempts: attempts,
-		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.Patience, Priority: w.rng.IntN(3),
-		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64}, Estimate: guess}},
+		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond,
+		CallerTimeout: w.cfg.Patience, Priority: w.rng.IntN(3),
+		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64},
+			Estimate: guess}},
 	}
 	if w.rng.IntN(4) == 0 {
-		c.spec.Steps = append(c.spec.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
+		c.spec.Steps = append(c.spec.Steps,
+			task.Step{Count: 1, Needs: task.Needs{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
 	}
 	w.alwaysFails[id] = w.rng.IntN(30) == 0 && !afterFaults
 	w.jobs[id] = c
@@ -99,8 +102,9 @@
 	}
 }
 
-// abandon makes the caller disconnect without submitting the job again.
-func (c *client) abandon() {
+// abandon makes the caller disconnect without submitting the job again. Jobs whose caller has
+// an answer are not abandoned.
+func (c *caller) abandon() {
 	if c.answered || c.entry == nil {
 		return
 	}
@@ -113,7 +117,7 @@
 }
 
 // send submits the job to a random entry.
-func (c *client) send() {
+func (c *caller) send() {
 	w := c.w
 	if c.tries >= 4+c.retries || c.answered {
 		return
@@ -140,15 +144,15 @@
 				}
 				w.after(callerLatency, func() { c.handleAnswer(tries, a) })
 			})
-			e.clients[c.spec.ID] = c
+			e.callers[c.spec.ID] = c
 		})
 	})
 	if w.cfg.Strays > 0 {
 		c.sendDuplicate()
 	}
-	sends := c.submissions
+	submission := c.submissions
 	w.after(c.spec.CallerTimeout, func() {
-		if c.tries == tries && c.submissions == sends && !c.answered && !c.waitingToRetry {
+		if c.tries == tries && c.submissions == submission && !c.answered && !c.waitingToRetry {
 			c.disconnect()
 			c.resend()
 		}
@@ -156,9 +160,9 @@
 }
 
 // sendDuplicate sends, with probability Config.Strays, a copy of the submission to another
-// entry: either within 10 ms, as a caller does that finds its connection broken, or seconds
-// later. No caller waits for the answer; that entry cancels the copy within 40 ms.
-func (c *client) sendDuplicate() {
+// entry: either within 10 ms, as by a caller whose connection broke, or up to 4 s later. The
+// copy is cancelled within 40 ms.
+func (c *caller) sendDuplicate() {
 	const (
 		maxImmediateDelay = 10 * time.Millisecond
 		maxLateDelay      = 4 * time.Second
@@ -187,24 +191,25 @@
 					c.refusedDuplicates++
 				}
 			})
-			w.after(cancelDelay, func() { e.execute(incarnation, func() { e.owner.Cancel(e.clock(), c.spec.ID, waiter) }) })
+			w.after(cancelDelay,
+				func() { e.execute(incarnation, func() { e.owner.Cancel(e.clock(), c.spec.ID, waiter) }) })
 		})
 	})
 }
 
 // disconnect breaks the connection to the entry.
-func (c *client) disconnect() {
+func (c *caller) disconnect() {
 	e, incarnation, id, waiter := c.entry, c.incarnation, c.spec.ID, c.waiter
-	delete(e.clients, id)
+	delete(e.callers, id)
 	// A frozen entry processes the submission first.
 	e.execute(incarnation, func() { e.owner.Cancel(e.clock(), id, *waiter) })
 }
 
 // resend submits the job again after resendDelay.
-func (c *client) resend() {
+func (c *caller) resend() {
 	c.w.Counts.Resent++
 	tries := c.tries
-	c.tries++ // makes answers to the previous try stale
+	c.tries++ // so that answers to the previous try are ignored
 	c.w.after(resendDelay, func() {
 		if c.tries == tries+1 {
 			c.tries = tries
@@ -213,8 +218,9 @@
 	})
 }
 
-// handleAnswer handles the answer to a try unless a later try has superseded it.
-func (c *client) handleAnswer(try int, a owner.Answer) {
+// handleAnswer handles the answer to a try. Answers to earlier tries, and those after an answer,
+// are ignored.
+func (c *caller) handleAnswer(try int, a owner.Answer) {
 	if c.tries != try || c.answered {
 		return
 	}
@@ -231,7 +237,7 @@
 		for k, s := range c.spec.Steps {
 			for n := range s.Count {
 				if id := (task.ID{Job: c.spec.ID, Step: k, Index: n}); !c.done[id] {
-					w.recordViolation(TrueCompletion, "job answered as completed, but task %s is not", id)
+					w.recordViolation(TrueCompletion, "job answered as completed, but task %s has not completed", id)
 				}
 			}
 		}
@@ -258,13 +264,14 @@
 // Returns holds the results of callers that retry refused jobs.
 type Returns struct {
 	Refused, Gone int // refusals, and callers that gave up
-	// Served is the number of completed jobs, Taken the total time from their first submission
-	// to completion.
+	// Served is the number of completed jobs, Taken the sum of the times from their first
+	// submissions to their completions.
 	Served int
 	Taken  time.Duration
 }
 
-func (r *Returns) recordCompleted(c *client, took time.Duration) {
+// recordCompleted records the completion of a workload job.
+func (r *Returns) recordCompleted(c *caller, took time.Duration) {
 	if c.typicalDuration > 0 {
 		r.Served++
 		r.Taken += took
@@ -272,8 +279,8 @@
 }
 
 // retryAfterRefusal submits a refused job again after the delay given in the refusal, unless
-// that exceeds Config.ComeBack.
-func (c *client) retryAfterRefusal(delay time.Duration) {
+// the retry would be later than Config.ComeBack after the first submission.
+func (c *caller) retryAfterRefusal(delay time.Duration) {
 	w := c.w
 	if w.cfg.ComeBack == 0 || c.typicalDuration == 0 {
 		return
@@ -295,7 +302,7 @@
 }
 
 // checkFailureCause checks that some task of a failed job has used up its attempts.
-func (c *client) checkFailureCause() {
+func (c *caller) checkFailureCause() {
 	for _, n := range c.failedRuns {
 		if n >= attempts {
 			return
@@ -304,8 +311,8 @@
 	c.w.recordViolation(FailedWithCause, "%s answered as failed although no task used up its attempts", c.spec.ID)
 }
 
-// checkStepOrder checks that the steps a task depends on were complete when it started.
-func (c *client) checkStepOrder(id task.ID) {
+// checkStepOrder checks, when a task starts, that the steps it depends on are complete.
+func (c *caller) checkStepOrder(id task.ID) {
 	for _, step := range c.spec.Steps[id.Step].DependsOn {
 		for n := range c.spec.Steps[step].Count {
 			if earlier := (task.ID{Job: id.Job, Step: step, Index: n}); !c.done[earlier] {
--- a/testutil/fleet/clairvoyant.go
+++ b/testutil/fleet/clairvoyant.go
@@ -9,9 +9,9 @@
 )
 
 // Clairvoyant returns the earned share of a hypothetical scheduler on the same targets that
-// knows the real task durations, has a single queue and needs no messages. It is the better of
-// two orders: latest start first, and highest worth per second of work first. It approximates
-// an upper bound; neither order is proven optimal.
+// has the real task durations, a single queue and no message delays. The result is the better
+// one of two orders: earliest latestStart first, and highest worth per second of work first. As
+// neither order is always optimal, the result only approximates an upper bound.
 func (w *World) Clairvoyant(outages []Outage) float64 {
 	byTime := func(a, b *clairvoyantJob) int { return cmp.Compare(a.latestStart(), b.latestStart()) }
 	byWorth := func(a, b *clairvoyantJob) int { return cmp.Compare(b.worthPerSecond(), a.worthPerSecond()) }
@@ -20,12 +20,12 @@
 
 // clairvoyantJob is a job in the clairvoyant schedule.
 type clairvoyantJob struct {
-	c            *client
+	c            *caller
 	startedTasks int
 	lastEnd      time.Duration // of the started tasks
 }
 
-// latestStart returns the latest start that meets the objective.
+// latestStart returns the latest start that meets the objective on a target of speed 1.
 func (j *clairvoyantJob) latestStart() time.Duration {
 	return j.c.sentAt + j.c.objective() - slices.Max(j.c.taskDurations)
 }
@@ -92,7 +92,8 @@
 		for len(ends) > 0 && ends[0].at <= now {
 			heap.Pop(&ends).(taskEnd).target.free += taskCPU
 		}
-		waiting = slices.DeleteFunc(waiting, func(j *clairvoyantJob) bool { return j.startedTasks == 0 && j.latestStart() < now })
+		waiting = slices.DeleteFunc(waiting,
+			func(j *clairvoyantJob) bool { return j.startedTasks == 0 && j.latestStart() < now })
 		slices.SortStableFunc(waiting, order)
 		for len(waiting) > 0 && waiting[0].startAll(now, targets, &ends) {
 			j := waiting[0]
@@ -103,7 +104,7 @@
 	return total.Share()
 }
 
-// nextEventTime returns the time of the next arrival or task end.
+// nextEventTime returns the time of the next arrival or task end. One of them must be pending.
 func nextEventTime(jobs []*clairvoyantJob, ends taskEndHeap) time.Duration {
 	switch {
 	case len(ends) == 0:
@@ -117,7 +118,7 @@
 // clairvoyantJobs returns the jobs in order of arrival.
 func (w *World) clairvoyantJobs() []*clairvoyantJob {
 	var jobs []*clairvoyantJob
-	for _, c := range slices.SortedFunc(maps.Values(w.jobs), func(a, b *client) int {
+	for _, c := range slices.SortedFunc(maps.Values(w.jobs), func(a, b *caller) int {
 		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.spec.ID, b.spec.ID))
 	}) {
 		jobs = append(jobs, &clairvoyantJob{c: c})
@@ -159,7 +160,8 @@
 	return true
 }
 
-// firstWithRoom returns the first target with room for a task, and when the task would end.
+// firstWithRoom returns the first target with room for a task and the end of the task there, or
+// nil if there is none.
 func firstWithRoom(now, length time.Duration, targets []*clairvoyantTarget) (*clairvoyantTarget, time.Duration) {
 	for _, t := range targets {
 		end := now + time.Duration(float64(length)/t.speed)
--- a/testutil/fleet/crash_test.go
+++ b/testutil/fleet/crash_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// crashingConfig returns a workload at 25% load in which 2% of the jobs crash every target that
+// crashingConfig returns the configuration of a workload at 25% load in which 2% of the jobs crash every target that
 // starts them. Targets restart after 2 to 3 s; objectives leave time for several runs.
 func crashingConfig(seed uint64, entries, agents int) Config {
 	cfg := PolicyConfig(seed, entries, agents, Tracking(agents, 0.25))
@@ -17,19 +17,20 @@
 	return cfg
 }
 
-// innocentFailureBound bounds the share of jobs that fail only because they ran beside a task
-// that crashes targets.
+// innocentFailureBound bounds the share of jobs that fail only because they ran on the same
+// target as a task that crashes targets.
 const innocentFailureBound = 0.01
 
 // TestCrashingTasksRespectStartBudgetAndSpareOthers guards against unlimited restarts of tasks
-// that crash targets, and against failing the jobs that ran beside them.
+// that crash targets, and against failing jobs that ran on the same targets.
 func TestCrashingTasksRespectStartBudgetAndSpareOthers(t *testing.T) {
 	for _, agents := range []int{11, 70} {
 		w := New(crashingConfig(1, 3, agents))
 		w.Run()
 		t.Logf("%d agents: %+v, %+v", agents, w.Crashes, w.Counts)
 		assert.Equal(t, w.Broken, "")
-		assert.Assert(t, float64(w.Crashes.InnocentFailed) <= innocentFailureBound*float64(w.Counts.Jobs), "%+v", w.Crashes)
+		assert.Assert(t, float64(w.Crashes.InnocentFailed) <= innocentFailureBound*float64(w.Counts.Jobs), "%+v",
+			w.Crashes)
 	}
 }
 
--- a/testutil/fleet/drawn_test.go
+++ b/testutil/fleet/drawn_test.go
@@ -12,12 +12,11 @@
 
 // Bounds for random scenes without faults.
 const (
-	// maxSoundEjected is the total time for which targets of a scene may be ejected.
+	// maxSoundEjected bounds the total time for which healthy targets of a scene are ejected.
 	maxSoundEjected = 6 * time.Second
-	// maxRefusedShare is the share of jobs that may be refused while at least a fifth of the
-	// capacity is free on average.
+	// maxRefusedShare bounds the share of refused jobs.
 	maxRefusedShare = 0.01
-	// minCompletedShare is the share of the jobs that must complete.
+	// minCompletedShare is the lowest share of completed jobs.
 	minCompletedShare = 0.98
 )
 
@@ -38,7 +37,8 @@
 			stats := w.Stats()
 			refused := float64(stats.Refused) / float64(total.Jobs)
 			completed := float64(stats.Completed) / float64(total.Jobs)
-			t.Logf("%s: earned %.3f, completed %.3f, refused %.3f, ejected %s", scene.Name, total.Share(), completed, refused, w.SoundEjected)
+			t.Logf("%s: earned %.3f, completed %.3f, refused %.3f, ejected %s", scene.Name, total.Share(), completed,
+				refused, w.SoundEjected)
 			assert.Equal(t, w.Broken, "")
 			assert.Check(t, w.SoundEjected <= maxSoundEjected)
 			assert.Check(t, refused <= maxRefusedShare)
@@ -47,14 +47,16 @@
 	}
 }
 
+// randomScene returns a scene with a random load, shape, speeds and classes.
 func randomScene(n uint64) Scene {
 	r := rand.New(rand.NewPCG(n, 13))
 	uniform := func(lo, hi float64) float64 { return lo + r.Float64()*(hi-lo) }
-	// Factors are drawn uniformly by their logarithm.
+	// logUniform draws the logarithm of a factor uniformly.
 	logUniform := func(lo, hi float64) float64 { return math.Exp(uniform(math.Log(lo), math.Log(hi))) }
 	shape := Shape{
 		WorkSpread: 0.4, CountSpread: 0.4, Slack: 60 * time.Millisecond,
-		GuessError: uniform(0.1, 1.2), GuessBias: logUniform(0.5, 2), TaskSpread: uniform(0, 0.5), Stretch: uniform(1.2, 3),
+		GuessError: uniform(0.1, 1.2), GuessBias: logUniform(0.5, 2),
+		TaskSpread: uniform(0, 0.5), Stretch: uniform(1.2, 3),
 	}
 	work := logUniform(1.0/6, 2)
 	priorities := r.Perm(3)
@@ -64,7 +66,9 @@
 			scaleWork(c, work)
 			setPriorities(c, priorities...)
 		})
-	s.Name = fmt.Sprintf("estimate error %.2f, estimate bias %.2f, task spread %.2f, work factor %.2f, stretch %.2f, load %.2f", shape.GuessError, shape.GuessBias, shape.TaskSpread, work, shape.Stretch, s.Load)
+	s.Name = fmt.Sprintf("estimate error %.2f, estimate bias %.2f, task spread %.2f, "+
+		"work factor %.2f, objective factor %.2f, load %.2f",
+		shape.GuessError, shape.GuessBias, shape.TaskSpread, work, shape.Stretch, s.Load)
 	for range 3 {
 		s.Speeds = append(s.Speeds, logUniform(0.7, 1.4))
 	}
--- a/testutil/fleet/experiment/main.go
+++ b/testutil/fleet/experiment/main.go
@@ -1,5 +1,5 @@
 // Command experiment plays scenes of the fleet simulation (package fleet) with changed
-// constants and prints the effect of each change:
+// constants and prints the effect of each change. It must run in the root of the module:
 //
 //	go run ./testutil/fleet/experiment -scenes 'burst|uneven' -seeds 8 \
 //		-set owner.loadWeight=0 -set "owner.startedAdvance=0;owner.sizeDelay=0"
@@ -33,7 +33,8 @@
 	flaggy.String(&scenes, "s", "scenes", "regular expression that selects scenes by name")
 	flaggy.Int(&seeds, "n", "seeds", "number of seeds per scene")
 	flaggy.StringSlice(&sets, "c", "set", "a variant: PACKAGE.CONSTANT=VALUE;...")
-	flaggy.String(&play, "p", "play", "play this scene and print one line of results per seed (used by the command itself)")
+	flaggy.String(&play, "p", "play",
+		"play this scene and print one line of results per seed (for subprocesses of this command)")
 	flaggy.Parse()
 	if play != "" {
 		playScene(play, seeds)
@@ -45,6 +46,7 @@
 	}
 }
 
+// playScene plays a scene and prints one line of results per seed.
 func playScene(name string, seeds int) {
 	scene, found := fleet.SceneNamed(name)
 	if !found {
--- a/testutil/fleet/experiment/result.go
+++ b/testutil/fleet/experiment/result.go
@@ -12,8 +12,8 @@
 // result is the outcome of a scene with one seed.
 type result struct {
 	Earned   float64 `json:"earned"`   // share of the worth owed
-	Worst    float64 `json:"worst"`    // lowest share of any class or job size
-	Bound    float64 `json:"bound"`    // share earned by a clairvoyant scheduler
+	Worst    float64 `json:"worst"`    // lowest share of the groups of World.Worst
+	Bound    float64 `json:"bound"`    // share earned by the clairvoyant scheduler, an approximate bound
 	Refused  float64 `json:"refused"`  // share of the jobs
 	Held     float64 `json:"held"`     // worth refused late, as a share of the worth owed
 	Moved    float64 `json:"moved"`    // runs moved to another target, as a share of the starts
@@ -26,7 +26,8 @@
 	Broken   string  `json:"broken"`   // first violation of an invariant
 }
 
-// resultOf plays a scene with a seed and returns the result as JSON.
+// resultOf plays a scene with a seed and returns the result as JSON, or the text of an encoding
+// error.
 func resultOf(s fleet.Scene, seed uint64) string {
 	w := s.New(seed)
 	w.Run()
@@ -80,10 +81,10 @@
 	return value, math.Sqrt(squares / max(1, n-1) / n)
 }
 
-// barWidth is in characters.
+// barWidth is the width of a bar in characters.
 const barWidth = 20
 
-// bar draws a share between 0.5 and 1 as a bar.
+// bar returns a bar that is empty for shares up to 0.5 and full at 1.
 func bar(share float64) string {
 	filled := min(barWidth, max(0, int(math.Round((share-0.5)*2*barWidth))))
 	line := make([]byte, barWidth)
--- a/testutil/fleet/experiment/variant.go
+++ b/testutil/fleet/experiment/variant.go
@@ -27,7 +27,7 @@
 	results map[string][]result // by scene, one per seed
 }
 
-// build builds the variant in dir.
+// build builds the variant in dir. index makes the names of its files unique.
 func (v *variant) build(ctx context.Context, dir string, index int) error {
 	v.results = make(map[string][]result)
 	v.binary = filepath.Join(dir, "variant-"+strconv.Itoa(index))
@@ -45,7 +45,8 @@
 	if err := os.WriteFile(file, overlayJSON, 0o600); err != nil {
 		return err
 	}
-	out, err := exec.CommandContext(ctx, "go", "build", "-overlay", file, "-o", v.binary, module+"/testutil/fleet/experiment").CombinedOutput()
+	out, err := exec.CommandContext(ctx, "go", "build", "-overlay", file, "-o", v.binary,
+		module+"/testutil/fleet/experiment").CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, out)
 	}
@@ -85,11 +86,11 @@
 		overlay[path] = copied
 		return os.WriteFile(copied, []byte(string(text[:from])+value+string(text[to:])), 0o600)
 	}
-	return fmt.Errorf("constant %s is not declared in folder %s", constant, folder)
+	return fmt.Errorf("constant %s is not declared with a value in the Go files of folder %s", constant, folder)
 }
 
-// constantValueRange returns the byte offsets of a constant's value in a source file, or zeros
-// if the constant is not declared there.
+// constantValueRange returns the byte offsets of the value of a constant or variable in a source
+// file, or zeros if the file does not parse or does not declare the name with a value.
 func constantValueRange(text []byte, constant string) (from, to int) {
 	files := token.NewFileSet()
 	parsed, err := parser.ParseFile(files, "", text, parser.SkipObjectResolution)
@@ -111,7 +112,7 @@
 	return from, to
 }
 
-// play plays a scene in a subprocess and parses the results.
+// play plays a scene in a subprocess and returns one result per seed.
 func (v *variant) play(ctx context.Context, scene string, seeds int) ([]result, error) {
 	out, err := exec.CommandContext(ctx, v.binary, "-play", scene, "-seeds", strconv.Itoa(seeds)).Output()
 	if err != nil {
--- a/testutil/fleet/fault.go
+++ b/testutil/fleet/fault.go
@@ -8,7 +8,7 @@
 // Kind is a kind of fault.
 type Kind int
 
-// Kinds of faults. Those before randomKinds are drawn at random; the others occur only where
+// Kinds of faults. Those before randomKinds are drawn at random; the others occur only if
 // Config.Kinds names them.
 const (
 	KillEntry Kind = iota
@@ -31,7 +31,7 @@
 	// LoseHall cuts the power of a data hall; CutHall disconnects one entry from a data hall.
 	LoseHall
 	CutHall
-	// RestartTarget restarts a target under the same id.
+	// RestartTarget crashes a target, which restarts with the same ID.
 	RestartTarget
 	// SuspendEntry and SuspendAgent suspend a host for seconds; ShrinkRoom reduces the capacity
 	// of a target for a while.
@@ -42,7 +42,8 @@
 	Partition
 )
 
-// injectFault starts a random fault that lasts up to 3.2 s.
+// injectFault starts a random fault. Faults with a duration last up to 3.2 s, suspensions
+// minSuspension longer.
 func (w *World) injectFault() {
 	kind := Kind(w.rng.IntN(int(randomKinds)))
 	if len(w.cfg.Kinds) > 0 {
@@ -108,7 +109,8 @@
 // minSuspension is the shortest suspension of a host. It exceeds every lease and ClearTime.
 const minSuspension = 1500 * time.Millisecond
 
-// shrinkCapacity reduces a target's capacity for a while. Its next heartbeat reports the change.
+// shrinkCapacity reduces a target's capacity for the given duration. The target reports the
+// change in its next heartbeat.
 func (w *World) shrinkCapacity(a *agentProcess, duration time.Duration) {
 	t := a.target
 	t.capacity.CPU = w.cfg.CPU / (2 + w.rng.IntN(3))
@@ -127,7 +129,7 @@
 	}
 }
 
-// disconnectHall drops all traffic between an entry and a hall.
+// disconnectHall drops all traffic between an entry and a hall for the given duration.
 func (w *World) disconnectHall(e *entryProcess, hall string, duration time.Duration) {
 	for _, l := range w.links {
 		if l.e == e && l.a.target.hall == hall {
@@ -137,8 +139,8 @@
 	}
 }
 
-// partition drops all traffic between a hall with its entries and the others. Entries are
-// assigned to halls round robin, as targets are.
+// partition drops all traffic between a hall with its entries and the others for the given
+// duration. Entries are assigned to halls round robin, as targets are.
 func (w *World) partition(hall string, duration time.Duration) {
 	for _, l := range w.links {
 		entryInside := hallName(slices.Index(w.entries, l.e)%w.cfg.Halls) == hall
@@ -150,8 +152,8 @@
 	}
 }
 
-// delayHeartbeat crashes a target and delivers one of its heartbeats after the next incarnation
-// has sent its first.
+// delayHeartbeat crashes a target and delivers its last heartbeat more than heartbeatInterval
+// later, when the next incarnation may have sent heartbeats.
 func (w *World) delayHeartbeat(a *agentProcess, duration time.Duration) {
 	if !a.target.up {
 		return
@@ -159,7 +161,8 @@
 	a.heartbeatSeq++
 	delayed := a.target.heartbeat(a.heartbeatSeq)
 	w.crash(a)
-	w.after(heartbeatInterval+duration, func() { a.execute(a.incarnation, func() { a.supervisor.Heartbeat(a.clock(), delayed) }) })
+	w.after(heartbeatInterval+duration,
+		func() { a.execute(a.incarnation, func() { a.supervisor.Heartbeat(a.clock(), delayed) }) })
 }
 
 // silenceConnections drops all later frames on the open connections of an agent or an entry, in
@@ -196,7 +199,7 @@
 	})
 }
 
-// crash ends a target's incarnation and schedules the next one.
+// crash crashes a target and schedules its restart.
 func (w *World) crash(a *agentProcess) {
 	if !a.target.up {
 		return
@@ -207,28 +210,29 @@
 
 // crashSoonAfterStart crashes a target within 10 ms of the start of a run whose job crashes
 // targets.
-func (w *World) crashSoonAfterStart(e *emulatedTarget, r *emulatedRun) {
-	incarnation := e.incarnation
+func (w *World) crashSoonAfterStart(t *emulatedTarget, r *emulatedRun) {
+	incarnation := t.incarnation
 	w.after(time.Duration(w.crashRand.Int64N(int64(10*time.Millisecond))), func() {
-		if e.incarnation != incarnation || r.ended {
+		if t.incarnation != incarnation || r.ended {
 			return
 		}
 		w.Crashes.Targets++
 		w.jobs[r.order.Task.Job].targetCrashes[r.order.Task]++
-		for _, other := range e.runs {
+		for _, other := range t.runs {
 			if job := w.jobs[other.order.Task.Job]; job != nil && !job.crashesTargets {
 				w.Crashes.InnocentRuns++
 			}
 		}
 		for _, a := range w.agents {
-			if a.target == e {
+			if a.target == t {
 				w.crash(a)
 			}
 		}
 	})
 }
 
-// drain makes a target report that it is draining, and stops it after drainGrace.
+// drain makes a target report that it is draining, and crashes it after drainGrace to
+// drainGrace plus 1 s.
 func (w *World) drain(a *agentProcess) {
 	a.execute(a.incarnation, func() {
 		if !a.target.up || a.target.drainingSince > 0 {
@@ -241,9 +245,10 @@
 	})
 }
 
-// resetClients breaks the connections of about half of an entry's callers.
+// resetClients breaks the connections of about half of an entry's callers, which submit their
+// jobs again.
 func (w *World) resetClients(e *entryProcess) {
-	for _, c := range e.sortedClients() {
+	for _, c := range e.sortedCallers() {
 		if w.rng.IntN(2) == 0 {
 			c.disconnect()
 			c.resend()
--- a/testutil/fleet/growth_test.go
+++ b/testutil/fleet/growth_test.go
@@ -9,16 +9,18 @@
 	"github.com/beaconpoint/beaconpoint/reach"
 )
 
-// fleetCost is what a fleet used in two seconds at 25% load.
+// fleetCost holds the connections and frames of a fleet in two seconds at 25% load.
 type fleetCost struct {
-	connections, frames, maxPerAgent int // of the fleet; of the agent with most connections
-	completed                        int
+	// connections and frames count those of the fleet, maxPerAgent the connections of the agent
+	// with the most.
+	connections, frames, maxPerAgent int
+	completed                        int // jobs
 	// homeStartRatio is the share of starts on the targets of home agents, relative to their
 	// share of all targets. Home agents are those at which jobs are claimed.
 	homeStartRatio float64
 }
 
-// measureFleet plays a fleet of the given size.
+// measureFleet returns the cost of a fleet of the given size.
 func measureFleet(entries, agents int) fleetCost {
 	cfg := PolicyConfig(1, entries, agents, Tracking(agents, 0.25))
 	cfg.Length = 2 * time.Second
@@ -45,7 +47,8 @@
 		}
 	}
 	share := float64(homes) / float64(agents)
-	return fleetCost{homeStartRatio: float64(startsAtHomes) / float64(starts) / share, connections: w.Connections, frames: w.Frames, maxPerAgent: maxOpen, completed: w.Counts.Completed}
+	return fleetCost{homeStartRatio: float64(startsAtHomes) / float64(starts) / share, connections: w.Connections,
+		frames: w.Frames, maxPerAgent: maxOpen, completed: w.Counts.Completed}
 }
 
 // maxGrowthPerHost is how much the cost per host may grow when the fleet doubles.
@@ -63,6 +66,7 @@
 	assert.Assert(t, once.connections <= 20*reach.FullMesh)
 	assert.Assert(t, twice.connections <= 40*reach.FullMesh)
 	assert.Assert(t, float64(twice.frames) <= 2*maxGrowthPerHost*float64(once.frames))
-	assert.Assert(t, max(once.homeStartRatio, twice.homeStartRatio) <= maxHomeStartRatio, "targets of home agents get more work than others")
+	assert.Assert(t, max(once.homeStartRatio, twice.homeStartRatio) <= maxHomeStartRatio,
+		"targets of home agents get more work than others")
 	assert.Assert(t, twice.completed >= 2*once.completed*95/100)
 }
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -23,13 +23,13 @@
 	dialing            bool
 	cutUntil           time.Duration // no traffic passes before this time
 	lastArrivalAtEntry time.Duration // of the last frame
-	lastArrivalAtAgent time.Duration
-	echoAtEntry        peer.Echo // the agent's latest stamp, as received by the entry
-	echoAtAgent        time.Duration
-	sentAt             time.Duration
-	lastSeq            uint64
-	// silentToAgent and silentToEntry drop all frames in that direction of the current
-	// connection.
+	lastArrivalAtAgent time.Duration // of the last frame
+	echoAtEntry        peer.Echo     // the agent's latest stamp, as received by the entry
+	echoAtAgent        time.Duration // the entry's latest stamp, as received by the agent
+	sentAt             time.Duration // last send by the entry, on its clock
+	lastSeq            uint64        // of the frames to the agent
+	// silentToAgent and silentToEntry are set if the current connection drops all frames in
+	// that direction.
 	silentToAgent, silentToEntry bool
 }
 
@@ -77,8 +77,8 @@
 	return e.linkFreeAt
 }
 
-// fetchSpec fetches a job's spec from an agent. The spec may still be in transit to that agent,
-// so it is polled until a timeout.
+// fetchSpec fetches a job's spec from an agent. It polls the agent until a timeout, since the
+// spec may still be in transit to that agent.
 func (w *World) fetchSpec(job, agent string, answer func(spec string, known bool)) {
 	const timeout = 120 * time.Millisecond
 	k := slices.IndexFunc(w.agents, func(a *agentProcess) bool { return a.name == agent })
@@ -119,8 +119,8 @@
 	})
 }
 
-// connect opens a connection. It is open at the entry at once, at the agent when the first
-// frame arrives.
+// connect opens a connection. The connection is open at the entry at once, at the agent after
+// arrivalDelay.
 func (l *link) connect() {
 	w := l.w
 	w.lastConn++
@@ -142,7 +142,8 @@
 		l.a.execute(agentIncarnation, func() {
 			l.id = id
 			l.openAtAgent = true
-			l.a.supervisor.Connected(l.a.clock(), id, peer.Hello{Name: l.e.name, Level: l.commonLevel(), Boot: uint64(entryIncarnation)})
+			l.a.supervisor.Connected(l.a.clock(), id,
+				peer.Hello{Name: l.e.name, Level: l.commonLevel(), Boot: uint64(entryIncarnation)})
 			l.watchAtAgent(id, agentIncarnation)
 		})
 	})
@@ -182,6 +183,7 @@
 	})
 }
 
+// wanted reports whether the entry should be connected to the agent.
 func (l *link) wanted() bool {
 	return l.w.cfg.Agents <= reach.FullMesh || l.e.reach.Wanted(l.a.name)
 }
@@ -198,7 +200,8 @@
 	if l.silentToAgent {
 		return
 	}
-	l.w.after(l.arrivalDelay(&l.lastArrivalAtAgent), func() { l.a.execute(l.a.incarnation, func() { l.closeAtAgent(id) }) })
+	l.w.after(l.arrivalDelay(&l.lastArrivalAtAgent),
+		func() { l.a.execute(l.a.incarnation, func() { l.closeAtAgent(id) }) })
 }
 
 // closeAtEntry closes the connection at the entry and dials again.
@@ -221,9 +224,9 @@
 	l.a.supervisor.Disconnected(l.a.clock(), id)
 }
 
-// processEnded ends the connection after one of its processes has ended. Only the incarnation
-// of that process is non-zero. The close is delivered to the other side unless the host lost
-// power.
+// processEnded closes the connection after one of its processes has ended. The incarnation of
+// the other process is passed as zero. The close is delivered to the other side unless the host
+// lost power.
 func (l *link) processEnded(entryIncarnation, agentIncarnation int, powerLoss bool) {
 	id := l.id
 	if entryIncarnation > 0 {
@@ -255,14 +258,14 @@
 	}
 	l.w.recordFrame(l.e.name, &sent)
 	incarnation := l.a.incarnation
-	conn := l.w.lastConn
+	lastConnAtSend := l.w.lastConn
 	if l.silentToAgent {
 		return l.lastSeq
 	}
 	l.w.after(l.frameArrivalDelay(&sent), func() {
 		l.a.execute(incarnation, func() {
-			if !l.openAtAgent || uint64(l.id) > conn {
-				return
+			if !l.openAtAgent || uint64(l.id) > lastConnAtSend {
+				return // no connection, or one that was opened after the send
 			}
 			l.echoAtAgent = max(l.echoAtAgent, sent.Stamp)
 			l.a.supervisor.Receive(l.a.clock(), l.id, &sent)
@@ -272,7 +275,7 @@
 	return l.lastSeq
 }
 
-// sendToEntry sends a frame to the entry.
+// sendToEntry sends a frame to the entry if the connection is open at the agent.
 func (l *link) sendToEntry(f *peer.Frame) {
 	if !l.openAtAgent {
 		return
--- a/testutil/fleet/operator.go
+++ b/testutil/fleet/operator.go
@@ -10,11 +10,11 @@
 
 // Delays of evacuations, as the platform's documentation defines them.
 const (
-	// maxEvacuationDelay is how long after the store's answer targets in an evacuated hall may
-	// still be given work.
+	// maxEvacuationDelay is how long after the request of an evacuation runs may still start in
+	// the hall.
 	maxEvacuationDelay = 5 * time.Second
-	// faultFreeTime is how long an agent must have been free of faults for starts to be
-	// checked.
+	// faultFreeTime is how long an agent must have been free of faults for the starts on its
+	// target to be checked.
 	faultFreeTime = 4 * time.Second
 	// maxStoreDelay is the longest delay until the store notifies an entry of a change.
 	maxStoreDelay = 20 * time.Millisecond
@@ -23,14 +23,16 @@
 // operator starts and ends evacuations of data halls. The store notifies the entries, except
 // those that can't reach it and those of the previous version.
 type operator struct {
-	w   *World
-	rng *rand.Rand // separate, so that histories without evacuations do not change
+	w *World
+	// rng is separate, so that evacuations don't change the draws of other faults. It is seeded
+	// like World.crashRand.
+	rng *rand.Rand
 	set evacuation.Set
-	// storeReader is the index of the entry that can always reach the store.
+	// storeReader is the index of the entry that can reach the store during random evacuations.
 	storeReader int
-	// requestedAt is when the store answered the evacuation request, by hall.
+	// requestedAt is when the current evacuation was requested, by hall.
 	requestedAt map[string]time.Duration
-	// startDelays are the delays from evacuation requests to later starts in the hall.
+	// startDelays are the delays from evacuation requests to starts in the evacuated hall.
 	startDelays []time.Duration
 }
 
@@ -48,30 +50,34 @@
 	return o
 }
 
+// hallName returns the name of hall k.
 func hallName(k int) string {
 	return fmt.Sprintf("hall-%d", k)
 }
 
-// evacuateRandomHall evacuates a random hall for up to 6 s. Some of the entries can't reach the
-// store meanwhile.
+// evacuateRandomHall evacuates a random hall for up to 6 s. If storeReader runs the current
+// version, about half of the other entries can't reach the store for up to 8 s.
 func (o *operator) evacuateRandomHall() {
 	for k, e := range o.w.entries {
 		if k != o.storeReader && !o.w.entries[o.storeReader].previousVersion() && o.rng.IntN(2) == 0 {
-			e.storeUnreachableUntil = max(e.storeUnreachableUntil, o.w.now()+time.Duration(o.rng.Int64N(int64(8*time.Second))))
+			e.storeUnreachableUntil = max(e.storeUnreachableUntil,
+				o.w.now()+time.Duration(o.rng.Int64N(int64(8*time.Second))))
 		}
 	}
 	hall := hallName(o.rng.IntN(o.w.cfg.Halls))
 	duration := 500*time.Millisecond + time.Duration(o.rng.Int64N(int64(5500*time.Millisecond)))
-	o.evacuateCold(hall, duration, o.rng.IntN(2) == 0)
+	o.evacuateHall(hall, duration, o.rng.IntN(2) == 0)
 }
 
-// evacuate evacuates a hall for the given duration.
+// evacuate evacuates a hall for the given duration. The targets of the hall are not cold
+// afterwards.
 func (o *operator) evacuate(hall string, duration time.Duration) {
-	o.evacuateCold(hall, duration, false)
+	o.evacuateHall(hall, duration, false)
 }
 
-// evacuateCold is like evacuate; if cold is set, the targets of the hall are cold afterwards.
-func (o *operator) evacuateCold(hall string, duration time.Duration, cold bool) {
+// evacuateHall evacuates a hall for the given duration, unless it is evacuated already. If cold
+// is set, the targets of the hall are cold afterwards.
+func (o *operator) evacuateHall(hall string, duration time.Duration, cold bool) {
 	if o.set.Has(hall) {
 		return
 	}
@@ -85,6 +91,7 @@
 	})
 }
 
+// endEvacuation ends the evacuation of a hall.
 func (o *operator) endEvacuation(hall string) {
 	delete(o.requestedAt, hall)
 	o.update(hall, false)
@@ -110,7 +117,7 @@
 	}
 }
 
-// notify delivers the current evacuations to an entry, as soon as it can reach the store.
+// notify delivers the current evacuations to an entry once the entry can reach the store.
 func (o *operator) notify(e *entryProcess) {
 	if o.set.Revision == 0 || e.previousVersion() {
 		return
@@ -126,8 +133,8 @@
 	})
 }
 
-// checkRunStart checks that a run does not start in a hall that has been evacuated for too
-// long.
+// checkRunStart checks that a run does not start in a hall more than maxEvacuationDelay after
+// the request of its evacuation. It ignores agents of the previous version.
 func (o *operator) checkRunStart(a *agentProcess, name string) {
 	requestedAt, evacuated := o.requestedAt[a.target.hall]
 	if !evacuated || a.previousVersion() {
@@ -136,6 +143,7 @@
 	delay := o.w.now() - requestedAt
 	o.startDelays = append(o.startDelays, delay)
 	if delay > maxEvacuationDelay && o.w.now()-a.faultUntil > faultFreeTime {
-		o.w.recordViolation(Evacuated, "%s started in %s, %s after the evacuation", name, a.target.hall, delay)
+		o.w.recordViolation(Evacuated, "%s started in %s, %s after the request of its evacuation", name,
+			a.target.hall, delay)
 	}
 }
--- a/testutil/fleet/operator_test.go
+++ b/testutil/fleet/operator_test.go
@@ -19,8 +19,8 @@
 	c.Interval /= 2
 }
 
-// TestEvacuationsKeepInvariants plays single and overlapping evacuations among all kinds of
-// faults, while some entries can't reach the store.
+// TestEvacuationsKeepInvariants guards against violations under single and overlapping
+// evacuations with other faults, while some entries can't reach the store.
 func TestEvacuationsKeepInvariants(t *testing.T) {
 	playHistories(t, 6000, 200, threeHalls)
 	playHistories(t, 6300, 40, func(c *Config) { threeHalls(c); c.OldEntries = 1 })
@@ -31,7 +31,7 @@
 	})
 }
 
-// TestAcceptingStartsInEvacuatedHallIsDetected checks that the simulation finds agents that
+// TestAcceptingStartsInEvacuatedHallIsDetected guards against a check that misses agents that
 // accept starts in evacuated halls from entries of the previous version.
 func TestAcceptingStartsInEvacuatedHallIsDetected(t *testing.T) {
 	for seed := range uint64(100) {
@@ -45,7 +45,7 @@
 			return
 		}
 	}
-	t.Error("no violation detected in 100 histories")
+	t.Error("no violation of Evacuated detected in 100 histories")
 }
 
 // evacuationWorld returns a world at 60% load with three halls and no faults.
@@ -70,8 +70,8 @@
 	assert.Assert(t, slices.Max(delays) < 30*time.Millisecond, "%s", slices.Max(delays))
 }
 
-// TestEvacuationReachesEntriesCutFromStore guards against evacuations known only to an entry
-// that ends soon after: agents must pass them on to entries that can't reach the store.
+// TestEvacuationReachesEntriesCutFromStore guards against losing an evacuation that the store
+// delivers only to one entry, which soon ends: agents must forward it to the other entries.
 func TestEvacuationReachesEntriesCutFromStore(t *testing.T) {
 	w := evacuationWorld(2, 4, 12)
 	w.At(4*time.Second, func() {
@@ -91,7 +91,8 @@
 	})
 	w.Run()
 	assert.Equal(t, w.Broken, "")
-	assert.Assert(t, slices.Max(w.operator.startDelays) < 200*time.Millisecond, "%s", slices.Max(w.operator.startDelays))
+	assert.Assert(t, slices.Max(w.operator.startDelays) < 200*time.Millisecond, "%s",
+		slices.Max(w.operator.startDelays))
 }
 
 // TestJobsAreRefusedWhileAllHallsAreEvacuated guards against starting jobs during the
@@ -115,9 +116,9 @@
 }
 
 // delayedStart plays one job whose target carries out starts five seconds late and drops stops.
-// The caller abandons the job and the entry stops for good. With replaceAgent, the agent
-// restarts and its calls work. It returns when the job started on the target (zero if it did
-// not), and how long it ran.
+// The caller abandons the job, and the entry is killed without a restart. With replaceAgent, the
+// agent restarts and its calls work. startedAt is when the run started on the target, or zero;
+// busyFor is how long the target had runs.
 func delayedStart(t *testing.T, rules supervisor.Rules, replaceAgent bool) (startedAt, busyFor time.Duration) {
 	cfg := DefaultConfig(1)
 	cfg.Entries, cfg.Agents, cfg.Faults, cfg.Rules = 1, 1, 0, rules
@@ -156,9 +157,9 @@
 	return startedAt, busyFor
 }
 
-// TestDelayedStartOfAbandonedJobDoesNotRun guards against late starts of abandoned jobs. Start
+// TestDelayedStartIsRejectedOrStopped guards against late starts of abandoned jobs. Start
 // deadline and fencing token each reject them; without both, a new agent stops unknown runs.
-func TestDelayedStartOfAbandonedJobDoesNotRun(t *testing.T) {
+func TestDelayedStartIsRejectedOrStopped(t *testing.T) {
 	const maxStopDelay = 320 * time.Millisecond // longest renewal wait, the stop and two calls
 	rules := supervisor.DefaultRules()
 	for _, replaced := range []bool{false, true} {
--- a/testutil/fleet/outage_test.go
+++ b/testutil/fleet/outage_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLostHallsKeepInvariants plays halls that lose power, or that one entry can't reach, among
-// other faults, with duplicate submissions to other entries.
+// TestLostHallsKeepInvariants guards against violations when halls lose power, or one entry
+// can't reach a hall, among other faults and with duplicate submissions.
 func TestLostHallsKeepInvariants(t *testing.T) {
 	playHistories(t, 12000, 100, func(c *Config) {
 		threeHalls(c)
@@ -26,16 +26,16 @@
 	return w
 }
 
-// suspectedHalls returns how often entries suspected that a hall was lost.
-func suspectedHalls(w *World) (count uint64) {
+// suspicionCount returns how often entries suspected that a hall was lost.
+func suspicionCount(w *World) (count uint64) {
 	for _, e := range w.entries {
 		count += e.owner.Stats().HallsSuspected
 	}
 	return count
 }
 
-// TestEachEntrySuspectsLostHallOnce guards against lost halls that go unnoticed or are
-// suspected repeatedly.
+// TestEachEntrySuspectsLostHallOnce guards against entries that do not suspect a lost hall
+// within 300 ms or suspect it repeatedly.
 func TestEachEntrySuspectsLostHallOnce(t *testing.T) {
 	w := lostHallWorld(1, 0.6)
 	suspecting := 0
@@ -47,26 +47,26 @@
 	w.Run()
 	assert.Equal(t, w.Broken, "")
 	assert.Equal(t, suspecting, 6)
-	assert.Equal(t, suspectedHalls(w), uint64(6))
+	assert.Equal(t, suspicionCount(w), uint64(6))
 }
 
-// TestSoundHallsAreNotSuspected guards against taking frozen agents, an entry without network
-// or the replacement of agents for the loss of a hall.
-func TestSoundHallsAreNotSuspected(t *testing.T) {
+// TestHealthyHallsAreNotSuspected guards against suspecting the loss of a hall because of frozen
+// agents, isolated entries or restarted agents.
+func TestHealthyHallsAreNotSuspected(t *testing.T) {
 	for name, inject := range map[string]func(*World){
-		"none": func(*World) {},
+		"no fault": func(*World) {},
 		"frozen agents": func(w *World) {
 			for k := range 3 {
-				w.agents[k].frozenUntil = w.now() + time.Second // one per hall
+				w.agents[k].frozenUntil = w.now() + time.Second // agents k and k+3 are in hall k
 				w.agents[k+3].frozenUntil = w.now() + time.Second
 			}
 		},
-		"cut off entries": func(w *World) {
+		"isolated entries": func(w *World) {
 			for k, e := range w.entries {
 				w.after(time.Duration(k)*time.Second, func() { w.isolate(nil, e, 700*time.Millisecond) })
 			}
 		},
-		"agents replaced": func(w *World) {
+		"restarted agents": func(w *World) {
 			for k, a := range w.agents {
 				w.after(time.Duration(k)*200*time.Millisecond, func() { a.kill(false) })
 			}
@@ -81,7 +81,7 @@
 				w.At(4*time.Second, func() { inject(w) })
 				w.Run()
 				assert.Equal(t, w.Broken, "")
-				assert.Equal(t, suspectedHalls(w), uint64(0))
+				assert.Equal(t, suspicionCount(w), uint64(0))
 			}
 		})
 	}
--- a/testutil/fleet/partition_test.go
+++ b/testutil/fleet/partition_test.go
@@ -23,13 +23,14 @@
 	assert.Equal(t, w.Broken, "")
 	refused, submitted := during.Refused-before.Refused, during.Submitted-before.Submitted
 	completed := during.Completed - before.Completed
-	t.Logf("during the partition: %d submitted, %d completed, %d refused, %d given up", submitted, completed, refused, during.GivenUp-before.GivenUp)
+	t.Logf("during the partition: %d submitted, %d completed, %d refused, %d given up", submitted, completed, refused,
+		during.GivenUp-before.GivenUp)
 	assert.Assert(t, refused*9 <= submitted, "%d of %d refused while targets were idle", refused, submitted)
 	assert.Assert(t, completed*9 >= submitted*8, "%d of %d completed", completed, submitted)
 }
 
-// TestPartitionsKeepInvariants plays halls that are cut from each other, with callers that
-// resubmit jobs on the other side after their connection broke.
+// TestPartitionsKeepInvariants guards against violations when halls are cut from each other and
+// callers resubmit jobs on the other side after a broken connection.
 func TestPartitionsKeepInvariants(t *testing.T) {
 	playHistories(t, 14000, 160, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{Partition, ResetClients, KillEntry, CutAgent}, 12
--- a/testutil/fleet/policy_test.go
+++ b/testutil/fleet/policy_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// play plays the scene with each seed and checks the sums.
+// play plays the scene with each seed and checks the totals against the bounds.
 func (b sceneBounds) play(t *testing.T) {
 	var (
 		wait   sync.WaitGroup
@@ -88,21 +88,23 @@
 		worst = min(worst, c.Share())
 	}
 	rejected := float64(stats.Rejected) / float64(stats.Starts)
-	t.Logf("earned %.3f, worst class %.3f, held %.3f; of %d jobs %d within their objective, %d late, %d refused, %d given up; %.3f of orders rejected, %.1f frames per run",
-		total.Share(), worst, total.Held/total.Owed, total.Jobs, total.InAim, total.Late, stats.Refused, stats.GivenUp, rejected,
+	t.Logf("earned %.3f, worst class %.3f, held %.3f; of %d jobs %d within their objective, "+
+		"%d late, %d refused, %d given up; %.3f of orders rejected, %.1f frames per run",
+		total.Share(), worst, total.Held/total.Owed, total.Jobs, total.InAim, total.Late,
+		stats.Refused, stats.GivenUp, rejected,
 		float64(frames)/float64(stats.Starts-stats.Rejected))
 	assert.Check(t, total.Share() >= b.minEarned)
 	assert.Check(t, worst >= b.minWorstClass)
 	assert.Check(t, rejected <= b.maxRejected)
 }
 
-// TestRetriesAfterRefusalAreServed guards against retry delays that make refused callers of a
-// burst come back too early or all at once.
+// TestRetriesAfterRefusalAreServed guards against retry delays in refusals that make the callers
+// of a burst retry too early or all at once.
 func TestRetriesAfterRefusalAreServed(t *testing.T) {
 	scene, found := SceneNamed("burst, callers come back")
 	assert.Assert(t, found)
 	var total Credit
-	var returned Returns
+	var retries Returns
 	for seed := range uint64(6) {
 		w := scene.New(seed + 1)
 		w.Run()
@@ -110,12 +112,12 @@
 		for _, c := range w.Credits {
 			total = total.Plus(c)
 		}
-		returned.Refused += w.Returned.Refused
-		returned.Served += w.Returned.Served
+		retries.Refused += w.Returned.Refused
+		retries.Served += w.Returned.Served
 	}
-	refused := float64(returned.Refused) / float64(total.Jobs)
-	served := float64(returned.Served) / float64(total.Jobs)
-	t.Logf("earned %.3f, served %.3f, refusals a job %.3f", total.Share(), served, refused)
+	refused := float64(retries.Refused) / float64(total.Jobs)
+	served := float64(retries.Served) / float64(total.Jobs)
+	t.Logf("earned %.3f, served %.3f, refusals per job %.3f", total.Share(), served, refused)
 	assert.Check(t, total.Share() >= 0.86)
 	assert.Check(t, served >= 0.99)
 	assert.Check(t, refused <= 0.18)
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -14,8 +14,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// process is the common part of entries and agents: incarnations, and freezes that delay all
-// events.
+// process is the state that entries and agents share. While it is frozen, its events are
+// delayed.
 type process struct {
 	w           *World
 	name        string
@@ -25,7 +25,8 @@
 	// clockLag is how far the process's clock is behind virtual time. It grows if the clock
 	// stops during suspensions.
 	clockLag time.Duration
-	// faultUntil is the end of the last fault of the process or its links.
+	// faultUntil is the latest end of a recorded fault of the process or its links. Only that
+	// of agents is read.
 	faultUntil time.Duration
 }
 
@@ -53,8 +54,8 @@
 	}
 }
 
-// execute calls f now, or when the process is no longer frozen. It does nothing if the
-// incarnation has ended by then.
+// execute calls f at once, or when the process is no longer frozen, unless the incarnation has
+// ended by then.
 func (p *process) execute(incarnation int, f func()) {
 	switch {
 	case p.dead || p.incarnation != incarnation:
@@ -70,9 +71,9 @@
 	process
 	owner                 *owner.Owner
 	reach                 *reach.Set
-	clients               map[string]*client
+	callers               map[string]*caller
 	lastTick              time.Duration
-	linkFreeAt            time.Duration // when its link has sent all queued frames
+	linkFreeAt            time.Duration // end of the transmission of all queued frames
 	storeUnreachableUntil time.Duration
 }
 
@@ -92,7 +93,7 @@
 func (e *entryProcess) startIncarnation() {
 	e.incarnation++
 	e.dead = false
-	e.clients = make(map[string]*client)
+	e.callers = make(map[string]*caller)
 	if e.owner != nil {
 		e.w.pastStats = addStats(e.w.pastStats, e.owner.Stats())
 	}
@@ -144,7 +145,7 @@
 		e.owner.RefreshRoles()
 	}
 	if e.w.cfg.Agents <= reach.FullMesh {
-		return // links dial by themselves
+		return // dial retries until it succeeds
 	}
 	for k := range e.w.cfg.Agents {
 		l := e.w.linkOf[linkKey{e.name, agentName(k)}]
@@ -158,8 +159,8 @@
 	}
 }
 
-// kill ends the incarnation and schedules the next one. After a power loss connections are not
-// closed.
+// kill ends the incarnation and schedules the next one. Without a power loss the connections
+// are closed, and the callers submit their jobs again.
 func (e *entryProcess) kill(powerLoss bool) {
 	if e.dead {
 		return
@@ -171,7 +172,7 @@
 			l.processEnded(l.e.incarnation, 0, powerLoss)
 		}
 	}
-	for _, c := range e.sortedClients() {
+	for _, c := range e.sortedCallers() {
 		if !powerLoss {
 			c.resend()
 		}
@@ -184,7 +185,7 @@
 	process
 	supervisor    *supervisor.Supervisor
 	flushing      bool
-	secondRenewal bool // a second concurrent renewal is in progress
+	secondRenewal bool // renewSecond is active
 	target        *emulatedTarget
 	links         []*link
 	heartbeatSeq  uint64
@@ -241,14 +242,16 @@
 		}
 	}
 	s.Start = func(c supervisor.StartCall) {
-		a.w.after(supervisor.StartRetry+time.Millisecond, func() { a.execute(incarnation, func() { s.Tick(a.clock()) }) })
+		a.w.after(supervisor.StartRetry+time.Millisecond,
+			func() { a.execute(incarnation, func() { s.Tick(a.clock()) }) })
 		if delay := a.target.startDelay; delay > 0 {
 			a.w.after(delay, func() { a.target.start(c) })
 			return
 		}
-		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.start(c) }, func(r supervisor.Reply) {
-			a.execute(incarnation, func() { s.StartAnswered(a.clock(), c, r); a.scheduleFlush() })
-		})
+		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.start(c) },
+			func(r supervisor.Reply) {
+				a.execute(incarnation, func() { s.StartAnswered(a.clock(), c, r); a.scheduleFlush() })
+			})
 	}
 	s.FetchSpec = func(job, addr string) {
 		a.w.fetchSpec(job, addr, func(spec string, known bool) {
@@ -259,15 +262,16 @@
 		if a.target.startDelay > 0 {
 			return
 		}
-		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.stop(c) }, func(r supervisor.Reply) {
-			a.execute(incarnation, func() { s.StopAnswered(a.clock(), c, r) })
-		})
+		a.target.call(c.Incarnation, orderTimeout, func() supervisor.Reply { return a.target.stop(c) },
+			func(r supervisor.Reply) {
+				a.execute(incarnation, func() { s.StopAnswered(a.clock(), c, r) })
+			})
 	}
 	a.renew(incarnation)
 	a.tick(incarnation)
 }
 
-// tick drives the supervisor, as node.Agent does.
+// tick calls the supervisor every TickInterval, as node.Agent does.
 func (a *agentProcess) tick(incarnation int) {
 	a.execute(incarnation, func() {
 		now := a.clock()
@@ -303,12 +307,12 @@
 	})
 }
 
-// renew keeps renewing the target's lease.
+// renew renews the target's lease repeatedly until the incarnation ends.
 func (a *agentProcess) renew(incarnation int) {
 	a.renewOnce(incarnation, func(wait time.Duration) { a.w.after(wait, func() { a.renew(incarnation) }) })
 }
 
-// renewSecond keeps a second renewal in progress while replies get lost.
+// renewSecond makes further renewals beside those of renew while replies get lost.
 func (a *agentProcess) renewSecond(incarnation int) {
 	a.renewOnce(incarnation, func(wait time.Duration) {
 		if !a.supervisor.LosingReplies(a.clock()) {
@@ -337,8 +341,8 @@
 	})
 }
 
-// kill ends the incarnation and schedules the next one. After a power loss connections are not
-// closed.
+// kill ends the incarnation and schedules the next one. Without a power loss the connections
+// are closed.
 func (a *agentProcess) kill(powerLoss bool) {
 	if a.dead {
 		return
@@ -353,7 +357,8 @@
 	a.w.after(minRestartDelay+a.w.randomUpTo(time.Second), a.startIncarnation)
 }
 
-// sortedClients returns the entry's callers by job ID, for a deterministic order.
-func (e *entryProcess) sortedClients() []*client {
-	return slices.SortedFunc(maps.Values(e.clients), func(a, b *client) int { return strings.Compare(a.spec.ID, b.spec.ID) })
+// sortedCallers returns the entry's callers by job ID, for a deterministic order.
+func (e *entryProcess) sortedCallers() []*caller {
+	return slices.SortedFunc(maps.Values(e.callers),
+		func(a, b *caller) int { return strings.Compare(a.spec.ID, b.spec.ID) })
 }
--- a/testutil/fleet/promise.go
+++ b/testutil/fleet/promise.go
@@ -2,24 +2,24 @@
 
 import "fmt"
 
-// Promise is an invariant that must hold in every history. docs/guarantees.md maps each to the
-// customers' requirement.
+// Promise is an invariant that must hold in every history. docs/guarantees.md maps each
+// invariant to a requirement of the customers.
 type Promise string
 
 // Invariants.
 const (
 	OneRun          Promise = "a task has one run at a time"
-	WithinRoom      Promise = "a target gets no more than its room"
-	DrainedInPeace  Promise = "a draining target gets nothing new"
-	Evacuated       Promise = "an evacuated hall gets nothing new"
-	EndsWhenLeft    Promise = "what nobody waits for ends"
-	AskedFor        Promise = "only what a caller asked for runs"
-	StepsInOrder    Promise = "a step waits for those that it depends on"
+	WithinRoom      Promise = "a target is not given more than its capacity"
+	DrainedInPeace  Promise = "no run starts on a draining target"
+	Evacuated       Promise = "no run starts in an evacuated hall"
+	EndsWhenLeft    Promise = "runs of abandoned jobs end"
+	AskedFor        Promise = "only submitted jobs run"
+	StepsInOrder    Promise = "a step starts after the steps that it depends on"
 	TrueCompletion  Promise = "the tasks of a completed job are done"
 	TrueRefusal     Promise = "a refused job has not run"
-	CrashBudget     Promise = "a task under which three targets have crashed is started twice more at the most"
-	FailedWithCause Promise = "a job fails only after as many failed runs as it may have"
-	NothingLeft     Promise = "no run is left when all is over"
+	CrashBudget     Promise = "a task that was running in three target crashes is started at most twice more"
+	FailedWithCause Promise = "a job fails only after a task has used up its attempts"
+	NothingLeft     Promise = "no run is left at the end of the history"
 	Recovery        Promise = "jobs are completed after the faults"
 )
 
--- a/testutil/fleet/recovery_bench_test.go
+++ b/testutil/fleet/recovery_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// measureRecovery kills all processes 4 s into the history. It returns the time until the first
-// new run starts, and until the completion rate, sampled every 200 ms, is back at 90% of the
-// earlier mean. Processes restart within 20 to 1,020 ms.
+// measureRecovery kills all processes 4 s into the history and returns the time until the first
+// new run starts, and the time until the completion rate, sampled every 200 ms, is back at 90%
+// of the earlier mean. Processes restart after 20 to 1,020 ms.
 func measureRecovery(entries, agents int) (firstStart, fullRate time.Duration) {
 	const span = 200 * time.Millisecond
 	w := New(PolicyConfig(1, entries, agents, Tracking(agents, 0.6)))
--- a/testutil/fleet/same_amd64_test.go
+++ b/testutil/fleet/same_amd64_test.go
@@ -15,7 +15,7 @@
 )
 
 // fingerprint plays a history and returns its counters with a hash over the time and content of
-// every frame. It changes with any decision and any time.
+// every frame, so that the result differs if any decision or time does.
 func fingerprint(t *testing.T, w *World) string {
 	t.Helper()
 	hash := fnv.New64a()
@@ -27,11 +27,12 @@
 	}
 	w.Run()
 	assert.Equal(t, w.Broken, "")
-	return fmt.Sprintf("%d jobs, %d completed, %d starts, %d frames, %x", w.Counts.Jobs, w.Counts.Completed, w.Counts.Starts, w.Frames, hash.Sum64())
+	return fmt.Sprintf("%d jobs, %d completed, %d starts, %d frames, %x", w.Counts.Jobs, w.Counts.Completed,
+		w.Counts.Starts, w.Frames, hash.Sum64())
 }
 
 // TestDecisionsMatchGoldenFile guards against unintended changes of decisions by comparing
-// histories frame by frame. amd64 only: floating-point rounding differs elsewhere.
+// histories frame by frame. It runs on amd64 only, since floating-point rounding differs elsewhere.
 func TestDecisionsMatchGoldenFile(t *testing.T) {
 	var out strings.Builder
 	for seed := range uint64(16) {
@@ -44,7 +45,7 @@
 		cfg.Kinds, cfg.Faults = []Kind{kind}, 12
 		fmt.Fprintf(&out, "kind %d: %s\n", kind, fingerprint(t, New(cfg)))
 	}
-	for name, scene := range map[string]func(*World){
+	for name, scheduleFault := range map[string]func(*World){
 		"burst":       surge(1.8),
 		"all killed":  atFaultStart((*World).KillAll),
 		"late orders": withBehaviour(11, Behaviour{Late: 0.06}, 8*time.Second),
@@ -53,12 +54,13 @@
 		"failing":     withBehaviour(1, Behaviour{Failing: 1}, 4*time.Second),
 	} {
 		w := New(PolicyConfig(3, 3, 11, Tracking(11, 0.85)))
-		scene(w)
+		scheduleFault(w)
 		fmt.Fprintf(&out, "%s: %s\n", name, fingerprint(t, w))
 	}
 	golden.Assert(t, sortedLines(out.String()), "decisions.golden")
 }
 
+// sortedLines returns the text with its lines sorted.
 func sortedLines(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	slices.Sort(lines)
--- a/testutil/fleet/scene.go
+++ b/testutil/fleet/scene.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Scene is a workload played on a fleet with at most one kind of fault. The shapes of its jobs
-// cover the ranges that a deployment may have.
+// Scene is a workload played on a fleet with at most one kind of fault.
 type Scene struct {
 	Name            string
 	Load            float64 // demand as a share of the targets' capacity
@@ -23,12 +22,12 @@
 	Halls int
 	// ComeBack is how long callers retry refused jobs; zero disables retries.
 	ComeBack time.Duration
-	// Trouble schedules the fault; Outages lists the targets that are unusable while it lasts.
+	// Trouble schedules the fault. Outages lists the targets that are unusable meanwhile.
 	Trouble func(*World)
 	Outages []Outage
 }
 
-// Outage is a period in which a target can't complete work.
+// Outage is a period in which a target can't complete tasks.
 type Outage struct {
 	Target   int
 	From, To time.Duration
@@ -43,7 +42,7 @@
 	return func(w *World) { w.At(faultStart, func() { inject(w) }) }
 }
 
-// withBehaviour gives the first targets a behaviour for the given duration.
+// withBehaviour changes the behaviour of the first targets for the given duration.
 func withBehaviour(targets int, behaviour Behaviour, duration time.Duration) func(*World) {
 	return atFaultStart(func(w *World) {
 		for _, a := range w.agents[:targets] {
@@ -65,6 +64,7 @@
 	return []Outage{{Target: 0, From: faultStart, To: faultStart + duration}}
 }
 
+// newScene returns a scene with the default shape, classes and speeds.
 func newScene(name string, entries, agents int, load float64, scheduleFault func(*World), outages ...Outage) Scene {
 	return Scene{Name: name, Load: load, Entries: entries, Agents: agents, Trouble: scheduleFault, Outages: outages}
 }
@@ -100,10 +100,11 @@
 // afterwards.
 func (s Scene) withHallEvacuatedCold(name string) Scene {
 	s = s.withHallEvacuated(name)
-	s.Trouble = atFaultStart(func(w *World) { w.operator.evacuateCold(hallName(0), 4*time.Second, true) })
+	s.Trouble = atFaultStart(func(w *World) { w.operator.evacuateHall(hallName(0), 4*time.Second, true) })
 	return s
 }
 
+// withShape returns the scene under a new name with a changed shape.
 func (s Scene) withShape(name string, change func(*Shape)) Scene {
 	s.Name = name
 	s.Shape = change
@@ -117,14 +118,16 @@
 	return s
 }
 
+// withClasses returns the scene under a new name with changed job classes.
 func (s Scene) withClasses(name string, change func([]Class)) Scene {
 	s.Name = name
 	s.Classes = change
 	return s
 }
 
-// Scenes returns all scenes: first faults with the default job shape, then other shapes at 75%
-// load with and without faults.
+// Scenes returns all scenes: first those with the default job shape, then those with other
+// shapes, classes, links, targets, evacuations and retries. The shapes cover the ranges that
+// are expected in deployments.
 func Scenes() []Scene {
 	const duration = 4 * time.Second
 	calm := smallScene("", 0.75, nil)
@@ -149,9 +152,12 @@
 		smallScene("late orders", 0.75, withBehaviour(smallFleetAgents, Behaviour{Late: 0.06}, 2*duration)),
 		smallScene("lost answers", 0.75, withBehaviour(smallFleetAgents, Behaviour{Lost: 0.06}, 2*duration)),
 		smallScene("all killed", 0.75, atFaultStart((*World).KillAll)),
-		smallScene("a target hangs", 0.75, withBehaviour(1, Behaviour{Hanging: true}, duration), firstTargetOutage(duration)...),
-		smallScene("a target is slow", 0.75, withBehaviour(1, Behaviour{Slow: 6}, duration), firstTargetOutage(duration)...),
-		smallScene("a target fails all", 0.75, withBehaviour(1, Behaviour{Failing: 1}, duration), firstTargetOutage(duration)...),
+		smallScene("a target hangs", 0.75, withBehaviour(1, Behaviour{Hanging: true}, duration),
+			firstTargetOutage(duration)...),
+		smallScene("a target is slow", 0.75, withBehaviour(1, Behaviour{Slow: 6}, duration),
+			firstTargetOutage(duration)...),
+		smallScene("a target fails all", 0.75, withBehaviour(1, Behaviour{Failing: 1}, duration),
+			firstTargetOutage(duration)...),
 
 		calm.withShape("uneven tasks", uneven),
 		burst.withShape("uneven tasks, burst", uneven),
@@ -222,6 +228,7 @@
 	}
 }
 
+// setPriorities sets the priorities of the first classes.
 func setPriorities(classes []Class, priorities ...int) {
 	for k, p := range priorities {
 		classes[k].Priority = p
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -11,28 +11,30 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
+// maxStopTime is the longest time from a stop order to the end of the run.
 const maxStopTime = 50 * time.Millisecond
 
-// coldTime is how long a target is cold. Tasks take coldSlowdown times as long at first; the
-// slowdown decreases linearly to none.
 const (
-	coldTime     = 3 * time.Second
+	// coldTime is how long a target is cold.
+	coldTime = 3 * time.Second
+	// coldSlowdown is the initial factor on the task durations of a cold target. The factor
+	// decreases linearly to 1.
 	coldSlowdown = 3.0
 )
 
-// drainGrace is how long a target may be given work after it has reported that it is draining.
+// drainGrace is how long runs may still start on a target after it began to drain.
 const drainGrace = 2 * time.Second
 
-// Timeouts of an agent for the answer to an order, and to a renewal beyond its wait time.
+// Timeouts of an agent's calls to its target.
 const (
-	orderTimeout = 300 * time.Millisecond
-	holdTimeout  = 40 * time.Millisecond
+	orderTimeout   = 300 * time.Millisecond // of orders to start or stop a run
+	renewalTimeout = 40 * time.Millisecond  // of renewals, in addition to their wait time
 )
 
 // Behaviour describes the faults of a target.
 type Behaviour struct {
-	// Lost is the share of calls that are carried out without an answer; Late the share that is
-	// not answered and carried out up to 12 s later.
+	// Lost is the share of calls that are carried out at once and not answered. Late is the
+	// share of calls that are carried out up to 12 s later and not answered.
 	Lost, Late float64
 	// Slow is a factor on task durations, Failing the share of runs that fail. Hanging keeps
 	// tasks from ending.
@@ -48,7 +50,7 @@
 	w               *World
 	id              string
 	startedMS       int64 // virtual time of the incarnation's start in ms; zero if not reported
-	keepsID         bool  // the next incarnation keeps the id
+	keepsID         bool  // the next incarnation keeps the ID
 	hall            string
 	incarnation     int
 	up              bool
@@ -67,7 +69,7 @@
 	drainingSince   time.Duration         // zero if not draining
 	behaviour       Behaviour
 	coldUntil       time.Duration
-	// startDelay, if set, delays starts, leaves them unanswered and drops stops.
+	// startDelay, if set, delays starts. Starts are then not answered and stops are dropped.
 	startDelay      time.Duration
 	pendingRenewals []func() bool // renewals that wait for a run to end
 }
@@ -82,255 +84,259 @@
 
 // newEmulatedTarget returns a target in its first incarnation.
 func newEmulatedTarget(w *World, capacity task.Needs) *emulatedTarget {
-	e := &emulatedTarget{w: w, capacity: capacity, speed: 1, clockRate: 0.98 + 0.02*w.rng.Float64()}
-	e.startIncarnation()
-	return e
+	t := &emulatedTarget{w: w, capacity: capacity, speed: 1, clockRate: 0.98 + 0.02*w.rng.Float64()}
+	t.startIncarnation()
+	return t
 }
 
 // startIncarnation starts an incarnation with empty state.
-func (e *emulatedTarget) startIncarnation() {
-	e.incarnation++
-	e.w.lastInstance++
-	if e.keepsID {
-		e.keepsID = false
+func (t *emulatedTarget) startIncarnation() {
+	t.incarnation++
+	t.w.lastInstance++
+	if t.keepsID {
+		t.keepsID = false
 	} else {
-		e.id = fmt.Sprintf("i-%d", e.w.lastInstance)
+		t.id = fmt.Sprintf("i-%d", t.w.lastInstance)
 	}
-	if !e.w.cfg.UntoldBirths {
-		e.startedMS = int64(e.w.now() / time.Millisecond)
+	if !t.w.cfg.UntoldBirths {
+		t.startedMS = int64(t.w.now() / time.Millisecond)
 	}
-	e.up = true
-	e.startedAt = e.w.now()
-	e.leaseDeadline = 0
-	e.highestToken = 0
-	e.runs = make(map[string]*emulatedRun)
-	e.endedRuns = nil
-	e.endCount = 0
-	e.lastFinishedRun = make(map[string]int)
-	e.drainingSince = 0
-	e.pendingRenewals = nil
+	t.up = true
+	t.startedAt = t.w.now()
+	t.leaseDeadline = 0
+	t.highestToken = 0
+	t.runs = make(map[string]*emulatedRun)
+	t.endedRuns = nil
+	t.endCount = 0
+	t.lastFinishedRun = make(map[string]int)
+	t.drainingSince = 0
+	t.pendingRenewals = nil
 }
 
 // crash ends the incarnation and all its runs.
-func (e *emulatedTarget) crash() {
-	e.up = false
-	for _, r := range e.runs {
+func (t *emulatedTarget) crash() {
+	t.up = false
+	for _, r := range t.runs {
 		r.ended = true
 	}
-	e.runs = make(map[string]*emulatedRun)
-	e.incarnation++
+	t.runs = make(map[string]*emulatedRun)
+	t.incarnation++
 }
 
-func (e *emulatedTarget) clock() time.Duration {
-	return time.Duration(float64(e.w.now()-e.startedAt)*e.clockRate) + time.Second
+func (t *emulatedTarget) clock() time.Duration {
+	return time.Duration(float64(t.w.now()-t.startedAt)*t.clockRate) + time.Second
 }
 
 // heartbeat returns the content of a heartbeat.
-func (e *emulatedTarget) heartbeat(seq uint64) supervisor.Report {
-	return supervisor.Report{ID: e.id, Born: e.startedMS, Service: service, Hall: e.hall, Capacity: e.capacity, Draining: e.drainingSince > 0,
-		Cold:  max(0, e.coldUntil-e.w.now()),
-		Clock: e.clock(), HasClock: true, Seq: seq}
+func (t *emulatedTarget) heartbeat(seq uint64) supervisor.Report {
+	return supervisor.Report{ID: t.id, Born: t.startedMS, Service: service, Hall: t.hall, Capacity: t.capacity,
+		Draining: t.drainingSince > 0,
+		Cold:     max(0, t.coldUntil-t.w.now()),
+		Clock:    t.clock(), HasClock: true, Seq: seq}
 }
 
 // call carries out do as a remote call subject to the target's behaviour: the answer may be
 // lost, and the call may be carried out late.
-func (e *emulatedTarget) call(incarnation supervisor.Incarnation, timeout time.Duration, do func() supervisor.Reply, answer func(supervisor.Reply)) {
-	draw := e.w.rng.Float64()
+func (t *emulatedTarget) call(incarnation supervisor.Incarnation, timeout time.Duration, do func() supervisor.Reply,
+	answer func(supervisor.Reply)) {
+	draw := t.w.rng.Float64()
 	noAnswer := supervisor.Reply{Outcome: supervisor.NoAnswer}
 	run := func() supervisor.Reply {
-		if e.id != incarnation.ID {
+		if t.id != incarnation.ID {
 			return supervisor.Reply{Outcome: supervisor.WrongIncarnation}
 		}
 		reply := do()
-		reply.Clock = e.clock().Truncate(time.Millisecond)
+		reply.Clock = t.clock().Truncate(time.Millisecond)
 		reply.HasClock = true
 		return reply
 	}
 	switch {
-	case !e.up:
-		e.w.after(timeout, func() { answer(noAnswer) })
-	case draw < e.behaviour.Late:
-		e.w.after(e.randomLateDelay(), func() {
-			if e.up {
+	case !t.up:
+		t.w.after(timeout, func() { answer(noAnswer) })
+	case draw < t.behaviour.Late:
+		t.w.after(t.randomLateDelay(), func() {
+			if t.up {
 				run()
 			}
 		})
-		e.w.after(timeout, func() { answer(noAnswer) })
-	case draw < e.behaviour.Late+e.behaviour.Lost:
+		t.w.after(timeout, func() { answer(noAnswer) })
+	case draw < t.behaviour.Late+t.behaviour.Lost:
 		run()
-		e.w.after(timeout, func() { answer(noAnswer) })
+		t.w.after(timeout, func() { answer(noAnswer) })
 	default:
-		e.w.after(e.w.randomUpTo(time.Millisecond), func() {
-			if !e.up {
-				e.w.after(timeout, func() { answer(noAnswer) })
+		t.w.after(t.w.randomUpTo(time.Millisecond), func() {
+			if !t.up {
+				t.w.after(timeout, func() { answer(noAnswer) })
 				return
 			}
 			reply := run()
-			e.w.after(e.w.randomUpTo(time.Millisecond), func() { answer(reply) })
+			t.w.after(t.w.randomUpTo(time.Millisecond), func() { answer(reply) })
 		})
 	}
 }
 
-// randomLateDelay returns the delay of an unanswered call. Half of the calls are late by at
-// most a second, when leases may still be valid.
-func (e *emulatedTarget) randomLateDelay() time.Duration {
-	if e.w.rng.IntN(2) == 0 {
-		return e.w.randomUpTo(time.Second)
+// randomLateDelay returns the delay of a late call. Half of the delays are at most a second, so
+// that leases may still be valid.
+func (t *emulatedTarget) randomLateDelay() time.Duration {
+	if t.w.rng.IntN(2) == 0 {
+		return t.w.randomUpTo(time.Second)
 	}
-	return time.Second + e.w.randomUpTo(11*time.Second)
+	return time.Second + t.w.randomUpTo(11*time.Second)
 }
 
 // start carries out an order to start a run.
-func (e *emulatedTarget) start(c supervisor.StartCall) supervisor.Reply {
+func (t *emulatedTarget) start(c supervisor.StartCall) supervisor.Reply {
 	name := c.Order.Task.String()
-	if c.Token < e.highestToken {
+	if c.Token < t.highestToken {
 		return supervisor.Reply{Outcome: supervisor.RefusedToken}
 	}
-	e.highestToken = c.Token
-	if r := e.runs[name]; r != nil && r.order.Run == c.Order.Run {
+	t.highestToken = c.Token
+	if r := t.runs[name]; r != nil && r.order.Run == c.Order.Run {
 		return supervisor.Reply{}
 	}
-	if c.Deadline < e.clock() {
+	if c.Deadline < t.clock() {
 		return supervisor.Reply{Outcome: supervisor.RefusedLate}
 	}
-	e.extendLease(c.Deadline)
-	if c.Order.Run <= e.lastFinishedRun[name] {
+	t.extendLease(c.Deadline)
+	if c.Order.Run <= t.lastFinishedRun[name] {
 		return supervisor.Reply{Outcome: supervisor.RefusedOld}
 	}
 	r := &emulatedRun{order: c.Order, name: name}
-	e.w.checkRunStart(e, r)
-	e.runs[name] = r
-	e.startCount++
-	e.scheduleEnd(r)
-	if c := e.w.jobs[r.order.Task.Job]; c != nil && c.crashesTargets {
-		e.w.crashSoonAfterStart(e, r)
+	t.w.checkRunStart(t, r)
+	t.runs[name] = r
+	t.startCount++
+	t.scheduleEnd(r)
+	if job := t.w.jobs[r.order.Task.Job]; job != nil && job.crashesTargets {
+		t.w.crashSoonAfterStart(t, r)
 	}
 	return supervisor.Reply{}
 }
 
 // scheduleEnd schedules the end of a run.
-func (e *emulatedTarget) scheduleEnd(r *emulatedRun) {
-	duration := e.runDuration(r)
-	if cold := e.coldUntil - e.w.now(); cold > 0 {
+func (t *emulatedTarget) scheduleEnd(r *emulatedRun) {
+	duration := t.runDuration(r)
+	if cold := t.coldUntil - t.w.now(); cold > 0 {
 		duration += time.Duration(float64(duration) * (coldSlowdown - 1) * float64(cold) / float64(coldTime))
 	}
-	if e.behaviour.Slow > 1 {
-		duration = time.Duration(float64(duration) * e.behaviour.Slow)
+	if t.behaviour.Slow > 1 {
+		duration = time.Duration(float64(duration) * t.behaviour.Slow)
 	}
-	if e.behaviour.Hanging {
+	if t.behaviour.Hanging {
 		return
 	}
 	end := task.EndDone
-	if e.w.rng.Float64() < e.behaviour.Failing || e.w.alwaysFails[r.order.Task.Job] {
+	if t.w.rng.Float64() < t.behaviour.Failing || t.w.alwaysFails[r.order.Task.Job] {
 		end = task.EndFailed
 	}
-	e.w.after(duration, func() { e.endRun(r, end) })
+	t.w.after(duration, func() { t.endRun(r, end) })
 }
 
 // runDuration returns the duration of a run on a target without faults.
-func (e *emulatedTarget) runDuration(r *emulatedRun) time.Duration {
-	if c := e.w.jobs[r.order.Task.Job]; c != nil && c.typicalDuration > 0 {
-		return time.Duration(float64(c.taskDurations[r.order.Task.Index]) / e.speed)
+func (t *emulatedTarget) runDuration(r *emulatedRun) time.Duration {
+	if c := t.w.jobs[r.order.Task.Job]; c != nil && c.typicalDuration > 0 {
+		return time.Duration(float64(c.taskDurations[r.order.Task.Index]) / t.speed)
 	}
-	return time.Duration(float64(r.order.Guess) * (0.5 + e.w.rng.Float64()))
+	return time.Duration(float64(r.order.Guess) * (0.5 + t.w.rng.Float64()))
 }
 
-// extendLease extends the lease, up to Config.HoldMax, and schedules its expiry.
-func (e *emulatedTarget) extendLease(deadline time.Duration) {
-	deadline = min(deadline, e.clock()+e.w.cfg.HoldMax)
-	if deadline <= e.leaseDeadline {
+// extendLease extends the lease to the deadline, at most by Config.HoldMax, and schedules its
+// expiry, which ends all runs.
+func (t *emulatedTarget) extendLease(deadline time.Duration) {
+	deadline = min(deadline, t.clock()+t.w.cfg.HoldMax)
+	if deadline <= t.leaseDeadline {
 		return
 	}
-	e.leaseDeadline = deadline
-	incarnation := e.incarnation
-	e.w.after(time.Duration(float64(deadline-e.clock())/e.clockRate)+time.Millisecond, func() {
-		if e.incarnation != incarnation || e.clock() < e.leaseDeadline {
+	t.leaseDeadline = deadline
+	incarnation := t.incarnation
+	t.w.after(time.Duration(float64(deadline-t.clock())/t.clockRate)+time.Millisecond, func() {
+		if t.incarnation != incarnation || t.clock() < t.leaseDeadline {
 			return
 		}
-		for _, r := range e.sortedRuns() {
-			e.endRun(r, task.EndLapsed)
+		for _, r := range t.sortedRuns() {
+			t.endRun(r, task.EndLapsed)
 		}
 	})
 }
 
 // sortedRuns returns the running runs by name.
-func (e *emulatedTarget) sortedRuns() []*emulatedRun {
-	return slices.SortedFunc(maps.Values(e.runs), func(a, b *emulatedRun) int { return cmp.Compare(a.name, b.name) })
+func (t *emulatedTarget) sortedRuns() []*emulatedRun {
+	return slices.SortedFunc(maps.Values(t.runs), func(a, b *emulatedRun) int { return cmp.Compare(a.name, b.name) })
 }
 
 // endRun ends a run, adds it to the list of ended runs and answers the pending renewals.
-func (e *emulatedTarget) endRun(r *emulatedRun, end task.End) {
-	if e.runs[r.name] != r {
+func (t *emulatedTarget) endRun(r *emulatedRun, end task.End) {
+	if t.runs[r.name] != r {
 		return
 	}
-	delete(e.runs, r.name)
+	delete(t.runs, r.name)
 	r.ended = true
-	e.lastFinishedRun[r.name] = max(e.lastFinishedRun[r.name], r.order.Run)
-	e.endCount++
-	e.endedRuns = append(e.endedRuns, supervisor.EndedRow{N: e.endCount, Name: r.name, Run: r.order.Run, End: end})
-	e.w.recordRunEnd(r, end)
-	polls := e.pendingRenewals
-	e.pendingRenewals = nil
-	for _, poll := range polls {
-		poll()
+	t.lastFinishedRun[r.name] = max(t.lastFinishedRun[r.name], r.order.Run)
+	t.endCount++
+	t.endedRuns = append(t.endedRuns, supervisor.EndedRow{N: t.endCount, Name: r.name, Run: r.order.Run, End: end})
+	t.w.recordRunEnd(r, end)
+	pending := t.pendingRenewals
+	t.pendingRenewals = nil
+	for _, notify := range pending {
+		notify()
 	}
 }
 
 // stop carries out an order to stop a run.
-func (e *emulatedTarget) stop(c supervisor.StopCall) supervisor.Reply {
-	if c.Token < e.highestToken {
+func (t *emulatedTarget) stop(c supervisor.StopCall) supervisor.Reply {
+	if c.Token < t.highestToken {
 		return supervisor.Reply{Outcome: supervisor.RefusedToken}
 	}
-	e.highestToken = c.Token
-	e.lastFinishedRun[c.Name] = max(e.lastFinishedRun[c.Name], c.Ref.Run)
-	r := e.runs[c.Name]
+	t.highestToken = c.Token
+	t.lastFinishedRun[c.Name] = max(t.lastFinishedRun[c.Name], c.Ref.Run)
+	r := t.runs[c.Name]
 	if r != nil && r.order.Run == c.Ref.Run && !r.stopping {
 		r.stopping = true
-		e.w.after(e.w.randomUpTo(maxStopTime), func() { e.endRun(r, task.EndStopped) })
+		t.w.after(t.w.randomUpTo(maxStopTime), func() { t.endRun(r, task.EndStopped) })
 	}
 	return supervisor.Reply{}
 }
 
-// renew extends the lease and answers with the run lists, if need be after a run has ended or
-// c.Wait has passed.
-func (e *emulatedTarget) renew(c supervisor.RenewCall, answer func(supervisor.Reply, *supervisor.RunLists)) {
+// renew extends the lease and answers with the run lists. If no run has ended, the answer waits
+// until one ends, at most for c.Wait.
+func (t *emulatedTarget) renew(c supervisor.RenewCall, answer func(supervisor.Reply, *supervisor.RunLists)) {
 	var lists *supervisor.RunLists
-	e.call(c.Incarnation, c.Wait+holdTimeout, func() supervisor.Reply {
-		if c.Token < e.highestToken {
+	t.call(c.Incarnation, c.Wait+renewalTimeout, func() supervisor.Reply {
+		if c.Token < t.highestToken {
 			return supervisor.Reply{Outcome: supervisor.RefusedToken}
 		}
-		e.highestToken = c.Token
+		t.highestToken = c.Token
 		if c.Deadline > 0 {
-			e.extendLease(c.Deadline)
+			t.extendLease(c.Deadline)
 		}
-		e.endedRuns = slices.DeleteFunc(e.endedRuns, func(r supervisor.EndedRow) bool { return r.N <= c.LastSeen })
-		lists = e.runLists()
+		t.endedRuns = slices.DeleteFunc(t.endedRuns, func(r supervisor.EndedRow) bool { return r.N <= c.LastSeen })
+		lists = t.runLists()
 		return supervisor.Reply{}
 	}, func(reply supervisor.Reply) {
 		if reply.Outcome != supervisor.Accepted || len(lists.Ended) > 0 || c.Wait == 0 {
 			answer(reply, lists)
 			return
 		}
-		e.awaitRunEnd(c.Wait, func() { answer(supervisor.Reply{Clock: e.clock(), HasClock: true}, e.runLists()) })
+		t.awaitRunEnd(c.Wait, func() { answer(supervisor.Reply{Clock: t.clock(), HasClock: true}, t.runLists()) })
 	})
 }
 
-// awaitRunEnd calls notify when the next run ends, or after timeout.
-func (e *emulatedTarget) awaitRunEnd(timeout time.Duration, notify func()) {
+// awaitRunEnd calls notify when the next run ends, or after timeout, also if the target has
+// crashed meanwhile.
+func (t *emulatedTarget) awaitRunEnd(timeout time.Duration, notify func()) {
 	done := false
-	incarnation := e.incarnation
+	incarnation := t.incarnation
 	once := func() bool {
-		if !done && e.incarnation == incarnation {
+		if !done && t.incarnation == incarnation {
 			done = true
-			e.w.after(0, notify)
+			t.w.after(0, notify)
 		}
 		return true
 	}
-	e.pendingRenewals = append(e.pendingRenewals, once)
-	e.w.after(timeout, func() {
-		if e.incarnation != incarnation && !done {
+	t.pendingRenewals = append(t.pendingRenewals, once)
+	t.w.after(timeout, func() {
+		if t.incarnation != incarnation && !done {
 			done = true
-			e.w.after(0, func() { notify() })
+			t.w.after(0, func() { notify() })
 			return
 		}
 		once()
@@ -338,9 +344,9 @@
 }
 
 // runLists returns the running runs and the unacknowledged ended ones.
-func (e *emulatedTarget) runLists() *supervisor.RunLists {
-	a := &supervisor.RunLists{Born: e.startedMS, Ended: slices.Clone(e.endedRuns)}
-	for _, r := range e.sortedRuns() {
+func (t *emulatedTarget) runLists() *supervisor.RunLists {
+	a := &supervisor.RunLists{Born: t.startedMS, Ended: slices.Clone(t.endedRuns)}
+	for _, r := range t.sortedRuns() {
 		a.Running = append(a.Running, supervisor.RunningRow{Name: r.name, Run: r.order.Run})
 	}
 	return a
--- a/testutil/fleet/term_test.go
+++ b/testutil/fleet/term_test.go
@@ -9,7 +9,7 @@
 	"github.com/beaconpoint/beaconpoint/owner"
 )
 
-// termOutcome sums the results of several seeds.
+// termOutcome holds the summed results of several seeds under a term.
 type termOutcome struct {
 	total   Credit
 	refused int
@@ -20,7 +20,7 @@
 	return 1 - float64(o.total.InAim+o.total.Late)/float64(o.total.Jobs)
 }
 
-// playTerm plays a workload under a term.
+// playTerm plays a workload with eight seeds while the entries optimise the given term.
 func playTerm(t *testing.T, term owner.Term, load float64, inject func(*World)) termOutcome {
 	t.Helper()
 	var o termOutcome
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -22,7 +22,7 @@
 	Tasks, MostTasks int
 	// Priority 0 is the highest.
 	Priority int
-	// Attempts is the number of failed runs of a task that fail its job.
+	// Attempts is the number of failed runs of a task after which its job fails.
 	Attempts int
 	// Worth is the value of a typical job that completes within its objective.
 	Worth float64
@@ -41,37 +41,41 @@
 	Slack time.Duration
 }
 
-// UsualShape returns the shape of the customers' known workloads.
+// UsualShape returns the default shape, that of the customers' known workloads.
 func UsualShape() Shape {
-	return Shape{WorkSpread: 0.4, CountSpread: 0.4, GuessError: 0.4, GuessBias: 1, TaskSpread: 0.15, Stretch: 1.6, Slack: 60 * time.Millisecond}
+	return Shape{WorkSpread: 0.4, CountSpread: 0.4, GuessError: 0.4, GuessBias: 1, TaskSpread: 0.15, Stretch: 1.6,
+		Slack: 60 * time.Millisecond}
 }
 
 const (
 	// taskCPU is the CPU of one task, in thousandths of a core.
 	taskCPU = 1600
-	// lateFraction is the fraction of its worth that a job earns when it completes after its
+	// lateShare is the share of its worth that a job earns when it completes after its
 	// objective, but within three times the objective.
-	lateFraction = 0.2
-	// baseWorthFraction is the part of a job's worth that does not depend on its work.
-	// maxWorthFactor bounds the worth relative to a typical job.
-	baseWorthFraction = 0.3
-	maxWorthFactor    = 4
+	lateShare = 0.2
+	// baseWorthShare is the share of a typical job's worth that does not depend on the work.
+	baseWorthShare = 0.3
+	// maxWorthFactor bounds the worth of a job relative to a typical one.
+	maxWorthFactor = 4
 )
 
 // Tracking returns a workload of three classes whose arrival rates produce the given load on
 // the given number of 16-core targets.
 func Tracking(targets int, load float64) []Class {
-	const coresEach, baseLoad = 16, 0.73 // of the rates below on 11 targets
+	const coresEach, baseLoad = 16, 0.73 // baseLoad is the load of the rates below on 11 targets
 	scale := load / baseLoad * float64(targets) / 11
 	return []Class{
-		{Name: "short", Rate: 34.4 * scale, Work: 60 * time.Millisecond, Longest: 240 * time.Millisecond, Tasks: 8, MostTasks: 32, Attempts: 3, Worth: 0.0291},
-		{Name: "long", Rate: 6.25 * scale, Work: 900 * time.Millisecond, Longest: 3600 * time.Millisecond, Tasks: 4, MostTasks: 16, Priority: 2, Attempts: 2, Worth: 0.16},
-		{Name: "middle", Rate: 100 * scale, Work: 200 * time.Millisecond, Longest: 800 * time.Millisecond, Tasks: 2, MostTasks: 8, Priority: 1, Attempts: 2, Worth: 0.01},
+		{Name: "short", Rate: 34.4 * scale, Work: 60 * time.Millisecond, Longest: 240 * time.Millisecond, Tasks: 8,
+			MostTasks: 32, Attempts: 3, Worth: 0.0291},
+		{Name: "long", Rate: 6.25 * scale, Work: 900 * time.Millisecond, Longest: 3600 * time.Millisecond, Tasks: 4,
+			MostTasks: 16, Priority: 2, Attempts: 2, Worth: 0.16},
+		{Name: "middle", Rate: 100 * scale, Work: 200 * time.Millisecond, Longest: 800 * time.Millisecond, Tasks: 2,
+			MostTasks: 8, Priority: 1, Attempts: 2, Worth: 0.01},
 	}
 }
 
-// PolicyConfig returns the configuration of a world without faults that plays the classes on
-// 16-core targets of different speeds.
+// PolicyConfig returns the configuration of a world without faults that plays a workload of the
+// given classes on 16-core targets of different speeds.
 func PolicyConfig(seed uint64, entries, agents int, classes []Class) Config {
 	cfg := DefaultConfig(seed)
 	cfg.Entries, cfg.Agents = entries, agents
@@ -88,12 +92,12 @@
 type Credit struct {
 	Jobs, InAim, Late int
 	Owed, Earned      float64
-	// Held is the worth of jobs that were refused or given up late although none of their tasks
-	// had started.
+	// Held is the worth of jobs that were refused or given up after heldThreshold, with none of
+	// their tasks started.
 	Held float64
 }
 
-// Share returns the earned fraction of the worth owed.
+// Share returns the earned share of the worth owed, or 1 if none is owed.
 func (c Credit) Share() float64 {
 	if c.Owed == 0 {
 		return 1
@@ -116,6 +120,7 @@
 	return sum
 }
 
+// addStats returns the sum of two statistics.
 func addStats(a, b owner.Stats) owner.Stats {
 	a.Submitted += b.Submitted
 	a.Completed += b.Completed
@@ -147,7 +152,7 @@
 	}
 }
 
-// interarrival returns a random time until the next job of class k.
+// interarrival returns a random time between two jobs of class k.
 func (w *World) interarrival(k int) time.Duration {
 	rate := w.cfg.Classes[k].Rate
 	if w.Surge > 0 {
@@ -170,7 +175,8 @@
 	count := min(class.MostTasks, max(1, int(math.Round(float64(class.Tasks)*w.logNormal(shape.CountSpread)))))
 	work := min(class.Longest, time.Duration(float64(class.Work)*w.logNormal(shape.WorkSpread)))
 	guess := time.Duration(shape.GuessBias * float64(work) * w.logNormal(shape.GuessError))
-	c := &client{w: w, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int), class: k, typicalDuration: work, sentAt: w.now()}
+	c := &caller{w: w, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int), class: k,
+		typicalDuration: work, sentAt: w.now()}
 	for range count {
 		c.taskDurations = append(c.taskDurations, time.Duration(float64(work)*w.logNormal(shape.TaskSpread)))
 	}
@@ -185,73 +191,74 @@
 		c.targetCrashes, c.startsAfterLimit = make(map[task.ID]int), make(map[task.ID]int)
 	}
 	classWork := class.Work.Seconds() * float64(class.Tasks)
-	c.worth = class.Worth * min(maxWorthFactor, baseWorthFraction+(1-baseWorthFraction)*work.Seconds()*float64(count)/classWork)
+	c.worth = class.Worth * min(maxWorthFactor,
+		baseWorthShare+(1-baseWorthShare)*work.Seconds()*float64(count)/classWork)
 	w.jobs[id] = c
 	w.Credits[k].Jobs++
 	w.Credits[k].Owed += c.worth
 	c.send()
 }
 
-// objective returns the latency within which the job earns its full worth. It is based on the
-// longest task, as on the customers' benchmark (docs/measurements/build-farm.md).
-func (c *client) objective() time.Duration {
+// objective returns the latency within which the job earns its full worth. As on the customers'
+// benchmark (docs/measurements/build-farm.md), the latency depends on the longest task.
+func (c *caller) objective() time.Duration {
 	shape := c.w.cfg.Shape
 	return time.Duration(shape.Stretch*float64(slices.Max(c.taskDurations))) + shape.Slack
 }
 
-// recordEarnings records what a job earns that completes now.
-func (c *client) recordEarnings() {
+// recordEarnings records the earnings of a workload job that completes now.
+func (c *caller) recordEarnings() {
 	if c.typicalDuration == 0 {
 		return
 	}
 	age := c.w.now() - c.sentAt
 	c.w.Credits[c.class].addCompleted(c, age)
-	c.earnedFraction = c.earnedShareAt(age)
+	c.earnedShare = c.earnedShareAt(age)
 }
 
-// earnedShareAt returns the fraction of its worth that the job earns if it completes at the
-// given age.
-func (c *client) earnedShareAt(age time.Duration) float64 {
+// earnedShareAt returns the share of its worth that the job earns if it completes at the given
+// age.
+func (c *caller) earnedShareAt(age time.Duration) float64 {
 	switch {
 	case age <= c.objective():
 		return 1
 	case age <= 3*c.objective():
-		return lateFraction
+		return lateShare
 	}
 	return 0
 }
 
 // addCompleted adds the earnings of a job that completed at the given age.
-func (c *Credit) addCompleted(job *client, age time.Duration) {
+func (c *Credit) addCompleted(job *caller, age time.Duration) {
 	share := job.earnedShareAt(age)
 	c.Earned += share * job.worth
 	switch share {
 	case 1:
 		c.InAim++
-	case lateFraction:
+	case lateShare:
 		c.Late++
 	}
 }
 
-// Fractions of the jobs of a class, the largest first, that Worst evaluates separately, as the
-// customers' benchmark does.
+// Worst evaluates these fractions of the jobs of a class, those with the highest worth first,
+// separately, as the customers' benchmark does.
 const (
 	largestFraction     = 0.1
 	nextLargestFraction = 0.2
 )
 
-// Worst returns the lowest earned share of any class, of the largest tenth of any class, or of
-// the next fifth.
+// Worst returns the lowest earned share of any group of jobs. The groups are, for each class,
+// all jobs, the tenth with the highest worth, and the next fifth.
 func (w *World) Worst() float64 {
 	worst := 1.0
 	for k, credit := range w.Credits {
-		var jobs []*client
+		var jobs []*caller
 		for _, c := range w.jobs {
 			if c.class == k {
 				jobs = append(jobs, c)
 			}
 		}
-		slices.SortFunc(jobs, func(a, b *client) int {
+		slices.SortFunc(jobs, func(a, b *caller) int {
 			return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(a.spec.ID, b.spec.ID))
 		})
 		largest := int(largestFraction * float64(len(jobs)))
@@ -261,21 +268,22 @@
 	return worst
 }
 
-// earnedShare returns the earned fraction of the jobs' worth.
-func earnedShare(jobs []*client) float64 {
+// earnedShare returns the earned share of the jobs' worth.
+func earnedShare(jobs []*caller) float64 {
 	var sum Credit
 	for _, c := range jobs {
 		sum.Owed += c.worth
-		sum.Earned += c.earnedFraction * c.worth
+		sum.Earned += c.earnedShare * c.worth
 	}
 	return sum.Share()
 }
 
-// heldThreshold is the fraction of the objective after which a refused job counts as held.
+// heldThreshold is the fraction of the objective after which the worth of a refused job counts
+// as Credit.Held.
 const heldThreshold = 0.25
 
-// recordUnserved records a job that was refused or given up.
-func (c *client) recordUnserved() {
+// recordUnserved records a workload job that was refused or given up.
+func (c *caller) recordUnserved() {
 	if c.typicalDuration > 0 && !c.started && c.w.now()-c.sentAt > time.Duration(heldThreshold*float64(c.objective())) {
 		c.w.Credits[c.class].Held += c.worth
 	}
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -3,7 +3,8 @@
 // process kills, freezes, network cuts, lost and delayed calls, crashing and failing targets.
 // It checks every run start and every answer against the invariants, records the first
 // violation, and computes what the jobs of a workload earned. The same seed always produces the
-// same history.
+// same history. The checks at its end run in random order, so that the first violation found by
+// them may differ.
 package fleet
 
 import (
@@ -38,12 +39,12 @@
 	// Jobs arrive every Interval on average for Length. The last fault begins at least Calm
 	// before the end of Length.
 	Length, Interval, Calm time.Duration
-	// Faults is the number of injected faults; Kinds are their possible kinds, empty meaning
-	// any that is drawn at random.
+	// Faults is the number of injected faults. Kinds limits their kinds; if empty, all kinds
+	// before randomKinds are used.
 	Faults int
 	Kinds  []Kind
-	// Lasting keeps silent connections open for good. The invariants on the end of the history
-	// are then not checked.
+	// Lasting keeps silent connections open forever. NothingLeft and Recovery are then not
+	// checked at the end of the history.
 	Lasting bool
 	// Classes replaces the default jobs with a workload, and Shape has the properties common to
 	// its jobs. CPU is the capacity of each target; Speeds are assigned to the targets round
@@ -52,7 +53,7 @@
 	Shape   Shape
 	CPU     int
 	Speeds  []float64
-	// Rules and Clear configure the mechanisms under test.
+	// Rules are the rules of the supervisors. Clear is the ClearTime of the owners.
 	Rules supervisor.Rules
 	Clear time.Duration
 	// UntoldBirths makes targets omit their start time from reports.
@@ -60,14 +61,14 @@
 	// ClocksStop makes the clocks of processes stop during suspensions.
 	ClocksStop bool
 	// Crashing is the share of the jobs whose tasks crash each target that starts them.
-	// BackAfter is the minimum time before a crashed target restarts. UntellingAgents is
-	// not used.
+	// BackAfter is the minimum time before a crashed target restarts. UntellingAgents
+	// has no effect.
 	Crashing        float64
 	BackAfter       time.Duration
 	UntellingAgents bool
 	// HoldMax is the longest lease that targets grant.
 	HoldMax time.Duration
-	// LinkMbps is the bandwidth of each entry's link in Mbit/s, zero meaning unlimited.
+	// LinkMbps is the bandwidth of each entry's link in Mbit/s; zero means unlimited.
 	// SpecBytes is the length of job specs.
 	LinkMbps  float64
 	SpecBytes int
@@ -84,17 +85,17 @@
 	Homes  int
 	// ForgetEndings disables waiting for the runs of a dropped job to end.
 	ForgetEndings bool
-	// TrustStopped disables renewing the claims of an entry that was stopped.
+	// TrustStopped disables renewing the claims of an entry after it was suspended.
 	TrustStopped bool
 	// Term is the objective that entries optimise.
 	Term owner.Term
 	// Leaving is the share of callers that abandon their job before it completes.
 	Leaving float64
-	// Patience is the timeout of callers. Guess is the typical task duration of most jobs,
-	// LongGuess that of the others.
+	// Patience is the timeout of callers. Guess is the typical task estimate of two thirds of
+	// the jobs, LongGuess that of the others.
 	Patience, Guess, LongGuess time.Duration
-	// ComeBack is how long callers retry refused jobs, waiting as long as each refusal asks;
-	// zero disables retries.
+	// ComeBack is how long callers retry refused jobs. Each retry follows after the delay given
+	// in the refusal. Zero disables retries.
 	ComeBack time.Duration
 	// Log receives the log records of all processes.
 	Log *slog.Logger
@@ -105,7 +106,8 @@
 	return Config{
 		Seed: seed, Entries: 2, Agents: 3,
 		Length: 14 * time.Second, Interval: 180 * time.Millisecond, Calm: 8 * time.Second,
-		CPU: 8000, Faults: 5, HoldMax: time.Second, BackAfter: 500 * time.Millisecond, Rules: supervisor.DefaultRules(), Clear: owner.ClearTime,
+		CPU: 8000, Faults: 5, HoldMax: time.Second, BackAfter: 500 * time.Millisecond,
+		Rules: supervisor.DefaultRules(), Clear: owner.ClearTime,
 		Homes:    owner.DefaultHomes,
 		Patience: 3 * time.Second, Guess: 150 * time.Millisecond, LongGuess: 700 * time.Millisecond,
 		Log: slog.New(slog.DiscardHandler),
@@ -115,14 +117,13 @@
 // Counts holds counters of a history.
 type Counts struct {
 	Jobs, Completed, Failed, GivenUp, Refused, Resent, Starts int
-	// CalmFull counts refusals of jobs submitted after the faults, at moments when no target
-	// had room for any of their tasks.
+	// CalmFull counts refusals of jobs submitted after the faults while no target had room for
+	// any of their tasks.
 	CalmFull int
-	// Calm counts the jobs submitted after the faults, CalmCompleted those of them that
-	// completed.
+	// Calm counts the jobs submitted after the faults, CalmCompleted the completed ones.
 	Calm, CalmCompleted int
-	// Strays counts duplicate submissions that reached another entry. Again counts jobs of
-	// which a task started again after it had completed.
+	// Strays counts duplicate submissions that reached another entry. Again counts jobs with a
+	// task that started again after it had completed.
 	Strays, Again int
 }
 
@@ -152,7 +153,7 @@
 	lastConn     uint64
 	operator     *operator
 	alwaysFails  map[string]bool // by job ID
-	jobs         map[string]*client
+	jobs         map[string]*caller
 	Counts       Counts
 	// Credits holds the earnings of each class of a workload. Surge multiplies the arrival rate
 	// of its jobs; zero means no change.
@@ -186,7 +187,7 @@
 		crashRand:    rand.New(rand.NewPCG(cfg.Seed, 17)),
 		ownerRand:    rand.New(rand.NewPCG(cfg.Seed, 13)),
 		alwaysFails:  make(map[string]bool),
-		jobs:         make(map[string]*client),
+		jobs:         make(map[string]*caller),
 		linkOf:       make(map[linkKey]*link),
 	}
 	w.operator = newOperator(w)
@@ -216,12 +217,13 @@
 	return w
 }
 
-// At schedules do at the given time since the start of the history.
+// At schedules do after t. Before Run is called, this is the time since the start of the
+// history.
 func (w *World) At(t time.Duration, do func()) {
 	w.after(t, do)
 }
 
-// Run plays the history to its end, or until an invariant is violated.
+// Run plays the history until it ends or an invariant is violated.
 func (w *World) Run() {
 	w.queue.Run(w.queue.Now()+w.cfg.Length+settleDuration, func() bool { return w.Broken != "" })
 	if w.Broken == "" {
@@ -257,7 +259,7 @@
 }
 
 // checkRunStart checks the invariants that apply when a run starts on a target.
-func (w *World) checkRunStart(e *emulatedTarget, r *emulatedRun) {
+func (w *World) checkRunStart(t *emulatedTarget, r *emulatedRun) {
 	w.Counts.Starts++
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
@@ -276,35 +278,37 @@
 	if c.targetCrashes[r.order.Task] >= crashLimit {
 		c.startsAfterLimit[r.order.Task]++
 		if c.startsAfterLimit[r.order.Task] > startsAfterCrashLimit {
-			w.recordViolation(CrashBudget, "%s started once more", r.name)
+			w.recordViolation(CrashBudget,
+				"%s started again although its task has used up the starts allowed after target crashes", r.name)
 		}
 	}
 	used := r.order.Needs
-	for _, o := range e.runs {
+	for _, o := range t.runs {
 		used = used.Plus(o.order.Needs)
 	}
-	if !used.Fits(e.capacity) && w.now()-e.shrunkAt > shrinkGrace {
-		w.recordViolation(WithinRoom, "starting %s on %s raises the used CPU to %d of %d", r.name, e.id, used.CPU, e.capacity.CPU)
+	if !used.Fits(t.capacity) && w.now()-t.shrunkAt > shrinkGrace {
+		w.recordViolation(WithinRoom, "starting %s on %s raises the used CPU to %d of %d", r.name, t.id, used.CPU,
+			t.capacity.CPU)
 	}
-	if e.drainingSince > 0 && w.now() > e.drainingSince+drainGrace {
-		w.recordViolation(DrainedInPeace, "%s started on draining target %s", r.name, e.id)
+	if t.drainingSince > 0 && w.now() > t.drainingSince+drainGrace {
+		w.recordViolation(DrainedInPeace, "%s started on draining target %s", r.name, t.id)
 	}
 	w.checkAbandoned(r)
 	for _, a := range w.agents {
-		if a.target == e {
+		if a.target == t {
 			w.operator.checkRunStart(a, r.name)
 		}
 		if a.target.up && a.target.runs[r.name] != nil {
-			w.recordViolation(OneRun, "%s started on %s while running on %s", r.name, e.id, a.target.id)
+			w.recordViolation(OneRun, "%s started on %s while running on %s", r.name, t.id, a.target.id)
 		}
 	}
 }
 
-// After crashLimit target crashes a task may be started startsAfterCrashLimit more times, by
-// the platform's documentation.
+// Bounds on the starts of a task that crashes targets, according to the platform's
+// documentation.
 const (
-	crashLimit            = 3
-	startsAfterCrashLimit = 2
+	crashLimit            = 3 // target crashes after which the further starts are limited
+	startsAfterCrashLimit = 2 // starts after crashLimit crashes
 )
 
 // shrinkGrace is how long a target may be overcommitted after its capacity has shrunk:
@@ -312,12 +316,10 @@
 const shrinkGrace = 3*time.Second + heartbeatInterval
 
 // abandonedRunLimit is how long a run may continue after its caller has left or, if later,
-// after its start. It covers the callers' connection (3 ms), the lease of a silent entry, the
-// target's lease on a slow clock and the stop, with a margin of the same size. The platform's
-// documentation allows at least 4 s.
+// after its start. The platform's documentation allows at least 4 s.
 const abandonedRunLimit = 3 * time.Second
 
-// checkAbandoned checks periodically that a run ends after its caller has left.
+// checkAbandoned checks periodically that a run ends after its caller has abandoned the job.
 func (w *World) checkAbandoned(r *emulatedRun) {
 	c := w.jobs[r.order.Task.Job]
 	if w.cfg.Leaving == 0 {
@@ -329,7 +331,8 @@
 			return
 		}
 		if c.abandonedAt > 0 && w.now()-c.abandonedAt > abandonedRunLimit {
-			w.recordViolation(EndsWhenLeft, "%s still runs %s after its caller has left", r.name, w.now()-c.abandonedAt)
+			w.recordViolation(EndsWhenLeft, "%s still runs %s after its caller abandoned the job", r.name,
+				w.now()-c.abandonedAt)
 			return
 		}
 		w.after(abandonedRunLimit, check)
@@ -337,8 +340,9 @@
 	w.after(abandonedRunLimit, check)
 }
 
-// hasRoomFor reports whether a target has room for a task of a job that has not started.
-// Ejected targets don't count, as they get single probe tasks only.
+// hasRoomFor reports whether some target has room for a task of a step without dependencies.
+// Targets in evacuated halls and ejected targets, which get single probe tasks only, don't
+// count.
 func (w *World) hasRoomFor(spec task.Job) bool {
 	for _, a := range w.agents {
 		if w.operator.set.Has(a.target.hall) || a.supervisor.Stats(w.now()).Ejected > 0 {
@@ -357,7 +361,7 @@
 	return false
 }
 
-// recordRunEnd records the end of a run for its caller.
+// recordRunEnd records completed and failed runs in the caller of their job.
 func (w *World) recordRunEnd(r *emulatedRun, end task.End) {
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
@@ -371,7 +375,9 @@
 	}
 }
 
-// checkFinalState checks the invariants that apply at the end of the history.
+// checkFinalState checks the invariants that apply at the end of the history. Recovery requires
+// that, of the jobs submitted after the faults, nine in ten completed or were refused without
+// room, and five in six completed.
 func (w *World) checkFinalState() {
 	for id, c := range w.jobs {
 		if c.started && c.refusedTries == c.tries && c.refusedDuplicates == c.duplicates && c.tries > 0 && c.answered {
@@ -380,10 +386,12 @@
 	}
 	for _, a := range w.agents {
 		if !w.cfg.Lasting && len(a.target.runs) > 0 && a.target.up {
-			w.recordViolation(NothingLeft, "%d runs left on %s", len(a.target.runs), a.target.id)
+			w.recordViolation(NothingLeft, "%d runs are left on %s", len(a.target.runs), a.target.id)
 		}
 	}
 	if n := w.Counts; !w.cfg.Lasting && ((n.CalmCompleted+n.CalmFull)*10 < n.Calm*9 || n.CalmCompleted*6 < n.Calm*5) {
-		w.recordViolation(Recovery, "%d of %d jobs completed after the faults, %d refused without room", n.CalmCompleted, n.Calm, n.CalmFull)
+		w.recordViolation(Recovery,
+			"%d of %d jobs submitted after the faults completed, %d were refused while no target had room",
+			n.CalmCompleted, n.Calm, n.CalmFull)
 	}
 }
--- a/testutil/fleet/world_test.go
+++ b/testutil/fleet/world_test.go
@@ -17,8 +17,8 @@
 	assert.Assert(t, w.Counts.Completed+w.Counts.Failed >= w.Counts.Jobs-1, "%+v", w.Counts)
 }
 
-// playHistories plays count histories with consecutive seeds from first. change adapts the
-// default configuration. No history may violate an invariant.
+// playHistories plays count histories with consecutive seeds from first and checks that none
+// violates an invariant. change adapts the default configuration.
 func playHistories(t *testing.T, first, count uint64, change func(*Config)) {
 	t.Helper()
 	const batch = 20
@@ -36,41 +36,42 @@
 	}
 }
 
-// TestRandomFaultsKeepInvariants plays histories with random faults.
+// TestRandomFaultsKeepInvariants guards against violations under random faults of all random
+// kinds.
 func TestRandomFaultsKeepInvariants(t *testing.T) {
 	playHistories(t, 1000, 400, func(*Config) {})
 }
 
-// TestMixedVersionsKeepInvariants plays histories in which some processes run the previous
-// version, as during a rolling upgrade.
+// TestMixedVersionsKeepInvariants guards against violations while some processes run the
+// previous version, as during a rolling upgrade.
 func TestMixedVersionsKeepInvariants(t *testing.T) {
 	playHistories(t, 3000, 60, func(c *Config) { c.OldEntries = 1 })
 	playHistories(t, 3100, 60, func(c *Config) { c.OldAgents = 2 })
 	playHistories(t, 3200, 60, func(c *Config) { c.OldEntries, c.OldAgents = 1, 1 })
 }
 
-// TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants plays histories with many faults of
-// these two kinds.
+// TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants guards against violations under many
+// faults of these kinds, isolated agents and killed entries.
 func TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants(t *testing.T) {
 	playHistories(t, 4000, 80, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{HoldHeartbeat, SilenceConnections, CutAgent, KillEntry}, 10
 	})
 }
 
-// TestLeasesEndRunsOfSilentEntries plays histories in which silent connections are never
-// closed, so that only leases end the runs of silent entries.
+// TestLeasesEndRunsOfSilentEntries guards against runs that outlive the lease of a silent
+// entry. Silent connections are never closed, so that only leases end the runs.
 func TestLeasesEndRunsOfSilentEntries(t *testing.T) {
 	playHistories(t, 5000, 80, func(c *Config) { c.Lasting = true })
 }
 
-// TestAgentRestartsWithLostAnswersKeepInvariants plays the faults that
-// TestDisabledMechanismBreaksInvariant uses for AwaitCleared, with the mechanism enabled.
+// TestAgentRestartsWithLostAnswersKeepInvariants guards against new agents that start runs while
+// runs of an earlier agent are left, which Rules.AwaitCleared prevents.
 func TestAgentRestartsWithLostAnswersKeepInvariants(t *testing.T) {
 	playHistories(t, 0, 160, func(c *Config) { c.Kinds, c.Faults = []Kind{KillAgent, LoseAnswers}, 16 })
 }
 
-// TestDuplicateSubmissionsKeepInvariants plays histories in which duplicates of submissions
-// reach other entries, at once or later, among all kinds of faults.
+// TestDuplicateSubmissionsKeepInvariants guards against violations when duplicates of
+// submissions reach other entries, at once or later, among all random kinds of faults.
 func TestDuplicateSubmissionsKeepInvariants(t *testing.T) {
 	playHistories(t, 7000, 200, func(c *Config) { c.Strays, c.Entries, c.Agents = 0.4, 3, 5 })
 	playHistories(t, 7500, 100, func(c *Config) {
@@ -111,12 +112,12 @@
 }
 
 // TestDisabledMechanismBreaksInvariant disables one mechanism at a time and guards against
-// histories too weak to detect that: some seed must violate an invariant.
+// histories too weak to detect that: some seed must violate OneRun, WithinRoom or Evacuated.
 func TestDisabledMechanismBreaksInvariant(t *testing.T) {
 	const maxHistories = 600
 	for _, c := range []struct {
-		name string
-		out  func(*Config)
+		name    string
+		disable func(*Config)
 	}{
 		{"owner lease", func(c *Config) {
 			c.Rules.OwnerLease, c.Lasting = time.Hour, true
@@ -136,7 +137,7 @@
 			threeHalls(c)
 			c.OldEntries, c.Rules.RefuseEvacuated = 1, false
 		}},
-		{"distinguishing incarnations of a target under one id", func(c *Config) {
+		{"distinguishing incarnations of a target by start time", func(c *Config) {
 			targetRestarts(c)
 			c.UntoldBirths = true
 		}},
@@ -144,7 +145,7 @@
 			hostSuspensions(c)
 			c.ClocksStop = true
 		}},
-		{"renewing claims after a stop", func(c *Config) {
+		{"renewing claims after a suspension", func(c *Config) {
 			c.Strays, c.Entries, c.Agents = 0.9, 3, 5
 			c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
 			c.TrustStopped = true
@@ -159,7 +160,7 @@
 			t.Parallel()
 			for seed := range uint64(maxHistories) {
 				cfg := DefaultConfig(seed)
-				c.out(&cfg)
+				c.disable(&cfg)
 				w := New(cfg)
 				w.Run()
 				if w.BrokenPromise == OneRun || w.BrokenPromise == WithinRoom || w.BrokenPromise == Evacuated {
@@ -167,12 +168,13 @@
 					return
 				}
 			}
-			t.Errorf("no invariant violated in %d histories without the mechanism", maxHistories)
+			t.Errorf("none of OneRun, WithinRoom and Evacuated violated in %d histories without the mechanism",
+				maxHistories)
 		})
 	}
 }
 
-// targetRestarts configures targets that restart under the same id, delayed or unanswered
+// targetRestarts configures targets that restart with the same ID, delayed or unanswered
 // starts, and leases of 15 s.
 func targetRestarts(c *Config) {
 	c.Kinds, c.Faults = []Kind{RestartTarget, DelayOrders, LoseAnswers, KillAgent, CutEntry}, 14
@@ -180,7 +182,7 @@
 }
 
 // TestTargetRestartsUnderSameIDKeepInvariants guards against confusing the incarnations of a
-// target that keeps its id.
+// target that keeps its ID.
 func TestTargetRestartsUnderSameIDKeepInvariants(t *testing.T) {
 	playHistories(t, 8000, 160, targetRestarts)
 }
@@ -198,20 +200,20 @@
 	playHistories(t, 12000, 160, hostSuspensions)
 }
 
-// TestFrozenEntriesWithDuplicatesKeepInvariants plays entries that freeze while duplicates of
-// their submissions reach other entries.
+// TestFrozenEntriesWithDuplicatesKeepInvariants guards against entries that continue after a
+// freeze although duplicates of their submissions run at other entries.
 func TestFrozenEntriesWithDuplicatesKeepInvariants(t *testing.T) {
 	change := func(c *Config) {
 		c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
 		c.Strays, c.Entries, c.Agents = 0.9, 3, 5
 	}
 	playHistories(t, 20000, 100, change)
-	playHistories(t, 21360, 20, change) // includes 21366, which fails with TrustStopped
-	playHistories(t, 20570, 20, change) // includes 20579, which fails with TrustStopped
+	playHistories(t, 21360, 20, change) // 21366 violates an invariant with TrustStopped
+	playHistories(t, 20570, 20, change) // 20579 violates an invariant with TrustStopped
 }
 
-// TestShrinkingCapacityKeepsInvariants plays targets whose capacity shrinks and grows while
-// orders, reservations and unanswered starts are in progress.
+// TestShrinkingCapacityKeepsInvariants guards against overcommitting targets whose capacity
+// shrinks while orders, reservations and unanswered starts are in progress.
 func TestShrinkingCapacityKeepsInvariants(t *testing.T) {
 	playHistories(t, 13000, 160, func(c *Config) {
 		c.Kinds, c.Faults = []Kind{ShrinkRoom, LoseAnswers, DelayOrders, CutAgent, KillAgent}, 16
--- a/testutil/loopback/loopback.go
+++ b/testutil/loopback/loopback.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Pair returns both ends of a TCP connection.
+// Pair returns both ends of a TCP connection. The caller must close them.
 func Pair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/testutil/loopback/silent.go
+++ b/testutil/loopback/silent.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Proxy is a TCP proxy that can silence its open connections for good: it drops all later bytes
-// without closing the connections. New connections work.
+// Proxy is a TCP proxy that can silence its open connections: all later bytes are dropped, and
+// the connections stay open. New connections work.
 type Proxy struct {
 	Addr string
 
@@ -24,7 +24,7 @@
 	silent    chan struct{} // closed when the connection is silenced
 }
 
-// NewProxy starts a proxy to addr. It is closed when the test ends.
+// NewProxy starts a proxy to addr. The proxy is closed when the test ends.
 func NewProxy(t *testing.T, addr string) *Proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,13 +73,13 @@
 		n, err := from.Read(buf)
 		select {
 		case <-c.silent:
-			_, _ = io.Copy(io.Discard, from) // without closing the other side
+			_, _ = io.Copy(io.Discard, from) // keeps both connections open
 			return
 		default:
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
-				return // closed by the other direction
+				return // the destination is closed
 			}
 		}
 		if err != nil {
--- a/testutil/page/page.go
+++ b/testutil/page/page.go
@@ -16,7 +16,8 @@
 var metricRow = regexp.MustCompile("(?m)^\\| `(beaconpoint_[^`]+)`")
 
 // CheckMetrics checks that the page at path has a table row for each metric in the code and no
-// others, and that the names match testdata/metrics.golden. Monitoring depends on these names.
+// others, and that the names match testdata/metrics.golden, as monitoring depends on them. It
+// sorts inCode.
 func CheckMetrics(t *testing.T, path string, inCode []string) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -26,14 +26,14 @@
 	"github.com/beaconpoint/beaconpoint/standin/target"
 )
 
-// Names used in the configuration.
+// Names and path prefix in the configuration of Start.
 const (
 	Service = "trackd"
 	Host    = "queue.example"
 	Prefix  = "/jobs/"
 )
 
-// conditionTimeout is the time that Until allows, with a margin for busy machines.
+// conditionTimeout is the timeout of Until. It has a margin for busy machines.
 const conditionTimeout = 60 * time.Second
 
 // heartbeatInterval is the interval between the heartbeats of a target.
@@ -50,14 +50,14 @@
 type System struct {
 	tb      testing.TB
 	Store   *store.Store
-	store   string
+	store   string // host and port of Store
 	Targets []*target.Target
 	wrap    func(http.Handler) http.Handler // wraps the HTTP handler of each target
 	Entries []*Process
 	Agents  []*Process
 }
 
-// Process is an entry or an agent. It may be stopped and started again.
+// Process is an entry or an agent, which tests may stop and start again.
 type Process struct {
 	settings settings.Node
 	run      func(context.Context) error
@@ -65,9 +65,11 @@
 	done     chan struct{}
 }
 
+// hostCount counts the addresses returned by freeAddr.
 var hostCount atomic.Uint32
 
-// freeAddr returns a free TCP address on a loopback IP that no other node uses.
+// freeAddr returns a free TCP address. The loopback IP depends on the process and changes with
+// each call, so that other nodes are unlikely to use the same one.
 func freeAddr(tb testing.TB) string {
 	tb.Helper()
 	pid, n := os.Getpid(), hostCount.Add(1)
@@ -106,7 +108,7 @@
 	return s
 }
 
-// Configure stores a configuration with one queue.
+// Configure stores a configuration with one route and one service.
 func (s *System) Configure(version int, prefix string) {
 	s.Store.Put("op/config", fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"r-1","host":%q,"path_prefix":%q,
 		"type":"non_idempotent","timeout_ms":1500,"target_latency_ms":60000,"priority":0,"service":%q,"attempts":2,"stretch":1.6}],
@@ -123,7 +125,7 @@
 	s.Store.Put("op/evacuate/"+HallOf(k), []byte(`{}`))
 }
 
-// TakeBack ends the evacuation of the hall of target k.
+// TakeBack requests the end of the evacuation of the hall of target k.
 func (s *System) TakeBack(k int) {
 	s.Store.Remove("op/evacuate/" + HallOf(k))
 }
@@ -140,7 +142,8 @@
 	n.Target = strings.TrimPrefix(server.URL, "http://")
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		a := node.NewAgent(n, platform.NewStore(n.Store, log).Directory(), platform.NewTargetClient(n.Target).Calls(), log)
+		a := node.NewAgent(n, platform.NewStore(n.Store, log).Directory(), platform.NewTargetClient(n.Target).Calls(),
+			log)
 		a.Serve = platform.NewTargetAPI(a, n.Reports, log).Serve
 		return a.Run(ctx)
 	}}
@@ -177,14 +180,15 @@
 	s.Begin(p)
 }
 
-// nodeSettings returns default settings with a free address.
+// nodeSettings returns default settings with a free address for peers and the address of the
+// store.
 func (s *System) nodeSettings(role peer.Role, name string) settings.Node {
 	n := settings.DefaultNode()
 	n.Role, n.Name, n.Hall, n.Peers, n.Store = role, name, "z", freeAddr(s.tb), s.store
 	return n
 }
 
-// Begin starts a new incarnation of p.
+// Begin starts a new incarnation of p. The test fails if the incarnation ends with an error.
 func (s *System) Begin(p *Process) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -192,7 +196,7 @@
 	go func() {
 		defer close(done)
 		if err := p.run(ctx); err != nil {
-			s.tb.Errorf("node %s stopped: %v", p.settings.Name, err)
+			s.tb.Errorf("node %s stopped with an error: %v", p.settings.Name, err)
 		}
 	}()
 }
@@ -218,7 +222,7 @@
 	<-p.done
 }
 
-// Tell signals p to stop.
+// Tell signals p to stop and does not wait.
 func (p *Process) Tell() {
 	p.cancel()
 }
@@ -250,7 +254,8 @@
 func (s *System) Until(holds func() bool) {
 	s.tb.Helper()
 	for started := time.Now(); !holds(); time.Sleep(heartbeatInterval / 5) {
-		assert.Assert(s.tb, time.Since(started) < conditionTimeout, "condition does not hold after a minute")
+		assert.Assert(s.tb, time.Since(started) < conditionTimeout,
+			"condition of Until does not hold after conditionTimeout")
 	}
 }
 
@@ -260,9 +265,10 @@
 	return s.CallUntil(context.Background(), k, method, path, body)
 }
 
-// CallUntil is like Call, but closes the connection when ctx ends.
+// CallUntil is like Call, but aborts the request when ctx ends.
 func (s *System) CallUntil(ctx context.Context, k int, method, path, body string) (int, string) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method,
+		"http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
 	assert.NilError(s.tb, err)
 	req.Host = Host
 	resp, err := http.DefaultClient.Do(req)
@@ -306,7 +312,8 @@
 	return resp
 }
 
-// Closes reports whether entry k closes the connection after answering a request.
+// Closes reports whether entry k closes the connection after answering a GET request for path.
+// It returns false if there was no answer.
 func (s *System) Closes(k int, path string) bool {
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[k].settings.Callers+path, nil)
 	assert.NilError(s.tb, err)
--- a/testutil/vtime/vtime.go
+++ b/testutil/vtime/vtime.go
@@ -14,6 +14,7 @@
 	events  eventHeap
 }
 
+// event is a call scheduled at a virtual time.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -30,13 +31,14 @@
 	return q.now
 }
 
-// After schedules do at the current time plus d.
+// After schedules do after d.
 func (q *Queue) After(d time.Duration, do func()) {
 	q.lastSeq++
 	heap.Push(&q.events, event{at: q.now + d, seq: q.lastSeq, do: do})
 }
 
-// Run runs events until the given end time, or until stop returns true.
+// Run runs events until the given end time, or until stop returns true. In both cases the
+// current time is then at least end.
 func (q *Queue) Run(end time.Duration, stop func() bool) {
 	for len(q.events) > 0 && q.events[0].at <= end && !stop() {
 		e := heap.Pop(&q.events).(event)
@@ -46,6 +48,7 @@
 	q.now = max(q.now, end)
 }
 
+// eventHeap implements heap.Interface with the next event on top.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
