--- a/seats/home/change.go
+++ b/seats/home/change.go
@@ -10,47 +10,48 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// Waits around changes of the roster.
+// Delays of roster changes.
 const (
-	// changeStagger sets the seats' proposals apart, so that they seldom
-	// race for the same swap.
-	changeStagger = 150 * time.Millisecond
-	// readAgain is after how long a failed read is tried again.
-	readAgain = 300 * time.Millisecond
-	// joinWithoutSeats and joinWithoutAgents are how many times the suspicion
-	// time a home waits for connections before it takes a seat without them.
-	joinWithoutSeats  = 2
-	joinWithoutAgents = 10
+	// proposalStagger delays each entry's proposal by its rank, so that
+	// entries rarely compete for the same swap.
+	proposalStagger = 150 * time.Millisecond
+	readRetryDelay  = 300 * time.Millisecond
+	// maxSeatWaitSuspects and maxAgentWaitSuspects limit, in multiples of
+	// Config.Suspect, how long an entry waits for connections to the other
+	// seats and to agents before it takes a seat.
+	maxSeatWaitSuspects  = 2
+	maxAgentWaitSuspects = 10
 )
 
-// proposal is a swap of the roster whose outcome is not known yet.
+// proposal is a roster swap that is in progress.
 type proposal struct {
 	swap Swap
 }
 
-// Outcome is how a swap ended.
+// Outcome is the result of a roster swap.
 type Outcome uint8
 
 // Outcomes of a swap.
 const (
 	Swapped Outcome = iota + 1
-	// Conflicted: another change came first, nothing was written.
+	// Conflicted means that the stored revision had changed and nothing was
+	// written.
 	Conflicted
-	// Unknown: the answer was lost; the change may have taken effect.
+	// Unknown means that the store did not answer; the change may have taken
+	// effect.
 	Unknown
 )
 
-// String returns the outcome's name.
 func (o Outcome) String() string {
 	return [...]string{"none", "swapped", "conflicted", "unknown"}[o]
 }
 
-// SwapEnded notes how the swap with the given change id ended.
+// SwapEnded handles the outcome of the swap with the given change id.
 func (h *Home) SwapEnded(now clock.Moment, change string, o Outcome) Effects {
 	h.now = now
 	p := h.proposal
 	if p == nil || p.swap.Change != change {
-		return h.drain()
+		return h.takeEffects()
 	}
 	h.proposal = nil
 	if o == Swapped {
@@ -59,67 +60,68 @@
 		h.needRead = true
 	}
 	h.settle()
-	return h.drain()
+	return h.takeEffects()
 }
 
-// RosterRead takes the roster that the store holds; a missing one is the zero
-// Roster.
+// RosterRead handles the result of reading the roster from the store. A roster
+// that does not exist yet is the zero Roster.
 func (h *Home) RosterRead(now clock.Moment, r roster.Roster, err error) Effects {
 	h.now = now
 	if err != nil {
 		h.needRead = true
-		h.readAfter = now.Mono + readAgain
-		return h.drain()
+		h.readAfter = now.Mono + readRetryDelay
+		return h.takeEffects()
 	}
 	if !h.haveRead {
 		h.haveRead = true
-		h.readAt = now.Mono
+		h.firstReadAt = now.Mono
 	}
 	h.adopt(r)
 	h.settle()
-	return h.drain()
+	return h.takeEffects()
 }
 
-// adopt takes a roster with a higher revision; a lower one changes nothing.
+// adopt replaces the roster in force if r has a higher revision.
 func (h *Home) adopt(r roster.Roster) {
 	if r.Revision <= h.view.Revision {
 		return
 	}
 	before := h.view
 	h.view = roster.NewView(r)
-	h.heard = max(h.heard, r.Revision)
-	h.standing.Keep(r.Seats)
+	h.seenRevision = max(h.seenRevision, r.Revision)
+	h.confirmations.Keep(r.Seats)
 	if before.HasSeat(h.cfg.Self) && !h.Seated() {
-		h.lost = true
-		h.out.Removed = true
+		h.removed = true
+		h.effects.Removed = true
 	}
-	h.countHomes()
+	h.countOwners()
 	for _, l := range h.ordered {
 		l.registered = h.view.HasAgent(l.id)
 	}
-	if h.Seated() && (!slices.Equal(before.Seats, r.Seats) || before.Shards != r.Shards || !h.take.settled()) {
+	if h.Seated() && (!slices.Equal(before.Seats, r.Seats) || before.Shards != r.Shards || !h.takeover.settled()) {
 		h.beginTakeover()
 	}
 	for _, l := range h.ordered {
-		h.inform(l)
+		h.sendUpdates(l)
 	}
-	if h.take.pending {
-		h.gather()
+	if h.takeover.pending {
+		h.exchangeState()
 	}
 	h.reroute()
 }
 
 func (h *Home) beginTakeover() {
-	h.take.begin(h.now.Mono, h.lapseTime(), h.view, h.links)
+	h.takeover.begin(h.now.Mono, h.lapseTime(), h.view, h.links)
 }
 
-// gather asks for what the takeover lacks, and hands over what others lack.
-func (h *Home) gather() {
+// exchangeState requests the agents' records that the takeover still needs and
+// sends hand-overs to the other seats.
+func (h *Home) exchangeState() {
 	for _, l := range h.ordered {
 		if !l.up {
 			continue
 		}
-		if h.view.HasAgent(l.id) && !h.take.collected[l.id] {
+		if h.view.HasAgent(l.id) && !h.takeover.collected[l.id] {
 			h.send(l, wire.Collect{Revision: h.view.Revision})
 		}
 		if h.view.HasSeat(l.id) && l.id != h.cfg.Self {
@@ -128,33 +130,33 @@
 	}
 }
 
-// propose asks for the next change of the roster that is due, if any.
+// propose requests a swap if the roster needs a change.
 func (h *Home) propose() {
-	if h.proposal != nil || !h.haveRead || h.lost {
+	if h.proposal != nil || !h.haveRead || h.removed {
 		return
 	}
-	next := h.wanted()
-	if sameProcesses(next, h.view.Roster) {
-		h.wantSince = 0
+	next := h.nextRoster()
+	if sameMembers(next, h.view.Roster) {
+		h.changeDueSince = 0
 		return
 	}
-	if h.wantSince == 0 {
-		h.wantSince = h.now.Mono
+	if h.changeDueSince == 0 {
+		h.changeDueSince = h.now.Mono
 	}
-	if h.now.Mono < h.wantSince+h.rank()*changeStagger {
+	if h.now.Mono < h.changeDueSince+h.proposalRank()*proposalStagger {
 		return
 	}
-	h.wantSince = 0
+	h.changeDueSince = 0
 	h.changes++
 	change := fmt.Sprintf("%s-%d", h.cfg.Self, h.changes)
 	next = next.WithLossesSince(h.now.Wall.Add(-h.longestExpiry() - 2*h.cfg.Skew)).WithChange(change)
 	s := Swap{Base: h.view.Revision, Next: next, Change: change}
 	h.proposal = &proposal{swap: s}
-	h.out.Swap = &s
+	h.effects.Swap = &s
 }
 
-// rank is this home's place among the seats that propose.
-func (h *Home) rank() time.Duration {
+// proposalRank returns the number of live seats that propose before this one.
+func (h *Home) proposalRank() time.Duration {
 	rank := time.Duration(0)
 	for _, s := range h.view.Seats {
 		if s.ID.Compare(h.cfg.Self) < 0 && !h.silent(s.ID) {
@@ -164,29 +166,29 @@
 	return rank
 }
 
-// wanted returns the roster with every change that is due, or a zero one.
-func (h *Home) wanted() roster.Roster {
+// nextRoster returns the roster with every change that is due.
+func (h *Home) nextRoster() roster.Roster {
 	r := h.view.Roster
 	switch {
 	case !h.Seated() && !h.leaving && h.mayJoin():
 		r = r.WithSeat(roster.Seat{ID: h.cfg.Self, Addr: h.cfg.Addr}, h.now.Wall)
 	case !h.Seated():
 	default:
-		r = h.wantedLeave(r)
-		r = h.wantedSeats(r)
-		r = h.wantedAgents(r)
+		r = h.withOwnLeave(r)
+		r = h.withoutSilentSeats(r)
+		r = h.withCurrentAgents(r)
 		r = r.WithShards(h.config.Shards)
 	}
 	return r
 }
 
-func sameProcesses(a, b roster.Roster) bool {
+func sameMembers(a, b roster.Roster) bool {
 	return slices.Equal(a.Seats, b.Seats) && slices.Equal(a.Agents, b.Agents) && a.Shards == b.Shards
 }
 
-// wantedLeave marks a leaving home's seat, and gives it up once the home has
-// finished and the others know all of its share.
-func (h *Home) wantedLeave(r roster.Roster) roster.Roster {
+// withOwnLeave marks the seat of a leaving entry, and removes it once the entry
+// has finished its jobs and the other seats have received its hand-over.
+func (h *Home) withOwnLeave(r roster.Roster) roster.Roster {
 	if !h.leaving {
 		return r
 	}
@@ -213,10 +215,9 @@
 	return true
 }
 
-// wantedSeats takes away the seats of silent entries. A home that is itself
-// cut off, or has never been settled beside others that can't be lapsed, still
-// may: it then can't settle before every agent has answered.
-func (h *Home) wantedSeats(r roster.Roster) roster.Roster {
+// withoutSilentSeats removes the seats of entries suspected to have failed. An
+// entry that reaches fewer than half of the agents removes none.
+func (h *Home) withoutSilentSeats(r roster.Roster) roster.Roster {
 	if !h.reachesAgents() {
 		return r
 	}
@@ -228,36 +229,34 @@
 	return r
 }
 
-// silent reports whether nothing was heard of the seat for too long.
+// silent reports whether no frame arrived from the seat within Config.Suspect.
 func (h *Home) silent(id roster.ID) bool {
 	if id == h.cfg.Self {
 		return false
 	}
-	heard := h.adoptedAt[id]
+	lastReceived := h.expectedSince[id]
 	if l := h.links[id]; l != nil {
-		heard = max(heard, l.heardAt)
+		lastReceived = max(lastReceived, l.receivedAt)
 	}
-	return h.now.Mono-heard > h.cfg.Suspect
+	return h.now.Mono-lastReceived > h.cfg.Suspect
 }
 
-// mayJoin reports whether a seat for this home would do good: one that the
-// other seats can't confirm holds them all up until they have removed it. It
-// waits for connections to them and to the agents, but not for ever, since they
-// may all be gone.
+// mayJoin reports whether this entry may take a seat. A seat that the others
+// cannot confirm blocks them until they remove it, so an entry first waits, for
+// a limited time, for connections to the other seats and to the agents.
 func (h *Home) mayJoin() bool {
-	waited := h.now.Mono - h.readAt
-	if !h.reachesAgents() && waited < joinWithoutAgents*h.cfg.Suspect {
+	waited := h.now.Mono - h.firstReadAt
+	if !h.reachesAgents() && waited < maxAgentWaitSuspects*h.cfg.Suspect {
 		return false
 	}
-	apart := slices.ContainsFunc(h.view.Seats, func(s roster.Seat) bool {
+	unconnected := slices.ContainsFunc(h.view.Seats, func(s roster.Seat) bool {
 		return s.ID.Name != h.cfg.Self.Name && h.peer(s.ID) == nil
 	})
-	return !apart || waited >= joinWithoutSeats*h.cfg.Suspect
+	return !unconnected || waited >= maxSeatWaitSuspects*h.cfg.Suspect
 }
 
-// reachesAgents reports whether this home is connected to at least half of the
-// registered agents, in any of their lives: one that is cut off should not
-// remove the others.
+// reachesAgents reports whether this entry is connected to at least half of the
+// registered agents, whatever their incarnation.
 func (h *Home) reachesAgents() bool {
 	up := make(map[string]bool)
 	for _, l := range h.ordered {
@@ -272,13 +271,14 @@
 	return 2*reached >= len(h.view.Agents)
 }
 
-// wantedAgents registers the connected agents of configured targets, and takes
-// out those that are no longer configured or long gone.
-func (h *Home) wantedAgents(r roster.Roster) roster.Roster {
+// withCurrentAgents registers the connected agents of configured targets and
+// removes agents that are no longer configured or were disconnected for longer
+// than Config.AgentGone.
+func (h *Home) withCurrentAgents(r roster.Roster) roster.Roster {
 	for _, a := range h.view.Agents {
 		l := h.links[a]
 		_, configured := h.config.FindTarget(a.Name)
-		gone := l != nil && !l.up && h.now.Mono-l.changedAt > h.cfg.AgentGone && h.take.settled()
+		gone := l != nil && !l.up && h.now.Mono-l.changedAt > h.cfg.AgentGone && h.takeover.settled()
 		if !configured || gone {
 			r = r.WithoutAgent(a, h.now.Wall)
 		}
@@ -291,7 +291,7 @@
 	return r
 }
 
-// sortedAgents returns the connected agents in a fixed order.
+// sortedAgents returns the ids of the connected agents in ascending order.
 func (h *Home) sortedAgents() []roster.ID {
 	var ids []roster.ID
 	for id, l := range h.links {
--- a/seats/home/configure.go
+++ b/seats/home/configure.go
@@ -6,17 +6,18 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// Configure puts a configuration from the store in force, if its revision is
-// higher. Until the first one, which may be empty, the home is not settled.
+// Configure applies a configuration read from the store if its revision is
+// higher. An entry does not settle before its first call; the document of that
+// call may be empty.
 func (h *Home) Configure(now clock.Moment, d config.Document) Effects {
 	h.now = now
 	h.configured = true
 	h.configure(d)
 	h.settle()
-	return h.drain()
+	return h.takeEffects()
 }
 
-// adoptConfig takes the configuration that another seat handed over.
+// adoptConfig applies a configuration sent by another entry.
 func (h *Home) adoptConfig(raw []byte) {
 	d, err := config.Decode(raw)
 	if err != nil {
@@ -30,16 +31,16 @@
 		return
 	}
 	before := h.longestExpiry()
-	h.longer, h.longerUntil = before, h.now.Mono+before+h.cfg.Skew
+	h.previousLongest, h.previousLongestUntil = before, h.now.Mono+before+h.cfg.Skew
 	h.config = config.NewView(d)
-	h.out.Configured = true
-	h.countHomes()
+	h.effects.Configured = true
+	h.countOwners()
 	for _, l := range h.ordered {
-		h.inform(l)
+		h.sendUpdates(l)
 	}
 }
 
-// configFor returns the part of the configuration that l needs.
+// configFor returns the message that carries l's part of the configuration.
 func (h *Home) configFor(l *link) wire.Message {
 	if l.role == wire.RoleEntry {
 		return wire.Config{Document: h.config.Raw}
@@ -54,12 +55,12 @@
 	}
 }
 
-// HostsLeaving takes the host list's word for which hosts are leaving, by
-// name; an agent's host has the agent's name.
+// HostsLeaving records which hosts of the host list are leaving, by name. An
+// agent has the name of its host.
 func (h *Home) HostsLeaving(now clock.Moment, leaving map[string]bool) Effects {
 	h.now = now
 	for _, l := range h.ordered {
 		l.hostLeaving = leaving[l.id.Name]
 	}
-	return h.drain()
+	return h.takeEffects()
 }
--- a/seats/home/doubt.go
+++ b/seats/home/doubt.go
@@ -9,25 +9,26 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// doubt is a share of jobs of which it can't be known whether they ran.
+// doubt is a share of jobs for which no surviving process can tell whether they
+// ran.
 type doubt struct {
 	wire.Doubt
 	at     *roster.View
 	before []*roster.View
 }
 
-// viewOf returns the view that tells the homes of a share.
+// viewOf returns a view that computes the owners of the share's jobs.
 func viewOf(s wire.Share) *roster.View {
 	return roster.NewView(roster.Roster{Seats: s.Seats, Shards: s.Shards})
 }
 
-// shareOf returns what the homes of a view depend on.
+// shareOf returns the part of a view that determines the owners of jobs.
 func shareOf(v *roster.View) wire.Share {
 	return wire.Share{Seats: v.Seats, Shards: v.Shards}
 }
 
-// covers reports whether the job is in the share: its holder was home to it,
-// and was not all along.
+// covers reports whether the job is in the share: the holder owned it at d.at,
+// and did not own it at some view in d.before, if there are any.
 func (d doubt) covers(job string) bool {
 	if d.at.Home(job) != d.Holder {
 		return false
@@ -50,8 +51,8 @@
 	t.doubts = append(t.doubts, next)
 }
 
-// inDoubt reports whether the job may have been started where nobody can tell.
-// A job whose own expiry is later than any such job could have is not.
+// inDoubt reports whether the job may have been started with its records lost.
+// A job that expires later than every job of a doubt is not covered by it.
 func (t *takeover) inDoubt(job string, expiry int64) bool {
 	if _, ok := t.doubted[job]; ok {
 		return true
@@ -61,19 +62,20 @@
 	})
 }
 
-// doubtLeft returns how long the longest doubt lasts.
-func (t *takeover) doubtLeft(now clock.Moment) time.Duration {
-	left := shortestRetry
+// doubtRemaining returns the time until the last doubt expires, within
+// minRetryAfter and maxRetryAfter.
+func (t *takeover) doubtRemaining(now clock.Moment) time.Duration {
+	left := minRetryAfter
 	for _, d := range t.doubts {
 		left = max(left, time.UnixMilli(d.Expiry).Sub(now.Wall))
 	}
-	return min(left, longestRetry)
+	return min(left, maxRetryAfter)
 }
 
-// raiseDoubts marks the share of jobs that gone seats may have started at an
-// agent whose records are gone too.
-func (h *Home) raiseDoubts() {
-	t := &h.take
+// addDoubts records the share of jobs that removed seats may have started at
+// agents whose records are lost.
+func (h *Home) addDoubts() {
+	t := &h.takeover
 	for job, expiry := range t.orphans {
 		t.doubted[job] = expiry
 	}
@@ -82,7 +84,7 @@
 		return
 	}
 	d := wire.Doubt{Holder: h.cfg.Self, At: shareOf(h.view), Expiry: expiry}
-	if t.ever {
+	if t.everSettled {
 		for _, v := range t.views {
 			d.Before = append(d.Before, shareOf(v))
 		}
--- a/seats/home/drain.go
+++ b/seats/home/drain.go
@@ -2,84 +2,88 @@
 
 import "time"
 
-// drainRate tells how fast a queue drains when every slot is busy: by the slots
-// and the mean time of a task. What finished lately would tell of the load.
+// drainRate estimates how fast a queue drains with every slot busy, from the
+// number of slots and the mean task time. Recent throughput would measure the
+// load instead.
 type drainRate struct {
-	tasks pace
-	slots int
-	// turn is when the last one that was told to come back has been served,
-	// if all come back when told.
-	turn time.Duration
+	taskTime taskTime
+	slots    int
+	// lastRetryAt is the latest retry time given to a refused job.
+	lastRetryAt time.Duration
 }
 
-// known reports whether enough was seen for an estimate.
+// known reports whether there are enough samples for an estimate.
 func (r *drainRate) known() bool {
-	return r.tasks.samples >= paceSamples && r.slots > 0
+	return r.taskTime.samples >= minTaskTimeSamples && r.slots > 0
 }
 
-// drainTime returns how long n tasks take on all slots; zero when not known.
+// drainTime returns the time that n tasks take on all slots, or zero without an
+// estimate.
 func (r *drainRate) drainTime(n int) time.Duration {
 	if !r.known() {
 		return 0
 	}
-	return time.Duration(n) * r.tasks.mean / time.Duration(r.slots)
+	return time.Duration(n) * r.taskTime.mean / time.Duration(r.slots)
 }
 
-// timeFor returns how long n tasks take, within the bounds of a time to come
-// back.
-func (r *drainRate) timeFor(n int) time.Duration {
-	return min(max(r.drainTime(n), shortestRetry), longestRetry)
+// retryAfter returns the drain time of n tasks, within minRetryAfter and
+// maxRetryAfter.
+func (r *drainRate) retryAfter(n int) time.Duration {
+	return min(max(r.drainTime(n), minRetryAfter), maxRetryAfter)
 }
 
-// turnFor returns when a job of n tasks should come back: after those that were
-// told to before it, so that they don't come all at once.
-func (r *drainRate) turnFor(now time.Duration, n int) time.Duration {
-	r.turn = max(r.turn, now) + r.timeFor(n)
-	return min(r.turn-now, longestRetry)
+// staggeredRetryAfter returns after how long a job of n tasks should be
+// submitted again. Successive refusals get later times, so that the retries do
+// not all arrive together.
+func (r *drainRate) staggeredRetryAfter(now time.Duration, n int) time.Duration {
+	r.lastRetryAt = max(r.lastRetryAt, now) + r.retryAfter(n)
+	return min(r.lastRetryAt-now, maxRetryAfter)
 }
 
-// roomAgain forgets the turns: there is room for whoever comes now.
-func (r *drainRate) roomAgain() {
-	r.turn = 0
+// resetStagger discards the retry times given so far.
+func (r *drainRate) resetStagger() {
+	r.lastRetryAt = 0
 }
 
-// pace measures how long tasks take, of one target or of a service.
-type pace struct {
+// taskTime is a moving average of the time that tasks take at one target or in
+// one service.
+type taskTime struct {
 	mean    time.Duration
 	samples int
 }
 
-// Weights of a pace.
 const (
-	paceWeight  = 16 // samples that the mean looks back
-	paceSamples = 32 // samples before a pace counts
+	taskTimeWeight     = 16 // divisor of a sample's deviation from the mean
+	minTaskTimeSamples = 32 // samples needed for an estimate
 )
 
-// note takes one task's time.
-func (p *pace) note(d time.Duration) {
+// observe adds one sample.
+func (p *taskTime) observe(d time.Duration) {
 	p.samples++
 	if p.samples == 1 {
 		p.mean = d
 		return
 	}
-	p.mean += (d - p.mean) / paceWeight
+	p.mean += (d - p.mean) / taskTimeWeight
 }
 
-// against returns the slowness beside the common pace.
-func (p *pace) against(common time.Duration) float64 {
-	if p.samples < paceSamples || common == 0 {
+// relativeTo returns the ratio of the mean to common, or one without enough
+// samples.
+func (p *taskTime) relativeTo(common time.Duration) float64 {
+	if p.samples < minTaskTimeSamples || common == 0 {
 		return 1
 	}
 	return float64(p.mean) / float64(common)
 }
 
-// commonPace returns the mean pace of the agents.
-func commonPace(agents []*link) time.Duration {
+// meanTaskTime returns the mean of the agents' task times, or zero if none has
+// enough samples.
+func meanTaskTime(agents []*link) time.Duration {
 	var sum time.Duration
 	n := time.Duration(0)
 	for _, l := range agents {
-		if l.pace.samples >= paceSamples {
-			sum += l.pace.mean
+		if l.taskTime.samples >= minTaskTimeSamples {
+			sum += l.taskTime.mean
 			n++
 		}
 	}
--- a/seats/home/drain_test.go
+++ b/seats/home/drain_test.go
@@ -15,8 +15,8 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// finish lets the agent end every start of the effects after d.
-func (x *bench) finish(out home.Effects, d time.Duration) home.Effects {
+// completeStarts answers every start in out as done, d later.
+func (x *harness) completeStarts(out home.Effects, d time.Duration) home.Effects {
 	x.now = x.now.Plus(d)
 	var last home.Effects
 	for _, s := range out.Sends {
@@ -27,12 +27,12 @@
 	return last
 }
 
-// A service that has little to do can still take a job that fits its slots: what
-// drains a queue is the slots, not what came lately.
-func TestQuietServiceTakesALargeJob(t *testing.T) {
-	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{})
+// Guards against refusing a large job at low load because the drain estimate
+// follows recent throughput instead of the number of slots.
+func TestDrainEstimateIgnoresLowLoad(t *testing.T) {
+	x := newHarness(t, config.Organisation{Name: "m"}, config.Bounds{})
 	submit := func(id string, tasks int, life time.Duration) home.Effects {
-		x.n++
+		x.seq++
 		at := x.now.Wall.Add(life)
 		j := seats.Job{ID: id, Organisation: "m", ExpiresAt: &at}
 		for k := range tasks {
@@ -40,10 +40,10 @@
 		}
 		sub, err := job.New("trackd", j)
 		assert.NilError(t, err)
-		return x.h.Submit(x.now, x.n, sub)
+		return x.h.Submit(x.now, x.seq, sub)
 	}
 	for k := range 300 {
-		out := x.finish(submit(fmt.Sprintf("small%d", k), 1, 20*time.Second), 10*time.Millisecond)
+		out := x.completeStarts(submit(fmt.Sprintf("small%d", k), 1, 20*time.Second), 10*time.Millisecond)
 		assert.Equal(t, len(out.Answers), 1)
 		x.now = x.now.Plus(40 * time.Millisecond)
 		x.receive(roster.NewID("worker", 1), wire.AgentHeartbeat{Service: "trackd", Window: 2, Slots: 2, Standing: true})
--- a/seats/home/found_test.go
+++ b/seats/home/found_test.go
@@ -9,20 +9,20 @@
 	"github.com/beaconpoint/beaconpoint/seats/testutil/world"
 )
 
-// TestFoundHistories tells the histories that once broke a promise, each by the
-// fault that it found.
-func TestFoundHistories(t *testing.T) {
+// TestRecordedHistoriesKeepGuarantees repeats histories that once violated a
+// guarantee, each named by the fault that it exposed.
+func TestRecordedHistoriesKeepGuarantees(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		cfg   world.Config
-		story []step
+		steps []step
 	}{
 		{
-			// What a home gathered of a job that a leaving seat went on with
-			// counted as all there is; the seat died later.
-			name: "holder goes on after the gathering",
+			// The records of a job that a leaving seat still ran were taken
+			// for complete; the seat failed later.
+			name: "leaving holder continues job after takeover",
 			cfg:  world.Config{Entries: 3, Agents: 4, Shards: 1, Seed: 264, Loss: 0.05, Late: 0.02, LateBy: 8 * time.Second},
-			story: []step{
+			steps: []step{
 				{world.Submit, 1, 149}, {world.Resubmit, 1, 232}, {world.Resubmit, 1, 679}, {world.Leave, 1, 870},
 				{world.Split, 0, 1114}, {world.Submit, 1, 677}, {world.Resume, 11, 134}, {world.Leave, 68, 4},
 				{world.Resubmit, 42, 6}, {world.Submit, 194, 356}, {world.Resubmit, 480, 107}, {world.Resubmit, 508, 561},
@@ -34,7 +34,7 @@
 			for group := range uint64(groups) {
 				cfg := c.cfg
 				cfg.Seed += group
-				_, err := tell(cfg, c.story)
+				_, err := runHistory(cfg, c.steps)
 				assert.NilError(t, err)
 			}
 		})
--- a/seats/home/handover.go
+++ b/seats/home/handover.go
@@ -8,8 +8,8 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// movedTo returns those of the jobs, given with their expiries, that the seat is
-// home to.
+// movedTo returns those of jobs, a map of job keys to expiries, that the seat
+// owns.
 func (h *Home) movedTo(seat roster.ID, jobs map[string]int64) []wire.Moved {
 	var moved []wire.Moved
 	for _, key := range slices.Sorted(maps.Keys(jobs)) {
@@ -20,12 +20,12 @@
 	return moved
 }
 
-// handOver tells a seat of the jobs that it is home to and that are kept here.
+// handOver sends a seat the jobs that it owns and whose records are held here.
 func (h *Home) handOver(l *link) {
-	m := wire.HandOver{Revision: h.view.Revision, Settled: h.take.ever}
-	held := make(map[string]int64, len(h.records)+len(h.take.inherited))
-	for key, in := range h.take.inherited {
-		if _, elsewhere := h.take.moved[key]; in.whole && !elsewhere {
+	m := wire.HandOver{Revision: h.view.Revision, Settled: h.takeover.everSettled}
+	held := make(map[string]int64, len(h.records)+len(h.takeover.inherited))
+	for key, in := range h.takeover.inherited {
+		if _, elsewhere := h.takeover.moved[key]; in.complete && !elsewhere {
 			held[key] = in.expiry
 		}
 	}
@@ -33,9 +33,9 @@
 		held[key] = r.expiry
 	}
 	m.Moved = h.movedTo(l.id, held)
-	m.Orphans = h.movedTo(l.id, h.take.orphans)
-	m.Doubted = h.movedTo(l.id, h.take.doubted)
-	for _, d := range h.take.doubts {
+	m.Orphans = h.movedTo(l.id, h.takeover.orphans)
+	m.Doubted = h.movedTo(l.id, h.takeover.doubted)
+	for _, d := range h.takeover.doubts {
 		m.Doubts = append(m.Doubts, d.Doubt)
 	}
 	h.send(l, m)
--- a/seats/home/home.go
+++ b/seats/home/home.go
@@ -1,7 +1,8 @@
-// Package home is the state machine of an entry: it owns the jobs whose home it
-// is, decides where their tasks run, and takes part in the roster that keeps a
-// start single. It has no goroutine and no clock; the caller serializes the
-// calls and carries out the effects.
+// Package home is the state machine of an entry. The roster assigns each job to
+// one entry, its home, which keeps the job's record and decides where its tasks
+// run. Together with package guard it ensures that no task is started twice.
+// The state machine starts no goroutine and reads no clock: the caller
+// serializes the calls and carries out the returned effects.
 package home
 
 import (
@@ -17,36 +18,36 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// Config is what a home needs to know of its place, and its time bounds.
+// Config holds the identity of an entry and its timeouts and limits.
 type Config struct {
-	// Self is this life of the entry.
+	// Self identifies this incarnation of the entry.
 	Self roster.ID
-	// Addr is where other entries reach it.
+	// Addr is the address at which other entries reach this one.
 	Addr string
-	// Lease is how long a confirmation holds.
+	// Lease is how long a confirmation is valid.
 	Lease time.Duration
-	// Heartbeat is the longest silence towards another seat, and
-	// AgentHeartbeat towards an agent.
+	// Heartbeat is the interval of heartbeats to other seats, and
+	// AgentHeartbeat that to agents.
 	Heartbeat      time.Duration
 	AgentHeartbeat time.Duration
-	// Suspect is after how long a silent seat is removed.
+	// Suspect is the time without a frame after which a seat is removed.
 	Suspect time.Duration
-	// AgentLost is after how long without a connection an agent's unanswered
-	// starts count as lost.
+	// AgentLost is the time without a connection after which an agent's
+	// unanswered starts count as lost.
 	AgentLost time.Duration
-	// AgentGone is after how long without a connection an agent is taken out
-	// of the roster.
+	// AgentGone is the time without a connection after which an agent is
+	// removed from the roster.
 	AgentGone time.Duration
-	// Skew is how far the calendars of two hosts may differ.
+	// Skew is the largest difference between the wall clocks of two hosts.
 	Skew time.Duration
-	// AnswerBytes bounds the held answers; the oldest are dropped first.
+	// AnswerBytes limits the stored answers; the oldest are dropped first.
 	AnswerBytes int
-	// RetryBudget is the share of starts that may be sent again, for
+	// RetryBudget is the fraction of starts that may be repeated for
 	// repeatable requests.
 	RetryBudget float64
 }
 
-// DefaultConfig returns the time bounds in service.
+// DefaultConfig returns the default timeouts and limits.
 func DefaultConfig(self roster.ID, addr string) Config {
 	return Config{
 		Self:      self,
@@ -65,27 +66,28 @@
 	}
 }
 
-// Effects is what the caller must do after an event.
+// Effects lists what the caller must do after an event.
 type Effects struct {
 	Sends   []Send
 	Answers []Answered
-	// Swap asks for a change of the roster in the store.
+	// Swap is a change of the roster to write to the store, or nil.
 	Swap *Swap
-	// Read asks for the roster to be read from the store.
+	// Read requests that the roster is read from the store.
 	Read bool
-	// Removed says that this life has lost its seat; a new one must begin.
+	// Removed reports that this incarnation has lost its seat. The caller must
+	// replace the Home by one with a new incarnation.
 	Removed bool
-	// Configured says that a new configuration is in force here.
+	// Configured reports that a new configuration is in force.
 	Configured bool
 }
 
-// Send is a frame for another process.
+// Send is a frame to send to another process.
 type Send struct {
 	To    roster.ID
 	Frame wire.Frame
 }
 
-// Answered is the final answer to a submission made here.
+// Answered is the final answer to a submission of a caller of this entry.
 type Answered struct {
 	Ticket uint64
 	Answer seats.Answer
@@ -95,12 +97,12 @@
 type Swap struct {
 	Base uint64
 	Next roster.Roster
-	// Change is the id by which Next is known again.
+	// Change is the id of the change, listed in Next.Changes.
 	Change string
 }
 
-// Rules are the home's safety rules. A test takes one out to show that the
-// failure it prevents is then found; in service all hold.
+// Rules disables single safety rules. Tests use it to show that each rule
+// prevents a failure; in production all rules apply.
 type Rules struct {
 	SkipStanding bool
 	SkipHandOver bool
@@ -113,23 +115,23 @@
 	SkipLastWord bool
 }
 
-// Home owns jobs.
+// Home is the state machine of one incarnation of an entry.
 type Home struct {
 	cfg           Config
 	rules         Rules
 	policy        dispatch.Policy
 	now           clock.Moment
 	view          *roster.View
-	heard         uint64
-	standing      *lease.Standing
+	seenRevision  uint64
+	confirmations *lease.Standing
 	links         map[roster.ID]*link
 	ordered       []*link // the links in the order of their first connection
 	config        *config.View
 	services      map[string]*service
 	records       map[string]*record
-	held          []*record // with answers, oldest first
-	heldSize      int
-	take          takeover
+	answered      []*record // with answers, oldest first
+	answeredBytes int
+	takeover      takeover
 	proposal      *proposal
 	changes       uint64
 	needRead      bool
@@ -137,60 +139,60 @@
 	tickets       uint64
 	pending       []pending
 	organisations map[string]*organisation
-	homes         int // entries that are home to any share
-	// longer is the longest expiry that was in force until lately, and counts
-	// until the jobs that have it have expired.
-	longer      time.Duration
-	longerUntil time.Duration
-	haveRead    bool
-	// configured says that the store's configuration was read once.
+	owners        int // entries that own at least one shard
+	// previousLongest is the longest expiry of the previous configurations. It
+	// applies until the jobs accepted under that configuration have expired.
+	previousLongest      time.Duration
+	previousLongestUntil time.Duration
+	haveRead             bool
+	// configured is true once the configuration was read from the store.
 	configured bool
 	leaving    bool
-	lost       bool
-	// agentsUntil is until when some registered agent has confirmed this
-	// home; it counts where no other seat can.
-	agentsUntil time.Duration
-	adoptedAt   map[roster.ID]time.Duration // since when a seat is expected
-	expiries    map[int64][]*record
-	wantSince   time.Duration
-	readAt      time.Duration // when the roster was first read
-	readAfter   time.Duration
-	gatherAt    time.Duration
-	tidyAt      time.Duration
-	stats       Stats
-	out         Effects
+	removed    bool
+	// agentLeaseUntil is the end of the latest confirmation by a registered
+	// agent. It applies to an entry that holds the only seat.
+	agentLeaseUntil time.Duration
+	expectedSince   map[roster.ID]time.Duration // when a seat was first seen in the roster
+	expiries        map[int64][]*record
+	changeDueSince  time.Duration
+	firstReadAt     time.Duration // when the roster was first read
+	readAfter       time.Duration
+	nextExchangeAt  time.Duration
+	nextPruneAt     time.Duration
+	stats           Stats
+	effects         Effects
 }
 
-// service is the home's part of one service.
+// service is the state of one service at this entry.
 type service struct {
 	queue  *dispatch.Queue
 	agents []*link
 	drain  drainRate
-	// running counts each organisation's tasks that agents hold.
+	// running counts the tasks at agents, by organisation.
 	running map[string]int
 }
 
-// forward is a submission that another seat answers.
+// forward is a submission that was sent to another seat.
 type forward struct {
-	sub    job.Submission
-	lookup bool
-	to     roster.ID
-	local  uint64 // the ticket that waits here
-	origin waiter // or who waits elsewhere
-	until  time.Duration
-	// pointed says that the receiver holds the record without being home.
-	pointed bool
+	sub         job.Submission
+	lookup      bool
+	to          roster.ID
+	localTicket uint64 // the ticket of a caller of this entry
+	origin      waiter // the waiter at another seat, if any
+	until       time.Duration
+	// toHolder is set if the receiver holds the record without owning the job.
+	toHolder bool
 }
 
-// waiter returns who waits for the answer.
+// waiter returns the receiver of the answer.
 func (f *forward) waiter(self roster.ID) waiter {
 	if f.origin.seat.IsZero() {
-		return waiter{self, f.local}
+		return waiter{self, f.localTicket}
 	}
 	return f.origin
 }
 
-// pending is a submission that waits until this home can speak for it.
+// pending is a submission that waits until this entry can answer it.
 type pending struct {
 	from   waiter
 	sub    job.Submission
@@ -198,32 +200,33 @@
 	until  time.Duration
 }
 
-// waiter is who is told a job's answer: a ticket here or at another seat.
+// waiter is the receiver of a job's answer: a ticket of this entry or of
+// another seat.
 type waiter struct {
 	seat   roster.ID
 	ticket uint64
 }
 
-// Option changes a Home as it is made.
+// Option configures a new Home.
 type Option func(*Home)
 
-// WithPolicy makes the home decide by p.
+// WithPolicy sets the dispatch policy.
 func WithPolicy(p dispatch.Policy) Option {
 	return func(h *Home) { h.policy = p }
 }
 
-// WithRules makes a home without some of its rules, for tests.
+// WithRules disables safety rules, for tests.
 func WithRules(r Rules) Option {
 	return func(h *Home) { h.rules = r }
 }
 
-// NewHome returns a home without a seat. Its first Tick asks for the roster.
+// NewHome returns a Home without a seat. Its first Tick requests the roster.
 func NewHome(cfg Config, opts ...Option) *Home {
 	h := &Home{
 		cfg:           cfg,
 		policy:        dispatch.DefaultPolicy(),
 		view:          roster.NewView(roster.Roster{}),
-		standing:      lease.NewStanding(cfg.Lease),
+		confirmations: lease.NewStanding(cfg.Lease),
 		links:         make(map[roster.ID]*link),
 		config:        config.NewView(config.Document{}),
 		services:      make(map[string]*service),
@@ -231,10 +234,10 @@
 		forwards:      make(map[uint64]*forward),
 		organisations: make(map[string]*organisation),
 		needRead:      true,
-		take:          newTakeover(),
+		takeover:      newTakeover(),
 
-		adoptedAt: make(map[roster.ID]time.Duration),
-		expiries:  make(map[int64][]*record),
+		expectedSince: make(map[roster.ID]time.Duration),
+		expiries:      make(map[int64][]*record),
 	}
 	for _, o := range opts {
 		o(h)
@@ -242,41 +245,43 @@
 	return h
 }
 
-// Seated reports whether this life holds a seat.
+// Seated reports whether this incarnation holds a seat.
 func (h *Home) Seated() bool {
 	return h.view.HasSeat(h.cfg.Self)
 }
 
-// Standing reports whether the home may speak for its jobs now.
+// Standing reports whether this entry is confirmed and so may answer for the
+// jobs that it owns.
 func (h *Home) Standing(now clock.Moment) bool {
 	if h.rules.SkipStanding {
 		return h.Seated()
 	}
-	if !h.Seated() || h.lost || (h.heard > h.view.Revision && !h.rules.SkipRevision) {
+	if !h.Seated() || h.removed || (h.seenRevision > h.view.Revision && !h.rules.SkipRevision) {
 		return false
 	}
 	if len(h.view.Seats) == 1 && len(h.view.Agents) > 0 {
-		return now.Mono < h.agentsUntil
+		return now.Mono < h.agentLeaseUntil
 	}
-	return h.standing.Holds(now.Mono, h.view.Seats, h.cfg.Self)
+	return h.confirmations.Holds(now.Mono, h.view.Seats, h.cfg.Self)
 }
 
-// Settled reports whether the home knows all of its share.
+// Settled reports whether the takeover after the last roster change is complete,
+// so that this entry knows every job that it owns.
 func (h *Home) Settled() bool {
-	return h.take.settled()
+	return h.takeover.settled()
 }
 
-// Roster returns the roster in force here.
+// Roster returns the roster in force.
 func (h *Home) Roster() roster.Roster {
 	return h.view.Roster
 }
 
-// Configuration returns the operators' configuration in force here.
+// Configuration returns the operators' configuration in force.
 func (h *Home) Configuration() *config.View {
 	return h.config
 }
 
-// Waiting returns how many tasks wait here, and how many are with agents.
+// Waiting returns the number of queued tasks and of tasks at agents.
 func (h *Home) Waiting() (waiting, running int) {
 	for _, s := range h.services {
 		waiting += s.queue.Tasks()
@@ -287,20 +292,20 @@
 	return waiting, running
 }
 
-// OpenAgents returns how many agents may get starts now.
+// OpenAgents returns the number of agents that accept starts from this entry.
 func (h *Home) OpenAgents(now clock.Moment) int {
 	h.now = now
 	n := 0
 	for _, l := range h.ordered {
-		if l.service != "" && h.open(l) {
+		if l.service != "" && h.acceptsStarts(l) {
 			n++
 		}
 	}
 	return n
 }
 
-// AgentConfig returns the lowest configuration revision that a connected agent
-// has shown.
+// AgentConfig returns the lowest configuration revision reported by a connected
+// agent.
 func (h *Home) AgentConfig() uint64 {
 	lowest := h.config.Revision
 	for _, l := range h.ordered {
@@ -311,7 +316,7 @@
 	return lowest
 }
 
-// Drained reports whether a leaving home has nothing left to answer.
+// Drained reports whether every submission and job has been answered.
 func (h *Home) Drained() bool {
 	if len(h.pending) > 0 || len(h.forwards) > 0 {
 		return false
@@ -324,15 +329,16 @@
 	return true
 }
 
-// Leave makes the home accept no new jobs; it finishes those it has.
+// Leave makes the entry finish its jobs and then give up its seat.
 func (h *Home) Leave(now clock.Moment) Effects {
 	h.now = now
 	h.leaving = true
-	return h.drain()
+	return h.takeEffects()
 }
 
-func (h *Home) drain() Effects {
-	out := h.out
-	h.out = Effects{}
+// takeEffects returns and clears the collected effects.
+func (h *Home) takeEffects() Effects {
+	out := h.effects
+	h.effects = Effects{}
 	return out
 }
--- a/seats/home/judge.go
+++ b/seats/home/judge.go
@@ -9,43 +9,43 @@
 	"github.com/beaconpoint/beaconpoint/seats/job"
 )
 
-// Bounds of the times to come back that refusals give.
+// Limits of the retry times in refusals.
 const (
-	shortestRetry = 50 * time.Millisecond
-	longestRetry  = 30 * time.Second
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
-// refusal is why a job is not accepted.
+// refusal is the reason for which a job is not accepted.
 type refusal struct {
 	code  code.Code
 	text  string
 	retry time.Duration
 }
 
-// judge accepts or refuses a job that is not known here, speaking as its
-// home: confirmed, and with all that can be known of its share.
-func (h *Home) judge(w waiter, sub job.Submission) {
+// admitNew accepts, recovers or refuses a job without a record here. It requires
+// that this entry owns the job, is confirmed, and knows the state of its jobs.
+func (h *Home) admitNew(w waiter, sub job.Submission) {
 	key, id := sub.Key(), sub.Job.ID
-	if in := h.take.inherited[key]; in != nil {
-		h.rebuild(w, sub, in)
+	if in := h.takeover.inherited[key]; in != nil {
+		h.recoverJob(w, sub, in)
 		return
 	}
-	if h.take.inDoubt(key, sub.Expiry()) && !h.rules.SkipDoubt {
+	if h.takeover.inDoubt(key, sub.Expiry()) && !h.rules.SkipDoubt {
 		h.refuse(w, id, seats.RanMaybe, refusal{code.OwnerLost,
-			"an entry and an agent that may know of the job were lost together", h.take.doubtLeft(h.now)})
+			"an entry and an agent that may hold records of the job failed together", h.takeover.doubtRemaining(h.now)})
 		return
 	}
 	if r, ok := h.admit(sub); !ok {
-		h.refuse(w, id, h.ranOf(sub, r.code), r)
+		h.refuse(w, id, h.ranWhenRefused(sub, r.code), r)
 		return
 	}
 	r := newRecord(sub, h.expiryOf(sub), h.now.Mono)
-	h.keep(w, r)
+	h.accept(w, r)
 }
 
-// ranOf tells whether a job that is refused may have run: of one so old that
-// its record would have been forgotten nothing is known.
-func (h *Home) ranOf(sub job.Submission, c code.Code) seats.Ran {
+// ranWhenRefused returns whether a refused job may have run. It may if the job
+// has expired, since its record could have been removed.
+func (h *Home) ranWhenRefused(sub job.Submission, c code.Code) seats.Ran {
 	if c == code.ExpiryPast && h.now.Wall.UnixMilli() >= sub.Expiry() {
 		return seats.RanMaybe
 	}
@@ -54,20 +54,20 @@
 
 func (h *Home) refuse(w waiter, id string, ran seats.Ran, r refusal) {
 	h.stats.Refused++
-	h.tell(w, refused(id, r.code, ran, r.text, r.retry))
+	h.deliver(w, refused(id, r.code, ran, r.text, r.retry))
 }
 
-// keep makes r known and starts its tasks as places are free.
-func (h *Home) keep(w waiter, r *record) {
+// accept adds r and starts its tasks as far as agents have free slots.
+func (h *Home) accept(w waiter, r *record) {
 	r.waiters = append(r.waiters, w)
 	h.records[r.key] = r
 	h.expireAt(r, r.expiry)
 	h.organisation(r.sub.Job.Organisation).inFlight += len(r.tasks)
 	h.enqueue(r)
-	h.pump(r.sub.Service)
+	h.startWaiting(r.sub.Service)
 }
 
-// expiryOf returns when the job's records may be forgotten, less the skew.
+// expiryOf returns the job's expiry, or its deadline if the caller gave none.
 func (h *Home) expiryOf(sub job.Submission) int64 {
 	if e := sub.Expiry(); e != 0 {
 		return e
@@ -110,34 +110,34 @@
 	s := h.service(sub.Service)
 	n := len(sub.Job.Tasks)
 	queued := s.queue.Tasks()
-	if !s.anyOpen(h) {
-		return refusal{code.NoTarget, "no target of the service takes work now", h.cfg.Heartbeat * 2}, false
+	if !s.anyAvailable(h) {
+		return refusal{code.NoTarget, "no target of the service accepts work", h.cfg.Heartbeat * 2}, false
 	}
 	if h.leaving && len(h.view.Seats) == 1 {
 		return refusal{code.Leaving, "this entry is stopping", h.cfg.Heartbeat}, false
 	}
 	if queued+n > bounds.Queue && queued > 0 {
-		return refusal{code.QueueFull, "the service's queue is full here", s.drain.turnFor(h.now.Mono, n)}, false
+		return refusal{code.QueueFull, "the service's queue at this entry is full", s.drain.staggeredRetryAfter(h.now.Mono, n)}, false
 	}
 	if 2*queued < bounds.Queue {
-		s.drain.roomAgain()
+		s.drain.resetStagger()
 	}
 	left := h.left(sub.Deadline)
 	s.countSlots()
 	if wait := s.drain.drainTime(queued + n); wait > left {
-		return refusal{code.CannotMeetExpiry, "the queue is longer than the job's expiry allows", s.drain.turnFor(h.now.Mono, n)}, false
+		return refusal{code.CannotMeetExpiry, "the queue cannot drain before the job's expiry", s.drain.staggeredRetryAfter(h.now.Mono, n)}, false
 	}
 	return h.admitQuota(m, n, &s.drain)
 }
 
-// left returns how long it is until the calendar reads ms.
+// left returns the time until ms, in Unix milliseconds.
 func (h *Home) left(ms int64) time.Duration {
 	return time.Duration(ms-h.now.Wall.UnixMilli()) * time.Millisecond
 }
 
-// rebuild takes up a job whose former home is gone, from the agents' records:
-// tasks that were started are awaited, the others are started now.
-func (h *Home) rebuild(w waiter, sub job.Submission, in *inherited) {
+// recoverJob rebuilds the record of a job whose previous owner is gone. Tasks
+// with a record at an agent are awaited, the others are started.
+func (h *Home) recoverJob(w waiter, sub job.Submission, in *inherited) {
 	id := sub.Job.ID
 	if in.digest != sub.Digest {
 		h.refuse(w, id, seats.RanMaybe, refusal{code.Conflict, "another job with this id is known", 0})
@@ -145,26 +145,26 @@
 	}
 	h.stats.Takeovers++
 	r := newRecord(sub, in.expiry, h.now.Mono)
-	r.began = true
-	r.order = r.order[:0]
+	r.knownStarted = true
+	r.waitingTasks = r.waitingTasks[:0]
 	for k := len(r.tasks) - 1; k >= 0; k-- {
 		if agent, ok := in.tasks[k]; ok {
 			r.tasks[k] = task{phase: sent, agent: agent}
 			continue
 		}
-		r.order = append(r.order, k)
+		r.waitingTasks = append(r.waitingTasks, k)
 	}
-	if len(r.order) > 0 && h.take.inDoubt(sub.Key(), sub.Expiry()) && !h.rules.SkipDoubt {
+	if len(r.waitingTasks) > 0 && h.takeover.inDoubt(sub.Key(), sub.Expiry()) && !h.rules.SkipDoubt {
 		h.refuse(w, id, seats.RanYes, refusal{code.OwnerLost,
-			"an entry and an agent that may know of the job were lost together", 0})
+			"an entry and an agent that may hold records of the job failed together", 0})
 		return
 	}
-	h.keep(w, r)
-	h.awaitAll(r)
+	h.accept(w, r)
+	h.awaitStarted(r)
 }
 
-// awaitAll asks the agents for the results of tasks that others started.
-func (h *Home) awaitAll(r *record) {
+// awaitStarted requests the results of tasks that another entry started.
+func (h *Home) awaitStarted(r *record) {
 	for k := range r.tasks {
 		if r.state != seats.Running {
 			return
@@ -174,7 +174,7 @@
 		}
 		l := h.links[r.tasks[k].agent]
 		if l == nil {
-			h.loseTask(r, k)
+			h.handleLostTask(r, k)
 			continue
 		}
 		h.await(l, r, k)
--- a/seats/home/link.go
+++ b/seats/home/link.go
@@ -8,46 +8,46 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// link is what a home knows of another process, connected or not.
+// link is the state kept for another process, connected or not.
 type link struct {
-	id         roster.ID
-	role       wire.Role
-	up         bool
-	changedAt  time.Duration // when it was connected or cut
-	seq        uint64        // of the last frame sent
-	stamp      int64         // its latest stamp
-	stampAt    time.Duration // when that came
-	heardAt    time.Duration
-	sentAt     time.Duration
-	beatAt     time.Duration
-	informedAt time.Duration // when it was last handed a roster or configuration
-	settling   bool          // of a seat: it lacks what this home hands over
-	revision   uint64        // the highest roster revision it showed
-	config     uint64        // the highest configuration revision it showed
+	id            roster.ID
+	role          wire.Role
+	up            bool
+	changedAt     time.Duration // when it connected or disconnected
+	seq           uint64        // of the last frame sent
+	stamp         int64         // the latest timestamp received from it
+	stampAt       time.Duration // when stamp was received
+	receivedAt    time.Duration
+	sentAt        time.Duration
+	heartbeatAt   time.Duration
+	updatesSentAt time.Duration // when newer revisions were last sent to it
+	settling      bool          // of a seat: it still needs this entry's hand-over
+	revision      uint64        // the highest roster revision received from it
+	config        uint64        // the highest configuration revision received from it
 
 	// Of an agent:
-	service     string
-	window      int
-	slots       int
-	standing    bool
-	leaving     bool
-	hostLeaving bool // by the host list's word
-	registered  bool
-	restUntil   time.Duration // no starts before
-	starts      map[wire.TaskKey]*start
-	pace        pace
+	service      string
+	window       int
+	slots        int
+	confirmed    bool
+	leaving      bool
+	hostLeaving  bool // according to the host list
+	registered   bool
+	backoffUntil time.Duration // no starts before this time
+	starts       map[wire.TaskKey]*start
+	taskTime     taskTime
 }
 
-// start is a task that an agent has not answered yet.
+// start is a Start or Await that an agent has not answered yet.
 type start struct {
 	seq          uint64
 	sentAt       time.Duration
-	asked        time.Duration // when it was last sent or asked after
+	lastSentAt   time.Duration // when it was last sent or resent
 	organisation string
 	await        bool
 }
 
-// LinkUp notes that the process id is connected.
+// LinkUp handles a new connection to the process id.
 func (h *Home) LinkUp(now clock.Moment, id roster.ID, role wire.Role) Effects {
 	h.now = now
 	l := h.links[id]
@@ -58,36 +58,36 @@
 	}
 	l.up = true
 	l.changedAt = now.Mono
-	l.heardAt = now.Mono
+	l.receivedAt = now.Mono
 	l.registered = h.view.HasAgent(id)
 	if role == wire.RoleAgent {
 		h.replaceAgent(id)
 	}
-	h.inform(l)
-	h.beat(l)
-	h.resend(l)
-	return h.drain()
+	h.sendUpdates(l)
+	h.sendHeartbeat(l)
+	h.resendUnanswered(l)
+	return h.takeEffects()
 }
 
-// LinkDown notes that the connection to id is gone.
+// LinkDown handles the loss of the connection to id.
 func (h *Home) LinkDown(now clock.Moment, id roster.ID) Effects {
 	h.now = now
 	if l := h.links[id]; l != nil {
 		l.up = false
 		l.changedAt = now.Mono
-		l.standing = false
+		l.confirmed = false
 	}
-	return h.drain()
+	return h.takeEffects()
 }
 
-// Receive handles one frame from the process from.
+// Receive handles one frame sent by the process from.
 func (h *Home) Receive(now clock.Moment, from roster.ID, f wire.Frame) Effects {
 	h.now = now
 	l := h.links[from]
 	if l == nil {
-		return h.drain()
+		return h.takeEffects()
 	}
-	l.heardAt = now.Mono
+	l.receivedAt = now.Mono
 	if f.Stamp > l.stamp {
 		l.stamp, l.stampAt = f.Stamp, now.Mono
 	}
@@ -96,24 +96,24 @@
 	h.confirm(l, f.Header)
 	h.handle(l, f)
 	h.settle()
-	return h.drain()
+	return h.takeEffects()
 }
 
-// confirm takes the echo of a frame. One from a higher revision confirms
-// nothing until that roster is held.
-func (h *Home) confirm(l *link, hd wire.Header) {
-	if hd.Revision > h.view.Revision {
-		h.heard = max(h.heard, hd.Revision)
+// confirm renews the confirmation by l from the echoed timestamp. A frame with
+// a higher roster revision confirms nothing until that roster is adopted.
+func (h *Home) confirm(l *link, header wire.Header) {
+	if header.Revision > h.view.Revision {
+		h.seenRevision = max(h.seenRevision, header.Revision)
 		if !h.rules.SkipRevision {
 			return
 		}
 	}
 	if l.role == wire.RoleEntry {
-		h.standing.Confirm(l.id, time.Duration(hd.Echo))
+		h.confirmations.Confirm(l.id, time.Duration(header.Echo))
 		return
 	}
-	if hd.Echo > 0 && l.registered {
-		h.agentsUntil = max(h.agentsUntil, time.Duration(hd.Echo)+h.cfg.Lease)
+	if header.Echo > 0 && l.registered {
+		h.agentLeaseUntil = max(h.agentLeaseUntil, time.Duration(header.Echo)+h.cfg.Lease)
 	}
 }
 
@@ -129,36 +129,37 @@
 	case wire.Config:
 		h.adoptConfig(m.Document)
 	case wire.AgentHeartbeat:
-		h.agentBeat(l, m)
+		h.handleAgentHeartbeat(l, m)
 	case wire.Result:
-		h.result(l, m)
+		h.handleResult(l, m)
 	case wire.Records:
-		h.take.collect(h.now.Mono, l.id, m)
+		h.takeover.receiveRecords(h.now.Mono, l.id, m)
 	case wire.HandOver:
-		h.take.receive(h.now, l.id, m)
+		h.takeover.receiveHandOver(h.now, l.id, m)
 	case wire.Forward:
-		h.forwarded(l, m)
+		h.handleForward(l, m)
 	case wire.Reply:
-		h.replied(m)
+		h.handleReply(m)
 	}
-	h.informIfBehind(l, f.Header)
+	h.sendUpdatesIfBehind(l, f.Header)
 }
 
-// informIfBehind brings a peer up to date that showed lower revisions. An
-// answer to a heartbeat shows the truth, since the roster went before it.
-func (h *Home) informIfBehind(l *link, hd wire.Header) {
-	behind := hd.Revision < h.view.Revision || hd.Config < h.config.Revision
-	if behind && h.now.Mono-l.informedAt >= h.cfg.Heartbeat/2 {
-		h.inform(l)
+// sendUpdatesIfBehind sends newer revisions to a peer whose frame has lower
+// ones, at most once per half heartbeat interval.
+func (h *Home) sendUpdatesIfBehind(l *link, header wire.Header) {
+	behind := header.Revision < h.view.Revision || header.Config < h.config.Revision
+	if behind && h.now.Mono-l.updatesSentAt >= h.cfg.Heartbeat/2 {
+		h.sendUpdates(l)
 	}
 }
 
-// inform hands l the roster and configuration where it showed lower ones.
-func (h *Home) inform(l *link) {
+// sendUpdates sends l the roster and the configuration if its revisions are
+// lower.
+func (h *Home) sendUpdates(l *link) {
 	if !l.up {
 		return
 	}
-	l.informedAt = h.now.Mono
+	l.updatesSentAt = h.now.Mono
 	if l.revision < h.view.Revision {
 		h.send(l, wire.Roster{Roster: h.view.Roster})
 	}
@@ -167,16 +168,16 @@
 	}
 }
 
-func (h *Home) agentBeat(l *link, m wire.AgentHeartbeat) {
+func (h *Home) handleAgentHeartbeat(l *link, m wire.AgentHeartbeat) {
 	l.window = m.Window
 	l.slots = m.Slots
-	l.standing = m.Standing
+	l.confirmed = m.Standing
 	l.leaving = m.Leaving
 	h.assign(l, m.Service)
-	h.pump(m.Service)
+	h.startWaiting(m.Service)
 }
 
-// assign puts an agent into its service.
+// assign moves an agent to the service called name; empty means to none.
 func (h *Home) assign(l *link, name string) {
 	if l.service == name {
 		return
@@ -191,8 +192,7 @@
 	}
 }
 
-// beat sends a heartbeat.
-func (h *Home) beat(l *link) {
+func (h *Home) sendHeartbeat(l *link) {
 	b := wire.Heartbeat{}
 	if l.role == wire.RoleAgent {
 		if s := h.services[l.service]; s != nil {
@@ -200,19 +200,20 @@
 		}
 		b.Running = len(l.starts)
 	} else {
-		b.Settling = h.take.lacks(l.id)
+		b.Settling = h.takeover.awaitsHandOver(l.id)
 	}
 	h.send(l, b)
 }
 
-// send queues a frame for l and returns its sequence number.
+// send adds a frame for l to the effects and returns its sequence number, or
+// zero if l is not connected.
 func (h *Home) send(l *link, body wire.Message) uint64 {
 	if !l.up {
 		return 0
 	}
 	l.seq++
 	l.sentAt = h.now.Mono
-	h.out.Sends = append(h.out.Sends, Send{To: l.id, Frame: wire.Frame{
+	h.effects.Sends = append(h.effects.Sends, Send{To: l.id, Frame: wire.Frame{
 		Header: wire.Header{
 			Seq:      l.seq,
 			Revision: h.view.Revision,
@@ -225,7 +226,7 @@
 	return l.seq
 }
 
-// peer returns the connected link of a seat, or nil.
+// peer returns the link of a connected process, or nil.
 func (h *Home) peer(id roster.ID) *link {
 	if l := h.links[id]; l != nil && l.up {
 		return l
--- a/seats/home/longest_test.go
+++ b/seats/home/longest_test.go
@@ -11,9 +11,9 @@
 	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
-// TestShorterExpiryDoesNotEndDoubtsEarly: a doubt must last as long as any job
-// that was accepted before the longest expiry was cut short.
-func TestShorterExpiryDoesNotEndDoubtsEarly(t *testing.T) {
+// Guards against a doubt that ends before jobs accepted under a longer expiry
+// limit have expired.
+func TestShorterExpiryKeepsPreviousLongestExpiry(t *testing.T) {
 	now := clock.Moment{Mono: time.Second, Wall: time.Unix(1_700_000_000, 0)}
 	h := NewHome(DefaultConfig(roster.NewID("entry", 1), "here"))
 	with := func(revision uint64, longest time.Duration) {
--- a/seats/home/place.go
+++ b/seats/home/place.go
@@ -12,17 +12,18 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// Waits before a place is tried again.
 const (
-	// restFull is after an agent refused for want of room.
-	restFull = 20 * time.Millisecond
-	// restFailing is after an agent could not reach its target.
-	restFailing = 500 * time.Millisecond
-	// askAgain is after how long without an answer a start is asked after.
-	askAgain = 5 * time.Second
-	// freeRetries is how many repeatable requests may be sent again beyond
-	// the budget's share.
-	freeRetries = 10
+	// slotsFullBackoff is the pause of starts after an agent refused one because its
+	// slots were full.
+	slotsFullBackoff = 20 * time.Millisecond
+	// unreachableBackoff is the pause of starts after an agent could not reach its
+	// target.
+	unreachableBackoff = 500 * time.Millisecond
+	// resendInterval is the time without an answer after which a start is resent.
+	resendInterval = 5 * time.Second
+	// retryBurst is the number of retries of repeatable requests allowed in
+	// addition to Config.RetryBudget.
+	retryBurst = 10
 )
 
 func (h *Home) service(name string) *service {
@@ -34,7 +35,7 @@
 	return s
 }
 
-// countSlots counts the slots of the agents that can be reached.
+// countSlots updates the number of slots of connected agents.
 func (s *service) countSlots() {
 	s.drain.slots = 0
 	for _, l := range s.agents {
@@ -44,8 +45,9 @@
 	}
 }
 
-// overShare returns whether an organisation has as many tasks running as its even
-// share of the slots. It counts only where several organisations want them.
+// overShare returns a function that reports whether an organisation's running
+// tasks reach its share of the slots. Organisations with waiting or running
+// tasks have equal shares.
 func (s *service) overShare() func(organisation string) bool {
 	wanting := s.queue.Organisations()
 	for organisation := range s.running {
@@ -57,8 +59,8 @@
 	return func(organisation string) bool { return s.running[organisation] >= share }
 }
 
-// ended counts an organisation's task as not running any more.
-func (s *service) ended(organisation string) {
+// taskEnded removes one running task of the organisation from the counts.
+func (s *service) taskEnded(organisation string) {
 	s.running[organisation]--
 	if s.running[organisation] <= 0 {
 		delete(s.running, organisation)
@@ -69,31 +71,32 @@
 	s.agents = slices.DeleteFunc(s.agents, func(o *link) bool { return o == l })
 }
 
-// anyOpen reports whether some agent takes work, or may do so shortly.
-func (s *service) anyOpen(h *Home) bool {
+// anyAvailable reports whether some agent accepts starts now or may after a
+// short pause.
+func (s *service) anyAvailable(h *Home) bool {
 	return slices.ContainsFunc(s.agents, func(l *link) bool {
 		return l.up && !l.leaving && !l.hostLeaving && l.registered && l.window > 0
 	})
 }
 
-// open reports whether l may get a start now.
-func (h *Home) open(l *link) bool {
-	return l.up && l.standing && !l.leaving && !l.hostLeaving && l.registered &&
-		l.revision <= h.view.Revision && h.now.Mono >= l.restUntil
+// acceptsStarts reports whether a start may be sent to l now.
+func (h *Home) acceptsStarts(l *link) bool {
+	return l.up && l.confirmed && !l.leaving && !l.hostLeaving && l.registered &&
+		l.revision <= h.view.Revision && h.now.Mono >= l.backoffUntil
 }
 
-// enqueue puts a job's waiting tasks into its service's queue.
+// enqueue updates the queue of the job's service with its waiting tasks.
 func (h *Home) enqueue(r *record) {
-	h.service(r.sub.Service).queue.Put(r.key, r.sub.Job.Organisation, len(r.order), r.since)
+	h.service(r.sub.Service).queue.Put(r.key, r.sub.Job.Organisation, len(r.waitingTasks), r.acceptedAt)
 }
 
-// pump starts waiting tasks while an agent can take one.
-func (h *Home) pump(name string) {
+// startWaiting starts waiting tasks of a service while an agent can take one.
+func (h *Home) startWaiting(name string) {
 	s := h.services[name]
-	if s == nil || s.queue.Jobs() == 0 || !h.maystart() {
+	if s == nil || s.queue.Jobs() == 0 || !h.mayStart() {
 		return
 	}
-	places, links := h.candidates(s)
+	choices, links := h.candidates(s)
 	s.countSlots()
 	over := s.overShare()
 	for {
@@ -101,7 +104,7 @@
 		if !ok {
 			return
 		}
-		k := h.policy.Choose(places)
+		k := h.policy.Choose(choices)
 		if k < 0 {
 			return
 		}
@@ -110,51 +113,51 @@
 			h.refuseLate(s, r)
 			continue
 		}
-		places[k].Outstanding++
+		choices[k].Outstanding++
 		s.running[item.Organisation]++
 		h.startNext(links[k], r)
 	}
 }
 
-// tooLate reports whether a job of which nothing was started could not end
-// before its expiry, even if it were served alone from now on.
+// tooLate reports whether a job without started tasks cannot finish before its
+// expiry, even with all slots of the service.
 func (h *Home) tooLate(s *service, r *record) bool {
-	untouched := !r.began && len(r.order) == len(r.tasks)
+	untouched := !r.knownStarted && len(r.waitingTasks) == len(r.tasks)
 	return untouched && s.drain.drainTime(len(r.tasks)) > h.left(r.expiry)
 }
 
-// refuseLate gives up on a job before its first task, as not run.
+// refuseLate refuses a job that has not started and cannot finish in time.
 func (h *Home) refuseLate(s *service, r *record) {
 	h.finish(r, refused(r.id, code.CannotMeetExpiry, seats.RanNo,
-		"the job waited so long that it can't end before its expiry", s.drain.turnFor(h.now.Mono, len(r.tasks))))
+		"the job cannot finish before its expiry after waiting in the queue", s.drain.staggeredRetryAfter(h.now.Mono, len(r.tasks))))
 }
 
-// maystart reports whether this home is seated; whether a start is taken is
-// for the agent to decide.
-func (h *Home) maystart() bool {
-	return h.Seated() && !h.lost
+// mayStart reports whether this entry holds a seat. Agents check its
+// confirmation before they accept a start.
+func (h *Home) mayStart() bool {
+	return h.Seated() && !h.removed
 }
 
 func (h *Home) candidates(s *service) ([]dispatch.Candidate, []*link) {
-	common := commonPace(s.agents)
-	var places []dispatch.Candidate
+	mean := meanTaskTime(s.agents)
+	var choices []dispatch.Candidate
 	var links []*link
 	for _, l := range s.agents {
-		if !h.open(l) {
+		if !h.acceptsStarts(l) {
 			continue
 		}
-		places = append(places, dispatch.Candidate{
+		choices = append(choices, dispatch.Candidate{
 			Outstanding: len(l.starts), Window: l.window,
-			Slowness: l.pace.against(common),
+			Slowness: l.taskTime.relativeTo(mean),
 		})
 		links = append(links, l)
 	}
-	return places, links
+	return choices, links
 }
 
 // startNext sends the next waiting task of r to l.
 func (h *Home) startNext(l *link, r *record) {
-	k := r.next()
+	k := r.nextTask()
 	r.tasks[k] = task{phase: sent, agent: l.id}
 	h.enqueue(r)
 	h.stats.Starts++
@@ -168,22 +171,22 @@
 		Key: key, TaskID: t.ID, Digest: r.digest, Service: r.sub.Service,
 		Payload: t.Payload, Expiry: r.expiry, Raw: r.sub.Single,
 	})
-	l.starts[key] = &start{seq: seq, sentAt: h.now.Mono, asked: h.now.Mono, organisation: r.sub.Job.Organisation}
+	l.starts[key] = &start{seq: seq, sentAt: h.now.Mono, lastSentAt: h.now.Mono, organisation: r.sub.Job.Organisation}
 }
 
 func (h *Home) await(l *link, r *record, k int) {
 	key := wire.TaskKey{Job: r.key, Index: k}
 	h.stats.Awaits++
 	seq := h.send(l, wire.Await{Key: key})
-	l.starts[key] = &start{seq: seq, sentAt: h.now.Mono, asked: h.now.Mono, organisation: r.sub.Job.Organisation, await: true}
+	l.starts[key] = &start{seq: seq, sentAt: h.now.Mono, lastSentAt: h.now.Mono, organisation: r.sub.Job.Organisation, await: true}
 	h.service(r.sub.Service).running[r.sub.Job.Organisation]++
 }
 
-// resend asks again for everything that l has not answered, over a new
-// connection: the agent starts nothing that it has a record of.
-func (h *Home) resend(l *link) {
+// resendUnanswered repeats every unanswered start and forward to l after it has
+// reconnected. An agent starts no task that it has a record of.
+func (h *Home) resendUnanswered(l *link) {
 	for _, key := range sortedTasks(l.starts) {
-		h.askAfter(l, key, l.starts[key])
+		h.resendStart(l, key, l.starts[key])
 	}
 	for _, t := range slices.Sorted(maps.Keys(h.forwards)) {
 		if f := h.forwards[t]; f.to == l.id {
@@ -192,11 +195,11 @@
 	}
 }
 
-// askAfter sends an unanswered start again, or an await where there is nothing
-// left to start.
-func (h *Home) askAfter(l *link, key wire.TaskKey, s *start) {
+// resendStart repeats an unanswered start, or sends an await if the job is not
+// running here any more.
+func (h *Home) resendStart(l *link, key wire.TaskKey, s *start) {
 	h.stats.Resends++
-	s.asked = h.now.Mono
+	s.lastSentAt = h.now.Mono
 	r := h.records[key.Job]
 	if s.await || r == nil || r.state != seats.Running {
 		s.seq = h.send(l, wire.Await{Key: key})
@@ -207,8 +210,8 @@
 	l.starts[key].sentAt = sentAt
 }
 
-// result handles the answer to a start or an await.
-func (h *Home) result(l *link, m wire.Result) {
+// handleResult handles the answer to a start or an await.
+func (h *Home) handleResult(l *link, m wire.Result) {
 	l.window = m.Window
 	s := l.starts[m.Key]
 	refusal := m.Status == wire.NotRun
@@ -216,113 +219,115 @@
 		h.stats.LateResults++
 		return
 	}
-	h.drop(l, m.Key)
+	h.removeStart(l, m.Key)
 	if refusal {
 		h.stats.Refusals++
-		h.rest(l, m.Code)
+		h.backOff(l, m.Code)
 	} else {
 		h.stats.Results++
-		l.pace.note(h.now.Mono - s.sentAt)
-		h.service(m.Key.Service()).drain.tasks.note(h.now.Mono - s.sentAt)
+		l.taskTime.observe(h.now.Mono - s.sentAt)
+		h.service(m.Key.Service()).drain.taskTime.observe(h.now.Mono - s.sentAt)
 	}
 	r := h.records[m.Key.Job]
 	if r != nil && r.state == seats.Running && r.tasks[m.Key.Index].phase == sent && r.tasks[m.Key.Index].agent == l.id {
-		h.ended(r, m)
+		h.applyResult(r, m)
 	}
-	h.pump(l.service)
+	h.startWaiting(l.service)
 }
 
-// drop forgets a start that is answered or given up.
-func (h *Home) drop(l *link, key wire.TaskKey) {
+// removeStart removes a start that was answered or is lost.
+func (h *Home) removeStart(l *link, key wire.TaskKey) {
 	s := l.starts[key]
 	delete(l.starts, key)
-	h.service(key.Service()).ended(s.organisation)
+	h.service(key.Service()).taskEnded(s.organisation)
 }
 
-// ended applies a task's result to its job.
-func (h *Home) ended(r *record, m wire.Result) {
+// applyResult applies a task's result to its job.
+func (h *Home) applyResult(r *record, m wire.Result) {
 	switch m.Status {
 	case wire.Done:
-		r.began = true
+		r.knownStarted = true
 		r.tasks[m.Key.Index] = task{phase: done, output: m.Output}
-		r.outputs += len(m.Output)
+		r.outputBytes += len(m.Output)
 		r.unfinished--
 		switch {
-		case r.outputs > seats.MaxAnswer:
-			h.fail(r, code.AnswerLarge, "the tasks' outputs together are too large")
+		case r.outputBytes > seats.MaxAnswer:
+			h.fail(r, code.AnswerLarge, "the combined output of the tasks is too large for one answer")
 		case r.unfinished == 0:
 			h.finish(r, r.complete())
 		}
 	case wire.NotRun:
-		r.again(m.Key.Index)
+		r.requeue(m.Key.Index)
 		h.enqueue(r)
 	default:
-		r.began = r.began || m.Code == code.TaskFailed
+		r.knownStarted = r.knownStarted || m.Code == code.TaskFailed
 		h.fail(r, m.Code, "task "+r.sub.Job.Tasks[m.Key.Index].ID+": "+m.Code.Name())
 	}
 }
 
-// rest keeps starts from an agent that refused one, until it tells otherwise.
-func (h *Home) rest(l *link, c code.Code) {
+// backOff stops starts to an agent that refused one, for a pause or until its
+// next heartbeat.
+func (h *Home) backOff(l *link, c code.Code) {
 	switch c {
 	case code.SlotsFull:
-		l.restUntil = h.now.Mono + restFull
+		l.backoffUntil = h.now.Mono + slotsFullBackoff
 	case code.TargetUnreachable:
-		l.restUntil = h.now.Mono + restFailing
+		l.backoffUntil = h.now.Mono + unreachableBackoff
 	case code.AgentLeaving, code.AgentDraining:
 		l.leaving = true
 	case code.StartExpired, code.NoRecord:
 	default:
-		l.standing = false
+		l.confirmed = false
 	}
 }
 
-// lose gives up on what an agent has not answered: it may have run.
-func (h *Home) lose(l *link) {
+// failStarts handles the loss of an agent: its unanswered starts may have run.
+func (h *Home) failStarts(l *link) {
 	if h.rules.SkipLostFail {
-		h.startAgain(l)
+		h.restartLostTasks(l)
 		return
 	}
 	for _, key := range sortedTasks(l.starts) {
-		h.drop(l, key)
+		h.removeStart(l, key)
 		r := h.records[key.Job]
 		if r != nil && r.state == seats.Running && r.tasks[key.Index].agent == l.id {
-			h.loseTask(r, key.Index)
+			h.handleLostTask(r, key.Index)
 		}
 	}
 }
 
-// startAgain is what lose must not do; tests show it.
-func (h *Home) startAgain(l *link) {
+// restartLostTasks starts tasks of a lost agent again, although they may have
+// run. Tests use it to show that this breaks the guarantee.
+func (h *Home) restartLostTasks(l *link) {
 	for _, key := range sortedTasks(l.starts) {
-		h.drop(l, key)
+		h.removeStart(l, key)
 		if r := h.records[key.Job]; r != nil && r.state == seats.Running {
-			r.again(key.Index)
+			r.requeue(key.Index)
 			h.enqueue(r)
 		}
 	}
 }
 
-// loseTask ends a job one of whose tasks is lost, or sends a repeatable
-// request again within the budget.
-func (h *Home) loseTask(r *record, k int) {
-	budget := float64(h.stats.Starts)*h.cfg.RetryBudget + freeRetries
+// handleLostTask fails the job of a lost task, or restarts a repeatable request
+// within the retry budget.
+func (h *Home) handleLostTask(r *record, k int) {
+	budget := float64(h.stats.Starts)*h.cfg.RetryBudget + retryBurst
 	if r.sub.Repeatable() && float64(h.stats.Retries) < budget {
 		h.stats.Retries++
-		r.again(k)
+		r.requeue(k)
 		h.enqueue(r)
-		h.pump(r.sub.Service)
+		h.startWaiting(r.sub.Service)
 		return
 	}
-	h.fail(r, code.AgentLost, "the agent that held task "+r.sub.Job.Tasks[k].ID+" was lost")
+	h.fail(r, code.AgentLost, "the agent running task "+r.sub.Job.Tasks[k].ID+" was lost")
 }
 
-// replaceAgent gives up on an earlier life of an agent that came back.
+// replaceAgent fails the starts at earlier incarnations of a reconnected agent.
 func (h *Home) replaceAgent(id roster.ID) {
 	for _, l := range h.ordered {
 		if l.role == wire.RoleAgent && l.id.Name == id.Name && l.id != id {
 			l.up = false
-			h.lose(l)
+			h.failStarts(l)
 			h.assign(l, "")
 		}
 	}
--- a/seats/home/protocol_test.go
+++ b/seats/home/protocol_test.go
@@ -12,19 +12,17 @@
 	"github.com/beaconpoint/beaconpoint/seats/testutil/world"
 )
 
-// Bounds of the histories.
 const (
-	groups = 8 // run beside each other
-	// defaultChecks is how many histories a group runs: 10,000 in all.
-	defaultChecks = "1250"
-	shortestStory = 12
-	longestStory  = 60
-	// rest is how long a history goes on after its last failure.
-	rest = 45 * time.Second
+	groups        = 8      // parallel subtests
+	defaultChecks = "1250" // histories per group
+	minSteps      = 12
+	maxSteps      = 60
+	// settleTime is how long a history continues after its last failure.
+	settleTime = 45 * time.Second
 )
 
-// TestMain fixes the seed and the number of histories, unless the command line
-// gives others (-rapid.checks, -rapid.seed).
+// TestMain sets a fixed seed and number of histories, unless the command line
+// sets them (-rapid.checks, -rapid.seed).
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := make(map[string]bool)
@@ -41,27 +39,28 @@
 	os.Exit(m.Run())
 }
 
-var takenOut = flag.String("rule", "", "tell the histories without this rule, to see the smallest that breaks a promise")
+var disabledRule = flag.String("rule", "", "run the histories without this rule, to find the smallest that violates a guarantee")
 
-// takeOut takes out the rule that the command line names.
-func takeOut(cfg world.Config) world.Config {
+// withDisabledRule disables the rule named on the command line.
+func withDisabledRule(cfg world.Config) world.Config {
 	for _, r := range rules {
-		if r.name == *takenOut {
-			return r.without(cfg)
+		if r.name == *disabledRule {
+			return r.disabledIn(cfg)
 		}
 	}
 	return cfg
 }
 
-// step is one act of a history and how long the world goes on after it.
+// step is one act of a history, with the index of the process it affects and the
+// simulated time in milliseconds that follows.
 type step struct {
 	Act  world.Act
 	Who  int
 	Wait int
 }
 
-// weights makes submissions and resubmissions the most common acts.
-var weights = []world.Act{
+// weightedActs lists acts in proportion to their frequency.
+var weightedActs = []world.Act{
 	world.Submit, world.Submit, world.Submit, world.Submit, world.Resubmit, world.Resubmit, world.Resubmit,
 	world.Resubmit, world.Wait, world.Wait, world.Kill, world.Kill, world.KillTwo, world.Restart, world.Restart,
 	world.Pause, world.Pause, world.Resume, world.Resume, world.Cut, world.Mend, world.Mend, world.Isolate,
@@ -69,59 +68,59 @@
 	world.StoreBack, world.StoreBack, world.StoreSlow, world.LoseAnswers, world.Leave, world.Reshard, world.Shorten, world.Shorten,
 }
 
-func drawStory(t *rapid.T) []step {
+func drawRandomSteps(t *rapid.T) []step {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 		return step{
-			Act:  rapid.SampledFrom(weights).Draw(t, "act"),
+			Act:  rapid.SampledFrom(weightedActs).Draw(t, "act"),
 			Who:  rapid.IntRange(0, 999).Draw(t, "who"),
 			Wait: rapid.IntRange(0, 1200).Draw(t, "wait"),
 		}
-	}), shortestStory, longestStory).Draw(t, "story")
+	}), minSteps, maxSteps).Draw(t, "story")
 }
 
-// drawWindow makes a history of windows: something is cut off or paused, and
-// jobs come to all entries while the others are about to take over.
-func drawWindow(t *rapid.T) []step {
-	var story []step
+// drawDisruptions draws histories in which processes are isolated or paused, and
+// jobs arrive at all entries shortly before a takeover.
+func drawDisruptions(t *rapid.T) []step {
+	var steps []step
 	who := rapid.IntRange(0, 999)
 	for range rapid.IntRange(1, 4).Draw(t, "windows") {
 		for range rapid.IntRange(1, 2).Draw(t, "disturbances") {
-			story = append(story, step{
-				Act:  rapid.SampledFrom(disturbances).Draw(t, "act"),
+			steps = append(steps, step{
+				Act:  rapid.SampledFrom(disruptions).Draw(t, "act"),
 				Who:  who.Draw(t, "who"),
 				Wait: rapid.SampledFrom(delays).Draw(t, "wait"),
 			})
 		}
 		for range rapid.IntRange(2, 12).Draw(t, "calls") {
-			story = append(story, step{
+			steps = append(steps, step{
 				Act:  rapid.SampledFrom([]world.Act{world.Submit, world.Resubmit, world.ResubmitLast}).Draw(t, "call"),
 				Who:  who.Draw(t, "who"),
 				Wait: rapid.IntRange(0, 120).Draw(t, "wait"),
 			})
 		}
-		story = append(story, step{Act: rapid.SampledFrom(recoveries).Draw(t, "recovery"), Who: who.Draw(t, "who")})
+		steps = append(steps, step{Act: rapid.SampledFrom(recoveries).Draw(t, "recovery"), Who: who.Draw(t, "who")})
 	}
-	return story
+	return steps
 }
 
 var (
-	disturbances = []world.Act{world.IsolateEntry, world.PauseEntry, world.CutEntries, world.Split, world.Kill, world.IsolateEntry}
-	// delays lie around the suspicion of a silent seat and the end of a lease.
+	disruptions = []world.Act{world.IsolateEntry, world.PauseEntry, world.CutEntries, world.Split, world.Kill, world.IsolateEntry}
+	// delays cover the suspect timeout and the end of a lease, in milliseconds.
 	delays     = []int{0, 100, 900, 1300, 1500, 1700, 1900, 2100, 2400, 2700, 3200}
 	recoveries = []world.Act{world.Mend, world.Resume, world.Restart, world.Wait}
 )
 
-// drawHistory draws one of both kinds.
+// drawHistory draws a history of either kind.
 func drawHistory(t *rapid.T) []step {
 	if rapid.Bool().Draw(t, "window") {
-		return drawWindow(t)
+		return drawDisruptions(t)
 	}
-	return drawStory(t)
+	return drawRandomSteps(t)
 }
 
 func drawConfig(t *rapid.T, group int) world.Config {
 	return world.Config{
-		// Groups share the story's seed; the world's differs.
+		// All groups draw the same steps; the simulation's seed differs.
 		Entries: rapid.IntRange(1, 4).Draw(t, "entries"),
 		Agents:  rapid.IntRange(1, 4).Draw(t, "agents"),
 		Shards:  rapid.SampledFrom([]int{1, 4}).Draw(t, "shards"),
@@ -135,11 +134,11 @@
 	}
 }
 
-// tell runs a history and returns the first broken promise.
-func tell(cfg world.Config, story []step) (*world.World, error) {
+// runHistory simulates a history and returns the first violated guarantee.
+func runHistory(cfg world.Config, steps []step) (*world.World, error) {
 	w := world.New(cfg)
 	w.Run(time.Second)
-	for _, s := range story {
+	for _, s := range steps {
 		w.Do(s.Act, s.Who)
 		w.Run(time.Duration(s.Wait) * time.Millisecond)
 		if w.Broken() != nil {
@@ -147,18 +146,18 @@
 		}
 	}
 	w.Calm()
-	w.Run(rest)
+	w.Run(settleTime)
 	w.CheckEnded()
 	return w, w.Broken()
 }
 
-func TestNoTaskStartsTwiceAndNotRunIsTrue(t *testing.T) {
+func TestNoTaskStartsTwiceAndNotRunIsCorrect(t *testing.T) {
 	for g := range groups {
 		t.Run(fmt.Sprintf("group%d", g), func(t *testing.T) {
 			t.Parallel()
 			var sum world.Counts
 			rapid.Check(t, func(t *rapid.T) {
-				w, err := tell(takeOut(drawConfig(t, g)), drawHistory(t))
+				w, err := runHistory(withDisabledRule(drawConfig(t, g)), drawHistory(t))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/seats/home/quota.go
+++ b/seats/home/quota.go
@@ -10,10 +10,10 @@
 	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
-// organisation is this home's part of an organisation's use.
+// organisation is an organisation's usage at this entry.
 type organisation struct {
 	inFlight int // tasks that wait or run
-	limit    *rate.Limiter
+	limiter  *rate.Limiter
 }
 
 func (h *Home) organisation(name string) *organisation {
@@ -25,30 +25,30 @@
 	return m
 }
 
-// admitQuota checks n more tasks against the organisation's quotas.
+// admitQuota checks n further tasks against the organisation's quotas.
 func (h *Home) admitQuota(m *config.Organisation, n int, drain *drainRate) (refusal, bool) {
 	own := h.organisation(m.Name)
-	if part := h.part(m.InFlight); part > 0 && own.inFlight+n > part {
-		return refusal{code.QuotaInFlight, "the member's quota of tasks in flight is used up", drain.timeFor(own.inFlight + n - part)}, false
+	if limit := h.quotaShare(m.InFlight); limit > 0 && own.inFlight+n > limit {
+		return refusal{code.QuotaInFlight, "the member's quota of tasks in flight is exhausted", drain.retryAfter(own.inFlight + n - limit)}, false
 	}
-	if wait := own.reserve(h.now.Wall, h.part(m.Rate), n); wait > 0 {
-		return refusal{code.RateLimited, "the member submits more tasks a second than its quota allows", max(wait, shortestRetry)}, false
+	if wait := own.reserve(h.now.Wall, h.quotaShare(m.Rate), n); wait > 0 {
+		return refusal{code.RateLimited, "the member's quota of tasks per second is exceeded", max(wait, minRetryAfter)}, false
 	}
 	return refusal{}, true
 }
 
-// reserve takes n tasks from the organisation's rate, or returns how long it takes
-// until they can be had. A job larger than a second's worth is let through when
-// a whole second's worth is there.
+// reserve takes n tokens from the organisation's rate limiter, or returns the
+// time until they are available. A job of more than perSecond tasks needs
+// perSecond tokens.
 func (m *organisation) reserve(now time.Time, perSecond, n int) time.Duration {
 	if perSecond == 0 {
-		m.limit = nil
+		m.limiter = nil
 		return 0
 	}
-	if m.limit == nil || m.limit.Burst() != perSecond {
-		m.limit = rate.NewLimiter(rate.Limit(perSecond), perSecond)
+	if m.limiter == nil || m.limiter.Burst() != perSecond {
+		m.limiter = rate.NewLimiter(rate.Limit(perSecond), perSecond)
 	}
-	r := m.limit.ReserveN(now, min(n, perSecond))
+	r := m.limiter.ReserveN(now, min(n, perSecond))
 	wait := r.DelayFrom(now)
 	if wait > 0 {
 		r.CancelAt(now)
@@ -56,24 +56,23 @@
 	return wait
 }
 
-// part returns this home's part of a region's quota. It is dealt out evenly to
-// the entries that are home to any share of any service, so that the parts
-// together never exceed it, unless it is smaller than their number.
-func (h *Home) part(quota int) int {
+// quotaShare returns this entry's share of a region's quota. The quota is split
+// evenly between the entries that own at least one shard of a service; each gets
+// at least one. Zero means no limit.
+func (h *Home) quotaShare(quota int) int {
 	if quota == 0 {
 		return 0
 	}
-	return max(quota/max(h.homes, 1), 1)
+	return max(quota/max(h.owners, 1), 1)
 }
 
-// countHomes counts the entries that are home to any share, when the roster or
-// the configuration has changed.
-func (h *Home) countHomes() {
+// countOwners updates the number of entries that own at least one shard.
+func (h *Home) countOwners() {
 	seen := make(map[roster.ID]bool)
 	for _, s := range h.config.Services {
 		for _, id := range h.view.HomesOf(s.Name) {
 			seen[id] = true
 		}
 	}
-	h.homes = len(seen)
+	h.owners = len(seen)
 }
--- a/seats/home/quota_test.go
+++ b/seats/home/quota_test.go
@@ -17,20 +17,20 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// bench is one home with one agent that answers nothing by itself.
-type bench struct {
+// harness is one Home with one agent, whose messages the test sends.
+type harness struct {
 	t   *testing.T
 	h   *home.Home
 	now clock.Moment
-	n   uint64
+	seq uint64
 }
 
-func newBench(t *testing.T, m config.Organisation, b config.Bounds) *bench {
+func newHarness(t *testing.T, organisation config.Organisation, bounds config.Bounds) *harness {
 	t.Helper()
 	id := roster.NewID("entry", 1)
-	x := &bench{t: t, h: home.NewHome(home.DefaultConfig(id, "here")), now: clock.Moment{Mono: time.Second, Wall: time.Unix(1_700_000_000, 0)}}
-	x.h.Configure(x.now, config.Document{Revision: 1, Organisations: []config.Organisation{m}, Services: []config.Service{{
-		Name: "trackd", Bounds: b, Targets: []config.Target{{Name: "worker", Agent: "there", Slots: 2, Connections: 8}},
+	x := &harness{t: t, h: home.NewHome(home.DefaultConfig(id, "here")), now: clock.Moment{Mono: time.Second, Wall: time.Unix(1_700_000_000, 0)}}
+	x.h.Configure(x.now, config.Document{Revision: 1, Organisations: []config.Organisation{organisation}, Services: []config.Service{{
+		Name: "trackd", Bounds: bounds, Targets: []config.Target{{Name: "worker", Agent: "there", Slots: 2, Connections: 8}},
 	}}})
 	worker := roster.NewID("worker", 1)
 	x.h.RosterRead(x.now, roster.Roster{Revision: 1, Seats: []roster.Seat{{ID: id}}, Agents: []roster.ID{worker}, Changes: []string{"c"}}, nil)
@@ -41,24 +41,25 @@
 	return x
 }
 
-func (x *bench) receive(from roster.ID, m wire.Message) home.Effects {
-	x.n++
+func (x *harness) receive(from roster.ID, m wire.Message) home.Effects {
+	x.seq++
 	return x.h.Receive(x.now, from, wire.Frame{
-		Header: wire.Header{Kind: m.Kind(), Seq: x.n, Revision: 1, Config: 1, Stamp: int64(x.n), Echo: int64(x.now.Mono)}, Body: m,
+		Header: wire.Header{Kind: m.Kind(), Seq: x.seq, Revision: 1, Config: 1, Stamp: int64(x.seq), Echo: int64(x.now.Mono)}, Body: m,
 	})
 }
 
-// submit returns the code that a job of n tasks is refused with, or Running.
-func (x *bench) submit(n int) (code.Code, time.Duration) {
+// submit submits a job of n tasks. It returns the code and retry time of the
+// refusal, or code.Running.
+func (x *harness) submit(n int) (code.Code, time.Duration) {
 	x.t.Helper()
-	x.n++
-	j := seats.Job{ID: fmt.Sprintf("j%d", x.n), Organisation: "m"}
+	x.seq++
+	j := seats.Job{ID: fmt.Sprintf("j%d", x.seq), Organisation: "m"}
 	for k := range n {
 		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(k)})
 	}
 	sub, err := job.New("trackd", j)
 	assert.NilError(x.t, err)
-	out := x.h.Submit(x.now, x.n, sub)
+	out := x.h.Submit(x.now, x.seq, sub)
 	if len(out.Answers) == 0 {
 		return code.Running, 0
 	}
@@ -67,8 +68,8 @@
 	return code.Code(a.Code), time.Duration(a.RetryAfterMS) * time.Millisecond
 }
 
-func TestOrganisationHasAtMostItsTasksInFlight(t *testing.T) {
-	x := newBench(t, config.Organisation{Name: "m", InFlight: 10}, config.Bounds{})
+func TestInFlightQuotaLimitsOrganisation(t *testing.T) {
+	x := newHarness(t, config.Organisation{Name: "m", InFlight: 10}, config.Bounds{})
 	for _, c := range []struct {
 		tasks int
 		want  code.Code
@@ -79,8 +80,8 @@
 	}
 }
 
-func TestOrganisationIsHeldToItsRate(t *testing.T) {
-	x := newBench(t, config.Organisation{Name: "m", Rate: 20}, config.Bounds{})
+func TestRateQuotaDelaysSubmissions(t *testing.T) {
+	x := newHarness(t, config.Organisation{Name: "m", Rate: 20}, config.Bounds{})
 	got, _ := x.submit(20)
 	assert.Equal(t, got, code.Running)
 	got, retry := x.submit(10)
@@ -88,12 +89,12 @@
 	assert.Equal(t, retry, 500*time.Millisecond)
 	x.now = x.now.Plus(retry)
 	got, _ = x.submit(10)
-	assert.Equal(t, got, code.Running, "who comes back when told is served")
+	assert.Equal(t, got, code.Running, "a retry at the given time is accepted")
 }
 
-func TestFullQueueRefusesAtOnce(t *testing.T) {
-	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{Queue: 5})
-	got, _ := x.submit(7) // two start at once
+func TestFullQueueRefusesJob(t *testing.T) {
+	x := newHarness(t, config.Organisation{Name: "m"}, config.Bounds{Queue: 5})
+	got, _ := x.submit(7) // two of the tasks start immediately
 	assert.Equal(t, got, code.Running)
 	got, retry := x.submit(1)
 	assert.Equal(t, got, code.QueueFull)
--- a/seats/home/record.go
+++ b/seats/home/record.go
@@ -11,7 +11,7 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// phase is where a task stands at its home.
+// phase is the state of a task at the entry that owns its job.
 type phase uint8
 
 const (
@@ -20,35 +20,34 @@
 	done
 )
 
-// task is one task of a record.
 type task struct {
 	phase  phase
 	agent  roster.ID
 	output []byte
 }
 
-// record is a job as its home knows it. It is kept until the job's expiry and
-// the allowed skew have passed.
+// record is the state of a job at the entry that owns it. It is kept until the
+// job's expiry plus Config.Skew.
 type record struct {
-	key        string // names it among the jobs of all services
-	id         string
-	sub        job.Submission
-	digest     uint64
-	expiry     int64 // Unix milliseconds
-	state      seats.State
-	tasks      []task
-	order      []int // tasks that wait, the next one last
-	unfinished int
-	began      bool // a task is known to have been started
-	answer     seats.Answer
-	outputs    int // bytes, of the tasks that are done
-	size       int
-	waiters    []waiter
-	since      time.Duration
-}
-
-// newRecord returns the record of a job with every task waiting, the longest
-// expected first.
+	key          string // service and id
+	id           string
+	sub          job.Submission
+	digest       uint64
+	expiry       int64 // Unix milliseconds
+	state        seats.State
+	tasks        []task
+	waitingTasks []int // indices of waiting tasks, the next one last
+	unfinished   int
+	knownStarted bool // an agent has reported that a task ran
+	answer       seats.Answer
+	outputBytes  int // total output size of the tasks that are done
+	answerBytes  int
+	waiters      []waiter
+	acceptedAt   time.Duration
+}
+
+// newRecord returns the record of a job with all tasks waiting, in descending
+// order of their expected time.
 func newRecord(sub job.Submission, expiry int64, now time.Duration) *record {
 	r := &record{
 		key:        sub.Key(),
@@ -59,32 +58,32 @@
 		state:      seats.Running,
 		tasks:      make([]task, len(sub.Job.Tasks)),
 		unfinished: len(sub.Job.Tasks),
-		since:      now,
+		acceptedAt: now,
 	}
 	for k := range r.tasks {
-		r.order = append(r.order, len(r.tasks)-1-k)
+		r.waitingTasks = append(r.waitingTasks, len(r.tasks)-1-k)
 	}
-	expected := func(k int) int64 { return sub.Job.Tasks[r.order[k]].ExpectedMS }
-	sort.SliceStable(r.order, func(a, b int) bool { return expected(a) < expected(b) })
+	expected := func(k int) int64 { return sub.Job.Tasks[r.waitingTasks[k]].ExpectedMS }
+	sort.SliceStable(r.waitingTasks, func(a, b int) bool { return expected(a) < expected(b) })
 	return r
 }
 
-// next takes the task that is to be started next.
-func (r *record) next() int {
-	k := r.order[len(r.order)-1]
-	r.order = r.order[:len(r.order)-1]
+// nextTask removes the next waiting task and returns its index.
+func (r *record) nextTask() int {
+	k := r.waitingTasks[len(r.waitingTasks)-1]
+	r.waitingTasks = r.waitingTasks[:len(r.waitingTasks)-1]
 	return k
 }
 
-// again puts a task back in front of those that wait.
-func (r *record) again(k int) {
+// requeue puts a task back in front of the waiting tasks.
+func (r *record) requeue(k int) {
 	r.tasks[k] = task{}
-	r.order = append(r.order, k)
+	r.waitingTasks = append(r.waitingTasks, k)
 }
 
-// started reports what is known of the job's starts.
-func (r *record) started() seats.Ran {
-	if r.began {
+// ran reports whether a task of the job was started, as far as is known.
+func (r *record) ran() seats.Ran {
+	if r.knownStarted {
 		return seats.RanYes
 	}
 	for _, t := range r.tasks {
@@ -95,19 +94,20 @@
 	return seats.RanNo
 }
 
-// complete makes the whole answer from the tasks' outputs.
+// complete returns the answer with the outputs of all tasks.
 func (r *record) complete() seats.Answer {
 	results := make([]seats.Result, len(r.tasks))
 	for k, t := range r.tasks {
 		results[k] = seats.Result{ID: r.sub.Job.Tasks[k].ID, Output: t.output}
-		r.size += len(t.output) + len(results[k].ID)
+		r.answerBytes += len(t.output) + len(results[k].ID)
 	}
 	return seats.Answer{ID: r.id, State: seats.Complete, Results: results}
 }
 
-// finish ends a job with its answer and tells everybody who waits. A job of
-// which nothing was started is forgotten, so that it may be submitted again. A
-// home that is not confirmed can't say so: another may have taken the job up.
+// finish ends a job and delivers its answer to all waiters. The record of a job
+// without started tasks is removed, so that it can be submitted again. An
+// unconfirmed entry never answers RanNo, since another entry may have taken the
+// job over.
 func (h *Home) finish(r *record, a seats.Answer) {
 	if a.Ran == seats.RanNo && !h.Standing(h.now) && !h.rules.SkipLastWord {
 		a.Ran = seats.RanMaybe
@@ -115,57 +115,58 @@
 	r.state = a.State
 	r.answer = a
 	h.release(r)
-	h.count(a)
+	h.countAnswer(a)
 	for _, w := range r.waiters {
-		h.tell(w, a)
+		h.deliver(w, a)
 	}
 	r.waiters = nil
 	if a.Ran == seats.RanNo && a.State != seats.Complete {
 		delete(h.records, r.key)
 		return
 	}
-	h.hold(r)
+	h.storeAnswer(r)
 }
 
-// release frees what a job holds of queue and quota.
+// release frees the job's queue entry and quota.
 func (h *Home) release(r *record) {
 	if s := h.services[r.sub.Service]; s != nil {
-		s.queue.Put(r.key, r.sub.Job.Organisation, 0, r.since)
+		s.queue.Put(r.key, r.sub.Job.Organisation, 0, r.acceptedAt)
 	}
 	h.organisation(r.sub.Job.Organisation).inFlight -= len(r.tasks)
 	r.sub.Job.Tasks = nil
 	r.tasks = nil
-	r.order = nil
+	r.waitingTasks = nil
 }
 
-// hold counts an answer against the bound and drops the oldest beyond it: what
-// is left of those says that the job ran.
-func (h *Home) hold(r *record) {
-	h.held = append(h.held, r)
-	h.heldSize += r.size
-	for h.heldSize > h.cfg.AnswerBytes && len(h.held) > 0 {
-		h.dropAnswer(h.held[0])
-		h.held = h.held[1:]
+// storeAnswer keeps an answer and drops the oldest ones beyond
+// Config.AnswerBytes.
+func (h *Home) storeAnswer(r *record) {
+	h.answered = append(h.answered, r)
+	h.answeredBytes += r.answerBytes
+	for h.answeredBytes > h.cfg.AnswerBytes && len(h.answered) > 0 {
+		h.dropAnswer(h.answered[0])
+		h.answered = h.answered[1:]
 	}
 }
 
+// dropAnswer replaces a complete answer by one that states that the job ran.
 func (h *Home) dropAnswer(r *record) {
-	h.heldSize -= r.size
-	r.size = 0
+	h.answeredBytes -= r.answerBytes
+	r.answerBytes = 0
 	if r.answer.State == seats.Complete {
-		r.answer = failed(r.id, code.AnswerDropped, seats.RanYes, "the job ran; its answer is no longer held")
+		r.answer = failed(r.id, code.AnswerDropped, seats.RanYes, "the job ran, but its answer is no longer stored")
 	}
 }
 
-// fail ends a job with a failure.
+// fail finishes a job with a failure.
 func (h *Home) fail(r *record, c code.Code, text string) {
-	h.finish(r, failed(r.id, c, r.started(), text))
+	h.finish(r, failed(r.id, c, r.ran(), text))
 }
 
-// tell hands an answer to whoever waits for it.
-func (h *Home) tell(w waiter, a seats.Answer) {
+// deliver passes an answer to a waiter here or at another seat.
+func (h *Home) deliver(w waiter, a seats.Answer) {
 	if w.seat == h.cfg.Self {
-		h.out.Answers = append(h.out.Answers, Answered{Ticket: w.ticket, Answer: a})
+		h.effects.Answers = append(h.effects.Answers, Answered{Ticket: w.ticket, Answer: a})
 		return
 	}
 	if l := h.peer(w.seat); l != nil {
@@ -173,7 +174,7 @@
 	}
 }
 
-func (h *Home) count(a seats.Answer) {
+func (h *Home) countAnswer(a seats.Answer) {
 	switch a.State {
 	case seats.Complete:
 		h.stats.Completed++
--- a/seats/home/retry_test.go
+++ b/seats/home/retry_test.go
@@ -16,23 +16,23 @@
 )
 
 // request submits a single request.
-func (x *bench) request(repeatable bool) {
+func (x *harness) request(repeatable bool) {
 	x.t.Helper()
-	x.n++
-	sub, err := job.NewSingle("trackd", "m", fmt.Sprintf("r%d", x.n), []byte("x"), repeatable, nil)
+	x.seq++
+	sub, err := job.NewSingle("trackd", "m", fmt.Sprintf("r%d", x.seq), []byte("x"), repeatable, nil)
 	assert.NilError(x.t, err)
-	x.h.Submit(x.now, x.n, sub)
+	x.h.Submit(x.now, x.seq, sub)
 }
 
-// loseWorker cuts the agent off until its starts count as lost.
-func (x *bench) loseWorker() home.Effects {
+// loseWorker disconnects the agent until its starts count as lost.
+func (x *harness) loseWorker() home.Effects {
 	x.h.LinkDown(x.now, roster.NewID("worker", 1))
 	x.now = x.now.Plus(6 * time.Second)
 	return x.h.Tick(x.now)
 }
 
-func TestNotRepeatableFailsWhenItsAgentIsLost(t *testing.T) {
-	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{})
+func TestNonRepeatableRequestFailsWithLostAgent(t *testing.T) {
+	x := newHarness(t, config.Organisation{Name: "m"}, config.Bounds{})
 	x.request(false)
 	out := x.loseWorker()
 	assert.Equal(t, len(out.Answers), 1)
@@ -42,8 +42,8 @@
 	assert.Equal(t, x.h.Stats().Retries, uint64(0))
 }
 
-func TestRepeatableIsSentAgainWithinItsBudget(t *testing.T) {
-	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{})
+func TestRetriesStayWithinBudget(t *testing.T) {
+	x := newHarness(t, config.Organisation{Name: "m"}, config.Bounds{})
 	worker := roster.NewID("worker", 1)
 	failed := 0
 	for range 20 {
@@ -54,16 +54,16 @@
 	}
 	s := x.h.Stats()
 	assert.Assert(t, s.Retries > 0)
-	// Ten are free, and a tenth of the starts.
+	// retryBurst plus a tenth of the starts.
 	assert.Assert(t, s.Retries <= 10+s.Starts/10+1, "%+v", s)
 	assert.Assert(t, failed > 0, "the budget is never used up")
 }
 
-// An answer that no frame can carry would cut the connection to the entry that
-// asked for it, again and again.
-func TestAnswerThatNoFrameCarriesIsAFailure(t *testing.T) {
-	x := newBench(t, config.Organisation{Name: "m"}, config.Bounds{})
-	x.n++
+// Guards against an answer larger than a frame, which would close the connection
+// to the waiting entry on every attempt.
+func TestOversizeAnswerFailsJob(t *testing.T) {
+	x := newHarness(t, config.Organisation{Name: "m"}, config.Bounds{})
+	x.seq++
 	j := seats.Job{ID: "large", Organisation: "m"}
 	const tasks = 7
 	for k := range tasks {
@@ -72,7 +72,7 @@
 	sub, err := job.New("trackd", j)
 	assert.NilError(t, err)
 	var out home.Effects
-	x.h.Submit(x.now, x.n, sub)
+	x.h.Submit(x.now, x.seq, sub)
 	for k := range tasks {
 		out = x.receive(roster.NewID("worker", 1), wire.Result{
 			Key: wire.TaskKey{Job: "trackd/large", Index: k}, Status: wire.Done, Output: make([]byte, 1<<20), Window: 2,
--- a/seats/home/rules_test.go
+++ b/seats/home/rules_test.go
@@ -11,22 +11,22 @@
 	"github.com/beaconpoint/beaconpoint/seats/testutil/world"
 )
 
-// mostHistories is how many histories are told at most until a fault is found.
-const mostHistories = 20000
+// maxHistories limits the histories run until one detects the fault.
+const maxHistories = 20000
 
-// rule is one rule taken out.
+// rule is one disabled safety rule.
 type rule struct {
 	name  string
 	home  home.Rules
 	guard guard.Rules
-	// from is the history to begin with: the first that noticed. Others
-	// follow, all around, if it does not any more.
+	// from is the index of the first history to run, one that is known to
+	// detect the fault. The others follow if it does not.
 	from int
 }
 
-// rules are those that the histories must notice. That an agent needs the
-// confirmation of every seat, and stops at a revision it only heard of, they do
-// not: those stand behind the doubts, and are tested in package guard.
+// rules lists the rules whose absence the histories must detect. They do not
+// detect guard.Rules.SkipStanding and SkipRevision, since doubts cover these
+// cases; package guard tests both.
 var rules = []rule{
 	{name: "home-standing", home: home.Rules{SkipStanding: true}},
 	{name: "home-hand-over", home: home.Rules{SkipHandOver: true}, from: 1367},
@@ -42,40 +42,40 @@
 	{name: "guard-records", guard: guard.Rules{SkipRecords: true}},
 }
 
-// without returns the configuration with the rule taken out.
-func (r rule) without(cfg world.Config) world.Config {
+// disabledIn returns the configuration with the rule disabled.
+func (r rule) disabledIn(cfg world.Config) world.Config {
 	cfg.HomeRules, cfg.GuardRules = r.home, r.guard
 	return cfg
 }
 
-// history is one drawn configuration and story.
+// history is a configuration with the steps of one simulation.
 type history struct {
 	cfg   world.Config
-	story []step
+	steps []step
 }
 
 var histories = rapid.Custom(func(t *rapid.T) history {
-	return history{cfg: drawConfig(t, 0), story: drawHistory(t)}
+	return history{cfg: drawConfig(t, 0), steps: drawHistory(t)}
 })
 
-// TestEachRuleIsNeeded takes each rule out in turn; the histories must then find
-// a promise broken. A rule whose absence no history notices proves nothing.
-func TestEachRuleIsNeeded(t *testing.T) {
+// TestHistoriesDetectEachDisabledRule guards against histories that would pass
+// although a safety rule is missing.
+func TestHistoriesDetectEachDisabledRule(t *testing.T) {
 	for _, c := range rules {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			found := 0
-			for n := range mostHistories {
-				k := (c.from + n) % mostHistories
+			for n := range maxHistories {
+				k := (c.from + n) % maxHistories
 				h := histories.Example(k)
-				h.cfg = c.without(h.cfg)
-				if _, err := tell(h.cfg, h.story); err != nil {
+				h.cfg = c.disabledIn(h.cfg)
+				if _, err := runHistory(h.cfg, h.steps); err != nil {
 					t.Logf("history %d: %v", k, err)
 					found++
 					break
 				}
 			}
-			assert.Assert(t, found > 0, "no history notices that the rule is gone")
+			assert.Assert(t, found > 0, "no history detects that the rule is disabled")
 		})
 	}
 }
--- a/seats/home/stats.go
+++ b/seats/home/stats.go
@@ -1,19 +1,19 @@
 package home
 
-// Stats counts what a home did, for metrics and measurements.
+// Stats counts the events of a Home, for metrics.
 type Stats struct {
 	Submitted, Completed, Failed, Refused      uint64
 	Starts, Resends, Refusals, Results, Awaits uint64
 	Forwards, Takeovers, Retries, LateResults  uint64
 }
 
-// Wasted returns the messages that led to no start or answer: a refused start
-// and its refusal, what was sent again, and what came too late.
+// Wasted returns the number of messages that led to no start or answer: refused
+// starts with their refusals, resent messages and late results.
 func (s Stats) Wasted() uint64 {
 	return 2*s.Refusals + s.Resends + s.LateResults
 }
 
-// Plus returns the sum of both counts.
+// Plus returns the sum of s and o.
 func (s Stats) Plus(o Stats) Stats {
 	return Stats{
 		Submitted: s.Submitted + o.Submitted, Completed: s.Completed + o.Completed,
@@ -26,7 +26,7 @@
 	}
 }
 
-// Stats returns what the home did so far.
+// Stats returns the counts since the Home was created.
 func (h *Home) Stats() Stats {
 	return h.stats
 }
--- a/seats/home/takeover.go
+++ b/seats/home/takeover.go
@@ -10,37 +10,37 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// takeover is what a home gathers after a change of the seats, before it speaks
-// for jobs that it was not home to all along: the hand-overs of the other
-// seats, the records of every agent, and the certainty that whoever is not
-// heard of has lapsed.
+// takeover is the state collected after a change of the seats. An entry answers
+// for jobs that it did not own before only once it has the hand-overs of the
+// other seats and the records of every agent, or the leases of the missing
+// processes have expired.
 type takeover struct {
-	// ever says that the home has been settled once.
-	ever bool
-	// views are the roster the home was last settled at and those it has
-	// adopted since; one view means that it is settled.
-	views     []*roster.View
-	pending   bool
-	handed    map[roster.ID]bool
-	collected map[roster.ID]bool
-	lapse     map[roster.ID]time.Duration // when each unheard process has lapsed
-	basis     bool                        // a seat that was settled has handed over
-	lastHeard time.Duration               // when the last hand-over or record came
-	inherited map[string]*inherited
-	moved     map[string]moved
-	orphans   map[string]int64 // jobs whose holder is gone, with their expiry
-	doubts    []doubt
-	doubted   map[string]int64 // orphans that stay in doubt, with their expiry
+	// everSettled is true once a takeover has completed.
+	everSettled bool
+	// views are the roster at which the last takeover completed and those
+	// adopted since.
+	views          []*roster.View
+	pending        bool
+	handedOver     map[roster.ID]bool
+	collected      map[roster.ID]bool
+	lapseAt        map[roster.ID]time.Duration // when the lease of each process expires
+	settledPeer    bool                        // a seat that was settled has handed over
+	lastReceivedAt time.Duration               // when the last hand-over or records arrived
+	inherited      map[string]*inherited
+	moved          map[string]moved
+	orphans        map[string]int64 // jobs whose holder is gone, with their expiry
+	doubts         []doubt
+	doubted        map[string]int64 // orphans of completed takeovers with lost records, with their expiry
 }
 
-// inherited is a job of which other seats have started tasks.
+// inherited is a job with tasks started by other seats.
 type inherited struct {
 	digest uint64
 	expiry int64
 	tasks  map[int]roster.ID
-	// whole says that nothing was missing when the home was last settled, so
-	// that this home alone may finish the job.
-	whole bool
+	// complete is set if a takeover has completed with all known records of
+	// the job, so that this entry alone may finish it.
+	complete bool
 }
 
 // moved is a job whose record another seat holds.
@@ -51,27 +51,27 @@
 
 func newTakeover() takeover {
 	return takeover{
-		handed:    make(map[roster.ID]bool),
-		collected: make(map[roster.ID]bool),
-		lapse:     make(map[roster.ID]time.Duration),
-		inherited: make(map[string]*inherited),
-		moved:     make(map[string]moved),
-		orphans:   make(map[string]int64),
-		doubted:   make(map[string]int64),
+		handedOver: make(map[roster.ID]bool),
+		collected:  make(map[roster.ID]bool),
+		lapseAt:    make(map[roster.ID]time.Duration),
+		inherited:  make(map[string]*inherited),
+		moved:      make(map[string]moved),
+		orphans:    make(map[string]int64),
+		doubted:    make(map[string]int64),
 	}
 }
 
 func (t *takeover) settled() bool {
-	return t.ever && !t.pending
+	return t.everSettled && !t.pending
 }
 
-// knows reports whether self can speak for the job: it is settled, or it was
-// home to the job at every roster since it was.
-func (t *takeover) knows(job string, self roster.ID) bool {
+// knowsJob reports whether self knows the job's state: it is settled, or it has
+// owned the job at every roster since it was.
+func (t *takeover) knowsJob(job string, self roster.ID) bool {
 	if t.settled() {
 		return true
 	}
-	if _, orphan := t.orphans[job]; orphan || !t.ever {
+	if _, orphan := t.orphans[job]; orphan || !t.everSettled {
 		return false
 	}
 	for _, v := range t.views {
@@ -82,24 +82,24 @@
 	return true
 }
 
-// lacks reports whether the seat's hand-over is still missing.
-func (t *takeover) lacks(seat roster.ID) bool {
-	return t.pending && !t.handed[seat]
+// awaitsHandOver reports whether the seat's hand-over is still missing.
+func (t *takeover) awaitsHandOver(seat roster.ID) bool {
+	return t.pending && !t.handedOver[seat]
 }
 
-// begin starts gathering for a new roster.
+// begin starts a takeover for a new roster.
 func (t *takeover) begin(now time.Duration, lapse time.Duration, v *roster.View, links map[roster.ID]*link) {
-	if t.ever {
+	if t.everSettled {
 		for id, l := range links {
-			t.lapse[id] = max(t.lapse[id], l.stampAt+lapse)
+			t.lapseAt[id] = max(t.lapseAt[id], l.stampAt+lapse)
 		}
 	}
 	t.pending = true
 	t.views = append(t.views, v)
-	t.handed = make(map[roster.ID]bool)
+	t.handedOver = make(map[roster.ID]bool)
 	t.collected = make(map[roster.ID]bool)
-	t.basis = false
-	t.lastHeard = now
+	t.settledPeer = false
+	t.lastReceivedAt = now
 	for job, m := range t.moved {
 		if !v.HasSeat(m.seat) {
 			delete(t.moved, job)
@@ -108,13 +108,13 @@
 	}
 }
 
-// collect takes an agent's records.
-func (t *takeover) collect(now time.Duration, agent roster.ID, m wire.Records) {
+// receiveRecords adds the records of an agent.
+func (t *takeover) receiveRecords(now time.Duration, agent roster.ID, m wire.Records) {
 	if !t.pending || m.Revision != t.current().Revision || t.collected[agent] {
 		return
 	}
 	t.collected[agent] = true
-	t.lastHeard = now
+	t.lastReceivedAt = now
 	for _, r := range m.Records {
 		in := t.inherited[r.Key.Job]
 		if in == nil {
@@ -125,14 +125,14 @@
 	}
 }
 
-// receive takes a seat's hand-over.
-func (t *takeover) receive(now clock.Moment, seat roster.ID, m wire.HandOver) {
-	if !t.pending || m.Revision != t.current().Revision || t.handed[seat] {
+// receiveHandOver adds the hand-over of a seat.
+func (t *takeover) receiveHandOver(now clock.Moment, seat roster.ID, m wire.HandOver) {
+	if !t.pending || m.Revision != t.current().Revision || t.handedOver[seat] {
 		return
 	}
-	t.handed[seat] = true
-	t.basis = t.basis || m.Settled
-	t.lastHeard = now.Mono
+	t.handedOver[seat] = true
+	t.settledPeer = t.settledPeer || m.Settled
+	t.lastReceivedAt = now.Mono
 	for _, j := range m.Moved {
 		t.moved[j.Job] = moved{seat: seat, expiry: j.Expiry}
 	}
@@ -147,18 +147,18 @@
 	}
 }
 
-// keepWhole marks what self inherited of its share as whole. Of other jobs the
-// agents have not told all, and a job that another seat holds goes on there:
-// what is known of those is dropped.
-func (t *takeover) keepWhole(v *roster.View, self roster.ID) {
+// markComplete marks the inherited jobs that self owns as complete. It removes
+// jobs held by another seat, and jobs owned by others unless a previous takeover
+// completed them.
+func (t *takeover) markComplete(v *roster.View, self roster.ID) {
 	for key, in := range t.inherited {
 		_, held := t.moved[key]
 		switch {
 		case held:
 			delete(t.inherited, key)
 		case v.Home(key) == self:
-			in.whole = true
-		case !in.whole:
+			in.complete = true
+		case !in.complete:
 			delete(t.inherited, key)
 		}
 	}
@@ -168,8 +168,8 @@
 	return t.views[len(t.views)-1]
 }
 
-// forget drops what has expired.
-func (t *takeover) forget(horizon int64) {
+// prune removes jobs and doubts that expired before horizon.
+func (t *takeover) prune(horizon int64) {
 	for job, in := range t.inherited {
 		if in.expiry < horizon {
 			delete(t.inherited, job)
@@ -190,20 +190,20 @@
 	t.doubts = slices.DeleteFunc(t.doubts, func(d doubt) bool { return d.Expiry < horizon })
 }
 
-// lapseTime is how long after its last stamp a process has surely lapsed: the
-// lease, and a tenth for clocks that run at different rates.
+// lapseTime returns the time after a process's last timestamp at which its lease
+// has certainly expired: the lease plus a tenth for clock drift.
 func (h *Home) lapseTime() time.Duration {
 	return h.cfg.Lease + h.cfg.Lease/10
 }
 
-// settle ends the gathering once nothing is missing.
+// settle completes the takeover once nothing is missing.
 func (h *Home) settle() {
-	t := &h.take
+	t := &h.takeover
 	if !t.pending || !h.Seated() || h.behindConfig() {
 		return
 	}
 	for _, s := range h.view.Seats {
-		if s.ID != h.cfg.Self && !t.handed[s.ID] && !h.rules.SkipHandOver {
+		if s.ID != h.cfg.Self && !t.handedOver[s.ID] && !h.rules.SkipHandOver {
 			return
 		}
 	}
@@ -215,18 +215,19 @@
 		return
 	}
 	if !complete || len(h.view.LostAgents) > 0 {
-		h.raiseDoubts()
+		h.addDoubts()
 	}
-	t.ever = true
+	t.everSettled = true
 	t.pending = false
 	t.views = []*roster.View{h.view}
 	clear(t.orphans)
-	clear(t.lapse)
-	t.keepWhole(h.view, h.cfg.Self)
+	clear(t.lapseAt)
+	t.markComplete(h.view, h.cfg.Self)
 	h.retryPending()
 }
 
-// behindConfig reports whether a higher configuration is known to be in force.
+// behindConfig reports whether no configuration was read yet or another seat has
+// a newer one.
 func (h *Home) behindConfig() bool {
 	return !h.configured || slices.ContainsFunc(h.view.Seats, func(s roster.Seat) bool {
 		l := h.links[s.ID]
@@ -235,52 +236,53 @@
 }
 
 func (h *Home) allCollected() bool {
-	return !slices.ContainsFunc(h.view.Agents, func(a roster.ID) bool { return !h.take.collected[a] })
+	return !slices.ContainsFunc(h.view.Agents, func(a roster.ID) bool { return !h.takeover.collected[a] })
 }
 
-// agentsLapsed reports whether every agent that has handed over nothing can't
-// be acting at an earlier roster any more.
+// agentsLapsed reports whether the leases at earlier rosters have expired for
+// every agent whose records are missing.
 func (h *Home) agentsLapsed() bool {
 	return !slices.ContainsFunc(h.view.Agents, func(a roster.ID) bool {
-		return !h.take.collected[a] && !h.lapsed(a)
+		return !h.takeover.collected[a] && !h.lapsed(a)
 	})
 }
 
-// seatsLapsed reports whether every seat that is gone can't be acting any more.
+// seatsLapsed reports whether the leases of all removed seats have expired.
 func (h *Home) seatsLapsed(complete bool) bool {
 	if h.rules.SkipLapse {
 		return true
 	}
 	return !slices.ContainsFunc(h.goneSeats(), func(id roster.ID) bool {
-		if !h.take.ever && !h.take.basis {
-			return !complete || h.now.Mono < h.take.lastHeard+h.lapseTime()
+		if !h.takeover.everSettled && !h.takeover.settledPeer {
+			return !complete || h.now.Mono < h.takeover.lastReceivedAt+h.lapseTime()
 		}
 		return !h.lapsed(id)
 	})
 }
 
-// lapsed reports whether the process has lapsed at every earlier roster. A
-// home that was settled counts from the last stamp it may have echoed; another
-// one from the last hand-over of a seat that was.
+// lapsed reports whether the process's leases at all earlier rosters have
+// expired. An entry that was settled before counts from the last timestamp that
+// it may have echoed, any other from the last state received, if a settled seat
+// has handed over.
 func (h *Home) lapsed(id roster.ID) bool {
-	if h.take.ever {
-		return h.now.Mono >= h.take.lapse[id]
+	if h.takeover.everSettled {
+		return h.now.Mono >= h.takeover.lapseAt[id]
 	}
-	return h.take.basis && h.now.Mono >= h.take.lastHeard+h.lapseTime()
+	return h.takeover.settledPeer && h.now.Mono >= h.takeover.lastReceivedAt+h.lapseTime()
 }
 
-// goneSeats returns the seats that have left the roster lately, but for those
-// that had handed over all before.
+// goneSeats returns the seats removed from the roster since the last completed
+// takeover, without those that had left in order.
 func (h *Home) goneSeats() []roster.ID {
 	var gone []roster.ID
-	for _, v := range h.take.views {
+	for _, v := range h.takeover.views {
 		for _, s := range v.Seats {
 			if !h.view.HasSeat(s.ID) && !s.Leaving {
 				gone = append(gone, s.ID)
 			}
 		}
 	}
-	if !h.take.ever {
+	if !h.takeover.everSettled {
 		for _, l := range h.view.LostSeats {
 			gone = append(gone, l.ID)
 		}
@@ -288,13 +290,13 @@
 	return gone
 }
 
-// longestExpiry returns the longest expiry that a job may have which was
-// accepted lately: of any service now, or before it was cut short. It is the
-// default at the least, since a home that has just joined knows of no before.
+// longestExpiry returns the longest expiry that an accepted job may have under
+// the present or the previous configuration. It is at least the default, since
+// an entry that has just joined does not know the previous one.
 func (h *Home) longestExpiry() time.Duration {
 	longest := longestOf(h.config)
-	if h.now.Mono < h.longerUntil {
-		longest = max(longest, h.longer)
+	if h.now.Mono < h.previousLongestUntil {
+		longest = max(longest, h.previousLongest)
 	}
 	return longest
 }
--- a/seats/home/tick.go
+++ b/seats/home/tick.go
@@ -11,105 +11,104 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// expiryGrain is the precision with which a job's expiry is noticed.
-const expiryGrain = 50 // milliseconds
+// expirySlotMS is the granularity at which jobs expire.
+const expirySlotMS = 50
 
-// Tick does what is due by time alone. It is called every few tens of
+// Tick handles timeouts and periodic work. The caller calls it every few tens of
 // milliseconds.
 func (h *Home) Tick(now clock.Moment) Effects {
 	h.now = now
-	h.noteSeats()
+	h.trackSeats()
 	h.expireJobs()
 	h.expireForwards()
 	h.tickLinks()
-	if h.take.pending && now.Mono >= h.gatherAt {
-		h.gatherAt = now.Mono + h.cfg.Heartbeat
-		h.gather()
+	if h.takeover.pending && now.Mono >= h.nextExchangeAt {
+		h.nextExchangeAt = now.Mono + h.cfg.Heartbeat
+		h.exchangeState()
 	}
 	h.settle()
 	h.retryPending()
 	for _, name := range slices.Sorted(maps.Keys(h.services)) {
-		h.pump(name)
+		h.startWaiting(name)
 	}
 	h.propose()
 	if h.needRead && now.Mono >= h.readAfter {
 		h.needRead = false
-		h.out.Read = true
+		h.effects.Read = true
 	}
-	h.tidy()
-	return h.drain()
+	h.prune()
+	return h.takeEffects()
 }
 
-// noteSeats remembers since when each seat is expected to be heard.
-func (h *Home) noteSeats() {
+// trackSeats records when each seat was first seen in the roster.
+func (h *Home) trackSeats() {
 	for _, s := range h.view.Seats {
-		if _, ok := h.adoptedAt[s.ID]; !ok {
-			h.adoptedAt[s.ID] = h.now.Mono
+		if _, ok := h.expectedSince[s.ID]; !ok {
+			h.expectedSince[s.ID] = h.now.Mono
 		}
 	}
 }
 
-// tickLinks sends heartbeats where nothing else told the peer or this home
-// anything, asks after old starts and gives up on lost agents.
+// tickLinks sends due heartbeats, resends overdue starts and fails the starts of
+// lost agents.
 func (h *Home) tickLinks() {
 	for _, l := range h.ordered {
-		if l.up && h.beatDue(l) {
-			h.beat(l)
+		if l.up && h.heartbeatDue(l) {
+			h.sendHeartbeat(l)
 		}
 		if l.role != wire.RoleAgent {
 			continue
 		}
 		if !l.up && len(l.starts) > 0 && h.now.Mono-l.changedAt > h.cfg.AgentLost {
-			h.lose(l)
+			h.failStarts(l)
 		}
 		if l.up {
-			h.askOverdue(l)
+			h.resendOverdue(l)
 		}
 	}
 }
 
-// askOverdue asks after the starts that were not answered for long.
-func (h *Home) askOverdue(l *link) {
+// resendOverdue repeats the starts not answered within resendInterval.
+func (h *Home) resendOverdue(l *link) {
 	overdue := make(map[wire.TaskKey]*start)
 	for key, s := range l.starts {
-		if h.now.Mono-s.asked >= askAgain {
+		if h.now.Mono-s.lastSentAt >= resendInterval {
 			overdue[key] = s
 		}
 	}
 	for _, key := range sortedTasks(overdue) {
-		h.askAfter(l, key, overdue[key])
+		h.resendStart(l, key, overdue[key])
 	}
 }
 
-// sortedTasks returns the keys in a fixed order, so that the same events always
-// have the same effects.
+// sortedTasks returns the keys in ascending order, so that effects are
+// deterministic.
 func sortedTasks[V any](m map[wire.TaskKey]V) []wire.TaskKey {
 	return slices.SortedFunc(maps.Keys(m), wire.TaskKey.Compare)
 }
 
-func (h *Home) beatDue(l *link) bool {
+func (h *Home) heartbeatDue(l *link) bool {
 	interval := h.cfg.Heartbeat
 	if l.role == wire.RoleAgent {
 		interval = h.cfg.AgentHeartbeat
 	}
 	quiet := h.now.Mono - min(l.sentAt, l.stampAt)
-	if quiet < interval || h.now.Mono-l.beatAt < interval {
+	if quiet < interval || h.now.Mono-l.heartbeatAt < interval {
 		return false
 	}
-	l.beatAt = h.now.Mono
+	l.heartbeatAt = h.now.Mono
 	return true
 }
 
-// expireAt makes sure that r is looked at when the calendar reads ms.
+// expireAt schedules a call of expire for r at ms, in Unix milliseconds.
 func (h *Home) expireAt(r *record, ms int64) {
-	slot := ms/expiryGrain + 1
+	slot := ms/expirySlotMS + 1
 	h.expiries[slot] = append(h.expiries[slot], r)
 }
 
-// expireJobs fails the jobs whose expiry has passed and forgets those whose
-// records can't matter any more.
+// expireJobs calls expire for the records that are due.
 func (h *Home) expireJobs() {
-	present := h.now.Wall.UnixMilli() / expiryGrain
+	present := h.now.Wall.UnixMilli() / expirySlotMS
 	var due []int64
 	for slot := range h.expiries {
 		if slot <= present {
@@ -126,6 +125,8 @@
 	}
 }
 
+// expire fails a running job and removes its record once Config.Skew has passed
+// after the expiry.
 func (h *Home) expire(r *record) {
 	if h.records[r.key] != r {
 		return
@@ -142,13 +143,13 @@
 	delete(h.records, r.key)
 }
 
-// tidy forgets what can't matter any more, now and then.
-func (h *Home) tidy() {
-	if h.now.Mono < h.tidyAt {
+// prune removes expired state once a second.
+func (h *Home) prune() {
+	if h.now.Mono < h.nextPruneAt {
 		return
 	}
-	h.tidyAt = h.now.Mono + time.Second
-	h.take.forget(h.now.Wall.Add(-h.cfg.Skew).UnixMilli())
+	h.nextPruneAt = h.now.Mono + time.Second
+	h.takeover.prune(h.now.Wall.Add(-h.cfg.Skew).UnixMilli())
 	h.ordered = slices.DeleteFunc(h.ordered, func(l *link) bool {
 		stale := !l.up && len(l.starts) == 0 && h.now.Mono-l.changedAt > h.cfg.AgentGone
 		if !stale || h.view.HasAgent(l.id) || h.view.HasSeat(l.id) {
@@ -158,12 +159,12 @@
 		delete(h.links, l.id)
 		return true
 	})
-	for id := range h.adoptedAt {
+	for id := range h.expectedSince {
 		if !h.view.HasSeat(id) {
-			delete(h.adoptedAt, id)
+			delete(h.expectedSince, id)
 		}
 	}
-	for len(h.held) > 0 && h.held[0].size == 0 {
-		h.held = h.held[1:]
+	for len(h.answered) > 0 && h.answered[0].answerBytes == 0 {
+		h.answered = h.answered[1:]
 	}
 }
