--- a/seats/guard/guard.go
+++ b/seats/guard/guard.go
@@ -1,6 +1,7 @@
-// Package guard is the state machine of an agent: it decides which starts are
-// performed, remembers them, and hands its records to the seats that ask. It
-// has no goroutine and no clock; the caller serializes the calls.
+// Package guard is the state machine of an agent. It decides which starts to
+// perform, keeps a record of each, and sends its records to seats on request. It
+// starts no goroutine and reads no clock: the caller serializes the calls and
+// carries out the returned effects.
 package guard
 
 import (
@@ -13,40 +14,40 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// Config is what a guard needs to know of its place.
+// Config holds the identity of an agent and its limits.
 type Config struct {
-	// Self is this life of the agent.
+	// Self identifies this incarnation of the agent.
 	Self roster.ID
-	// Lease is how long a seat's confirmation holds.
+	// Lease is how long a seat's confirmation is valid.
 	Lease time.Duration
-	// Skew is how far the calendars of two hosts may differ; records are
-	// kept for so long after a job's expiry.
+	// Skew is the largest difference between the wall clocks of two hosts.
+	// Records are kept for Skew after a job's expiry.
 	Skew time.Duration
-	// Queue is how many accepted tasks may wait for a slot.
+	// Queue is the number of accepted tasks that may wait for a slot.
 	Queue int
-	// OutputBytes bounds the held outputs; the oldest are dropped first.
+	// OutputBytes limits the stored outputs; the oldest are dropped first.
 	OutputBytes int
 }
 
-// Effects is what the caller must do after an event, in order.
+// Effects lists what the caller must do after an event, in order.
 type Effects struct {
 	Sends []Send
 	Runs  []Run
 }
 
-// Send is a frame for a seat.
+// Send is a frame to send to a seat.
 type Send struct {
 	To    roster.ID
 	Frame wire.Frame
 }
 
-// Run is a task to be performed at the target.
+// Run is a task to run at the target.
 type Run struct {
 	Start wire.Start
 }
 
-// Rules are the guard's safety rules. A test takes one out to show that the
-// failure it prevents is then found; in service all hold.
+// Rules disables single safety rules. Tests use it to show that each rule
+// prevents a failure; in production all rules apply.
 type Rules struct {
 	SkipStanding bool
 	SkipSeat     bool
@@ -55,31 +56,31 @@
 	SkipRevision bool
 }
 
-// Guard decides about starts at one target.
+// Guard accepts and records the starts of tasks at one target.
 type Guard struct {
-	cfg      Config
-	rules    Rules
-	view     *roster.View
-	heard    uint64 // highest roster revision seen on any frame
-	standing *lease.Standing
-	links    map[roster.ID]*link
-	records  map[wire.TaskKey]*record
-	held     []wire.TaskKey // records with outputs, oldest first
-	heldSize int
-	queue    []wire.TaskKey
-	running  int
-	target   wire.Target
-	config   uint64
-	leaving  bool
-	out      Effects
-}
-
-// link is what the guard knows of one seat.
+	cfg           Config
+	rules         Rules
+	view          *roster.View
+	seenRevision  uint64 // the highest roster revision received in any frame
+	confirmations *lease.Standing
+	links         map[roster.ID]*link
+	records       map[wire.TaskKey]*record
+	withOutput    []wire.TaskKey // ended records, oldest first
+	outputBytes   int
+	queue         []wire.TaskKey
+	running       int
+	target        wire.Target
+	config        uint64
+	leaving       bool
+	effects       Effects
+}
+
+// link is the state kept for one seat.
 type link struct {
-	seq    uint64 // of the last frame sent to it
-	seen   uint64 // of the last frame taken from it
-	stamp  int64  // the latest stamp it gave
-	demand int
+	seq     uint64 // of the last frame sent to it
+	lastSeq uint64 // sequence number of the last frame accepted from it
+	stamp   int64  // the latest timestamp received from it
+	demand  int    // its tasks, waiting and running, for the service
 }
 
 // record is one accepted start.
@@ -88,25 +89,25 @@
 	start   wire.Start
 	ended   bool
 	result  wire.Result
-	waiters map[roster.ID]uint64 // seat to the seq it waits on
+	waiters map[roster.ID]uint64 // sequence number of the request to answer, by seat
 }
 
-// Option changes a Guard as it is made.
+// Option configures a new Guard.
 type Option func(*Guard)
 
-// WithRules makes a guard without some of its rules, for tests.
+// WithRules disables safety rules, for tests.
 func WithRules(r Rules) Option {
 	return func(g *Guard) { g.rules = r }
 }
 
-// NewGuard returns a guard that has started nothing and confirms nobody.
+// NewGuard returns a Guard without records and confirmations.
 func NewGuard(cfg Config, opts ...Option) *Guard {
 	g := &Guard{
-		cfg:      cfg,
-		view:     roster.NewView(roster.Roster{}),
-		standing: lease.NewStanding(cfg.Lease),
-		links:    make(map[roster.ID]*link),
-		records:  make(map[wire.TaskKey]*record),
+		cfg:           cfg,
+		view:          roster.NewView(roster.Roster{}),
+		confirmations: lease.NewStanding(cfg.Lease),
+		links:         make(map[roster.ID]*link),
+		records:       make(map[wire.TaskKey]*record),
 	}
 	for _, o := range opts {
 		o(g)
@@ -114,25 +115,25 @@
 	return g
 }
 
-// Receive handles one frame from the entry from.
+// Receive handles one frame sent by the entry from.
 func (g *Guard) Receive(now clock.Moment, from roster.ID, f wire.Frame) Effects {
 	l := g.link(from)
-	if f.Seq <= l.seen && !g.rules.SkipOrder {
-		return g.drain()
+	if f.Seq <= l.lastSeq && !g.rules.SkipOrder {
+		return g.takeEffects()
 	}
-	l.seen = max(l.seen, f.Seq)
+	l.lastSeq = max(l.lastSeq, f.Seq)
 	l.stamp = max(l.stamp, f.Stamp)
 	g.confirm(from, f.Header)
 	g.handle(now, from, f)
-	return g.drain()
+	return g.takeEffects()
 }
 
-// Ended notes how a Run ended: Done, Failed, or NotRun where the target was
-// certainly not reached.
+// Ended handles the end of a Run. Its status is Done, Failed, or NotRun if the
+// task certainly did not reach the target.
 func (g *Guard) Ended(now clock.Moment, key wire.TaskKey, status wire.Status, c code.Code, output []byte) Effects {
 	r := g.records[key]
 	if r == nil || r.ended {
-		return g.drain()
+		return g.takeEffects()
 	}
 	g.running--
 	r.ended = true
@@ -141,31 +142,31 @@
 	if status == wire.NotRun {
 		delete(g.records, key)
 	} else {
-		g.hold(key, len(output))
+		g.storeOutput(key, len(output))
 	}
-	g.fill(now)
-	return g.drain()
+	g.startQueued(now)
+	return g.takeEffects()
 }
 
-// Tick forgets what has expired.
+// Tick removes the expired records.
 func (g *Guard) Tick(now clock.Moment) Effects {
 	horizon := now.Wall.Add(-g.cfg.Skew).UnixMilli()
 	for key, r := range g.records {
 		if r.ended && r.Expiry < horizon {
-			g.release(r)
+			g.dropOutput(r)
 			delete(g.records, key)
 		}
 	}
-	return g.drain()
+	return g.takeEffects()
 }
 
-// Leave makes the guard refuse new starts and tell every seat.
+// Leave refuses all further starts and notifies every seat.
 func (g *Guard) Leave(now clock.Moment) Effects {
 	g.leaving = true
 	for _, seat := range sortedIDs(g.links) {
-		g.beat(now, seat)
+		g.sendHeartbeat(now, seat)
 	}
-	return g.drain()
+	return g.takeEffects()
 }
 
 // Idle reports whether no accepted task is waiting or running.
@@ -173,9 +174,10 @@
 	return g.running == 0 && len(g.queue) == 0
 }
 
-// Standing reports whether the guard would accept a start now.
+// Standing reports whether every seat confirms this agent and no newer roster
+// is known.
 func (g *Guard) Standing(now clock.Moment) bool {
-	return g.heard <= g.view.Revision && g.standing.Holds(now.Mono, g.view.Seats, g.cfg.Self)
+	return g.seenRevision <= g.view.Revision && g.confirmations.Holds(now.Mono, g.view.Seats, g.cfg.Self)
 }
 
 // Revisions returns the revisions of the roster and the configuration in
@@ -193,28 +195,29 @@
 	return l
 }
 
-// confirm takes the echo of a frame. One from a higher revision confirms
-// nothing until that roster is held.
+// confirm renews the confirmation by a seat from the echoed timestamp. A frame
+// with a higher roster revision confirms nothing until that roster is adopted.
 func (g *Guard) confirm(from roster.ID, h wire.Header) {
 	if h.Revision > g.view.Revision {
-		g.heard = max(g.heard, h.Revision)
+		g.seenRevision = max(g.seenRevision, h.Revision)
 		if !g.rules.SkipRevision {
 			return
 		}
 	}
-	g.standing.Confirm(from, time.Duration(h.Echo))
+	g.confirmations.Confirm(from, time.Duration(h.Echo))
 }
 
-func (g *Guard) drain() Effects {
-	out := g.out
-	g.out = Effects{}
+// takeEffects returns and clears the collected effects.
+func (g *Guard) takeEffects() Effects {
+	out := g.effects
+	g.effects = Effects{}
 	return out
 }
 
 func (g *Guard) send(now clock.Moment, to roster.ID, body wire.Message) {
 	l := g.link(to)
 	l.seq++
-	g.out.Sends = append(g.out.Sends, Send{To: to, Frame: wire.Frame{
+	g.effects.Sends = append(g.effects.Sends, Send{To: to, Frame: wire.Frame{
 		Header: wire.Header{
 			Seq:      l.seq,
 			Revision: g.view.Revision,
--- a/seats/guard/guard_test.go
+++ b/seats/guard/guard_test.go
@@ -20,8 +20,8 @@
 	seatB = roster.NewID("entry-b", 1)
 )
 
-// bench is one guard with two seats.
-type bench struct {
+// harness is one Guard with two seats.
+type harness struct {
 	t   *testing.T
 	g   *Guard
 	now clock.Moment
@@ -36,8 +36,8 @@
 	return r
 }
 
-func newBench(t *testing.T) *bench {
-	x := &bench{
+func newHarness(t *testing.T) *harness {
+	x := &harness{
 		t:   t,
 		g:   NewGuard(Config{Self: self, Lease: testLease, Skew: time.Second, OutputBytes: 100}),
 		now: clock.Moment{Mono: time.Second, Wall: time.Unix(1_700_000_000, 0)},
@@ -48,21 +48,21 @@
 	return x
 }
 
-// receive hands the guard a frame that echoes its present stamp.
-func (x *bench) receive(from roster.ID, revision uint64, m wire.Message) Effects {
+// receive passes the guard a frame that echoes its current time.
+func (x *harness) receive(from roster.ID, revision uint64, m wire.Message) Effects {
 	x.seq++
 	return x.g.Receive(x.now, from, wire.Frame{
 		Header: wire.Header{Kind: m.Kind(), Seq: x.seq, Revision: revision, Config: 1, Echo: int64(x.now.Mono)}, Body: m,
 	})
 }
 
-func (x *bench) confirmAll(revision uint64) {
+func (x *harness) confirmAll(revision uint64) {
 	x.receive(seatA, revision, wire.Heartbeat{})
 	x.receive(seatB, revision, wire.Heartbeat{})
 }
 
-// start asks for a task and returns how it was answered at once, or zero.
-func (x *bench) start(from roster.ID, job string) (wire.Result, Effects) {
+// start sends the start of a task and returns the immediate result, if any.
+func (x *harness) start(from roster.ID, job string) (wire.Result, Effects) {
 	out := x.receive(from, 1, wire.Start{
 		Key: wire.TaskKey{Job: "s/" + job}, Digest: 7, Service: "s", Expiry: x.now.Wall.Add(time.Minute).UnixMilli(),
 	})
@@ -74,7 +74,7 @@
 	return wire.Result{}, out
 }
 
-func (x *bench) assertRefused(from roster.ID, job string, want code.Code) {
+func (x *harness) assertRefused(from roster.ID, job string, want code.Code) {
 	x.t.Helper()
 	r, out := x.start(from, job)
 	assert.Equal(x.t, r.Status, wire.NotRun)
@@ -82,12 +82,12 @@
 	assert.Equal(x.t, len(out.Runs), 0)
 }
 
-func TestStartNeedsEverySeatWithinTheLease(t *testing.T) {
-	x := newBench(t)
+func TestStartRequiresConfirmationByEverySeat(t *testing.T) {
+	x := newHarness(t)
 	_, out := x.start(seatA, "first")
 	assert.Equal(t, len(out.Runs), 1)
 	x.now = x.now.Plus(testLease - time.Millisecond)
-	x.receive(seatA, 1, wire.Heartbeat{}) // only one of the two goes on
+	x.receive(seatA, 1, wire.Heartbeat{}) // the other seat stops confirming
 	_, out = x.start(seatA, "second")
 	assert.Equal(t, len(out.Runs), 1)
 	x.now = x.now.Plus(time.Millisecond)
@@ -98,8 +98,8 @@
 	assert.Equal(t, len(out.Runs), 1)
 }
 
-func TestConfirmationIsAsOldAsTheStampItEchoes(t *testing.T) {
-	x := newBench(t)
+func TestConfirmationCountsFromEchoedTimestamp(t *testing.T) {
+	x := newHarness(t)
 	old := x.now.Mono
 	x.now = x.now.Plus(testLease)
 	for _, id := range []roster.ID{seatA, seatB} {
@@ -109,8 +109,8 @@
 	x.assertRefused(seatA, "late", code.AgentNotConfirmed)
 }
 
-func TestRevisionHeardOfStopsTheGuardUntilItHoldsIt(t *testing.T) {
-	x := newBench(t)
+func TestStartsRefusedUntilNewerRosterIsAdopted(t *testing.T) {
+	x := newHarness(t)
 	x.receive(seatB, 2, wire.Heartbeat{})
 	x.assertRefused(seatA, "early", code.StaleRevision)
 	x.receive(seatB, 2, wire.Roster{Roster: rosterAt(2, seatB)})
@@ -120,29 +120,29 @@
 	assert.Equal(t, len(out.Runs), 1)
 }
 
-func TestHigherRevisionConfirmsNothing(t *testing.T) {
-	x := newBench(t)
+func TestFrameWithHigherRevisionDoesNotConfirm(t *testing.T) {
+	x := newHarness(t)
 	x.now = x.now.Plus(testLease)
 	x.receive(seatA, 1, wire.Heartbeat{})
 	x.receive(seatB, 2, wire.Heartbeat{})
 	assert.Assert(t, !x.g.Standing(x.now))
 }
 
-func TestRecordAnswersInPlaceOfASecondStart(t *testing.T) {
-	x := newBench(t)
+func TestRepeatedStartIsAnsweredFromRecord(t *testing.T) {
+	x := newHarness(t)
 	_, out := x.start(seatA, "job")
 	assert.Equal(t, len(out.Runs), 1)
 	r, out := x.start(seatB, "job")
 	assert.Equal(t, len(out.Runs), 0)
-	assert.Equal(t, r.Status, wire.Status(0), "it waits for the end")
+	assert.Equal(t, r.Status, wire.Status(0), "the answer waits for the task's end")
 	out = x.g.Ended(x.now, wire.TaskKey{Job: "s/job"}, wire.Done, code.OK, []byte("1"))
-	assert.Equal(t, len(out.Sends), 2, "both are told")
+	assert.Equal(t, len(out.Sends), 2, "both seats get the result")
 	r, _ = x.start(seatB, "job")
 	assert.Equal(t, string(r.Output), "1")
 }
 
-func TestOldOutputsAreDroppedNotForgotten(t *testing.T) {
-	x := newBench(t)
+func TestDroppedOutputDoesNotAllowSecondStart(t *testing.T) {
+	x := newHarness(t)
 	for _, job := range []string{"one", "two"} {
 		x.start(seatA, job)
 		x.g.Ended(x.now, wire.TaskKey{Job: "s/" + job}, wire.Done, code.OK, make([]byte, 80))
--- a/seats/guard/start.go
+++ b/seats/guard/start.go
@@ -14,13 +14,13 @@
 	switch m := f.Body.(type) {
 	case wire.Heartbeat:
 		g.link(from).demand = m.Waiting + m.Running
-		g.beat(now, from)
+		g.sendHeartbeat(now, from)
 	case wire.Roster:
 		g.adopt(m.Roster)
-		g.beat(now, from)
+		g.sendHeartbeat(now, from)
 	case wire.Target:
 		g.configure(f.Config, m)
-		g.beat(now, from)
+		g.sendHeartbeat(now, from)
 	case wire.Start:
 		g.start(now, from, f.Seq, m)
 	case wire.Await:
@@ -30,14 +30,14 @@
 	}
 }
 
-// adopt takes a roster with a higher revision; a lower one changes nothing.
+// adopt replaces the roster in force if r has a higher revision.
 func (g *Guard) adopt(r roster.Roster) {
 	if r.Revision <= g.view.Revision {
 		return
 	}
 	g.view = roster.NewView(r)
-	g.heard = max(g.heard, r.Revision)
-	g.standing.Keep(r.Seats)
+	g.seenRevision = max(g.seenRevision, r.Revision)
+	g.confirmations.Keep(r.Seats)
 	for id := range g.links {
 		if !r.HasSeat(id) {
 			g.links[id].demand = 0
@@ -45,7 +45,8 @@
 	}
 }
 
-// configure takes the target's part of a higher configuration revision.
+// configure applies the target's part of the configuration if revision is
+// higher than the present one.
 func (g *Guard) configure(revision uint64, t wire.Target) {
 	if revision <= g.config {
 		return
@@ -54,10 +55,10 @@
 	g.target = t
 }
 
-// start accepts a task, answers from its record, or refuses it as not run.
+// start accepts a task, answers from its record, or refuses it with NotRun.
 func (g *Guard) start(now clock.Moment, from roster.ID, seq uint64, m wire.Start) {
 	if r := g.records[m.Key]; r != nil && !g.rules.SkipRecords {
-		g.attach(now, from, seq, r, m.Digest)
+		g.answerFromRecord(now, from, seq, r, m.Digest)
 		return
 	}
 	if c := g.refusal(now, from, m); c != code.OK {
@@ -70,17 +71,17 @@
 		waiters: map[roster.ID]uint64{from: seq},
 	}
 	g.queue = append(g.queue, m.Key)
-	g.fill(now)
+	g.startQueued(now)
 }
 
-// refusal returns why a start can't be accepted, or OK.
+// refusal returns the code with which a start is refused, or code.OK.
 func (g *Guard) refusal(now clock.Moment, from roster.ID, m wire.Start) code.Code {
 	switch {
 	case !g.view.HasSeat(from) && !g.rules.SkipSeat:
 		return code.NotASeat
-	case g.heard > g.view.Revision && !g.rules.SkipRevision:
+	case g.seenRevision > g.view.Revision && !g.rules.SkipRevision:
 		return code.StaleRevision
-	case !g.standing.Holds(now.Mono, g.view.Seats, g.cfg.Self) && !g.rules.SkipStanding:
+	case !g.confirmations.Holds(now.Mono, g.view.Seats, g.cfg.Self) && !g.rules.SkipStanding:
 		return code.AgentNotConfirmed
 	case !g.view.HasAgent(g.cfg.Self):
 		return code.AgentNotConfirmed
@@ -98,8 +99,9 @@
 	return code.OK
 }
 
-// attach answers from a record, at once or when the task ends.
-func (g *Guard) attach(now clock.Moment, from roster.ID, seq uint64, r *record, digest uint64) {
+// answerFromRecord answers a request from a record, immediately or when the task
+// ends. A zero digest matches every record.
+func (g *Guard) answerFromRecord(now clock.Moment, from roster.ID, seq uint64, r *record, digest uint64) {
 	switch {
 	case digest != 0 && digest != r.Digest:
 		g.answer(now, from, seq, wire.Result{Key: r.Key, Status: wire.Failed, Code: code.Conflict})
@@ -112,15 +114,15 @@
 
 func (g *Guard) await(now clock.Moment, from roster.ID, seq uint64, key wire.TaskKey) {
 	if r := g.records[key]; r != nil {
-		g.attach(now, from, seq, r, 0)
+		g.answerFromRecord(now, from, seq, r, 0)
 		return
 	}
 	g.answer(now, from, seq, wire.Result{Key: key, Status: wire.NotRun, Code: code.NoRecord})
 }
 
-// collect hands over the records of the jobs that from is home to and that
-// others started. It answers only at the revision it is asked for, when the
-// seats that are gone can't start anything here any more.
+// collect sends a seat the records of the jobs that it owns and that others
+// started. It answers only if the requested revision is in force, since removed
+// seats can start nothing here at that revision.
 func (g *Guard) collect(now clock.Moment, from roster.ID, m wire.Collect) {
 	if m.Revision != g.view.Revision {
 		return
@@ -134,8 +136,8 @@
 	g.send(now, from, wire.Records{Revision: m.Revision, Records: found})
 }
 
-// fill hands waiting tasks to free slots.
-func (g *Guard) fill(now clock.Moment) {
+// startQueued runs queued tasks while slots are free.
+func (g *Guard) startQueued(now clock.Moment) {
 	for len(g.queue) > 0 && g.running < g.target.Slots {
 		key := g.queue[0]
 		g.queue = g.queue[1:]
@@ -145,12 +147,12 @@
 			g.expire(now, key)
 			continue
 		}
-		g.out.Runs = append(g.out.Runs, Run{Start: r.start})
+		g.effects.Runs = append(g.effects.Runs, Run{Start: r.start})
 		r.start.Payload = nil
 	}
 }
 
-// expire ends an accepted task whose expiry passed before it got a slot.
+// expire ends an accepted task whose expiry passed before a slot was free.
 func (g *Guard) expire(now clock.Moment, key wire.TaskKey) {
 	r := g.records[key]
 	g.running--
@@ -165,7 +167,7 @@
 	g.send(now, to, r)
 }
 
-// answerAll tells every seat that waits on r.
+// answerAll sends the result to every seat that waits for r.
 func (g *Guard) answerAll(now clock.Moment, r *record, result wire.Result) {
 	for _, seat := range sortedIDs(r.waiters) {
 		g.answer(now, seat, r.waiters[seat], result)
@@ -173,13 +175,13 @@
 	r.waiters = nil
 }
 
-// sortedIDs returns the keys in a fixed order, so that the same events always
-// have the same effects.
+// sortedIDs returns the keys in ascending order, so that effects are
+// deterministic.
 func sortedIDs[V any](m map[roster.ID]V) []roster.ID {
 	return slices.SortedFunc(maps.Keys(m), roster.ID.Compare)
 }
 
-func (g *Guard) beat(now clock.Moment, to roster.ID) {
+func (g *Guard) sendHeartbeat(now clock.Moment, to roster.ID) {
 	g.send(now, to, wire.AgentHeartbeat{
 		Service:  g.target.Service,
 		Window:   g.window(to),
@@ -189,21 +191,22 @@
 	})
 }
 
-// hold counts an output against the bound and drops the oldest beyond it.
-func (g *Guard) hold(key wire.TaskKey, size int) {
-	g.held = append(g.held, key)
-	g.heldSize += size
-	for g.heldSize > g.cfg.OutputBytes && len(g.held) > 0 {
-		if r := g.records[g.held[0]]; r != nil {
-			g.release(r)
+// storeOutput counts an output and drops the oldest ones beyond
+// Config.OutputBytes.
+func (g *Guard) storeOutput(key wire.TaskKey, size int) {
+	g.withOutput = append(g.withOutput, key)
+	g.outputBytes += size
+	for g.outputBytes > g.cfg.OutputBytes && len(g.withOutput) > 0 {
+		if r := g.records[g.withOutput[0]]; r != nil {
+			g.dropOutput(r)
 		}
-		g.held = g.held[1:]
+		g.withOutput = g.withOutput[1:]
 	}
 }
 
-// release drops a record's output; what is left tells that the task ran.
-func (g *Guard) release(r *record) {
-	g.heldSize -= len(r.result.Output)
+// dropOutput drops a record's output. The record still shows that the task ran.
+func (g *Guard) dropOutput(r *record) {
+	g.outputBytes -= len(r.result.Output)
 	if r.result.Status == wire.Done {
 		r.result = wire.Result{Key: r.Key, Status: wire.Failed, Code: code.AnswerDropped}
 	}
--- a/seats/guard/window.go
+++ b/seats/guard/window.go
@@ -2,13 +2,14 @@
 
 import "github.com/beaconpoint/beaconpoint/seats/roster"
 
-// capacity is how many accepted tasks the agent holds at once.
+// capacity returns the number of accepted tasks that the agent may hold at once.
 func (g *Guard) capacity() int {
 	return g.target.Slots + g.cfg.Queue
 }
 
-// window deals the agent's capacity out. Its owner has all of it, but for what
-// other seats need for jobs that they still own; those share by demand.
+// window returns the seat's share of the agent's capacity. Seats share it in
+// proportion to their demand, in which the agent's owner counts with at least
+// one task.
 func (g *Guard) window(to roster.ID) int {
 	if g.leaving || g.target.Drained || !g.view.HasSeat(to) {
 		return 0
@@ -20,8 +21,8 @@
 	return max(g.capacity()*own/total, 1)
 }
 
-// demand returns the tasks that the seat and all seats have for this agent; its
-// owner counts with one at the least.
+// demand returns the number of tasks that the seat to and all seats together
+// have for this agent. The agent's owner counts with at least one.
 func (g *Guard) demand(to roster.ID) (own, total int) {
 	owner := g.view.Owner(g.target.Service, g.cfg.Self.Name)
 	for _, s := range g.view.Seats {
