--- a/seats/agent/agent.go
+++ b/seats/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent runs an agent: the process beside a target that guards and
-// performs its starts. It carries frames and tasks to and from the guard.
+// Package agent runs an agent, the process next to a target that accepts starts
+// from entries and runs the tasks at the target. Package guard makes the
+// decisions; this package connects it to the network and the target.
 package agent
 
 import (
@@ -24,10 +25,11 @@
 // Intervals of an agent.
 const (
 	tickInterval = 500 * time.Millisecond
-	// drainPoll is how often a stopping agent looks whether it has finished.
-	drainPoll = 20 * time.Millisecond
-	// drainLinger is how long the last results may take to leave.
-	drainLinger = 200 * time.Millisecond
+	// drainPollInterval is the interval at which a stopping agent checks whether its
+	// tasks have ended.
+	drainPollInterval = 20 * time.Millisecond
+	// resultFlushTime is the time for the last results to be sent.
+	resultFlushTime = 200 * time.Millisecond
 )
 
 // Agent is one running agent.
@@ -41,33 +43,33 @@
 	stats    wire.Stats
 	tasks    sync.WaitGroup
 	serving  sync.WaitGroup
-	closed   bool // no connection is taken any more
-	// work is done when what still runs has to be given up.
-	work   context.Context
-	giveUp context.CancelFunc
+	closed   bool // new connections are rejected
+	// taskCtx is cancelled when the agent stops waiting for running tasks.
+	taskCtx     context.Context
+	cancelTasks context.CancelFunc
 
 	mu    sync.Mutex
 	guard *guard.Guard
 	conns map[roster.ID]*wire.Conn
 }
 
-// NewAgent returns an agent that listens at its settings' address.
+// NewAgent returns an agent that listens on cfg.Peers.
 func NewAgent(cfg settings.Settings, log *slog.Logger) (*Agent, error) {
-	l, err := net.Listen("tcp", cfg.Peers)
+	listener, err := net.Listen("tcp", cfg.Peers)
 	if err != nil {
 		return nil, err
 	}
 	self := roster.NewID(cfg.Name, NewIncarnation())
-	work, giveUp := context.WithCancel(context.Background())
+	taskCtx, cancelTasks := context.WithCancel(context.Background())
 	return &Agent{
-		cfg:      cfg,
-		log:      log.With("role", wire.RoleAgent, "seat", self.String()),
-		self:     self,
-		clock:    clock.New(),
-		target:   target.NewClient(cfg.Agent.Target),
-		listener: l,
-		work:     work,
-		giveUp:   giveUp,
+		cfg:         cfg,
+		log:         log.With("role", wire.RoleAgent, "seat", self.String()),
+		self:        self,
+		clock:       clock.New(),
+		target:      target.NewClient(cfg.Agent.Target),
+		listener:    listener,
+		taskCtx:     taskCtx,
+		cancelTasks: cancelTasks,
 		guard: guard.NewGuard(guard.Config{
 			Self:        self,
 			Lease:       cfg.Lease,
@@ -79,47 +81,47 @@
 	}, nil
 }
 
-// NewIncarnation returns a number that no other life of a process has.
+// NewIncarnation returns a random number that identifies one run of a process.
 func NewIncarnation() uint64 {
 	var raw [8]byte
 	_, _ = rand.Read(raw[:]) // never fails
 	return binary.BigEndian.Uint64(raw[:]) >> 1
 }
 
-// Addr returns where the agent listens.
+// Addr returns the address on which the agent listens.
 func (a *Agent) Addr() string {
 	return a.listener.Addr().String()
 }
 
-// Run serves until ctx is done, then finishes what it has accepted.
+// Run serves until ctx is done, then finishes the accepted tasks.
 func (a *Agent) Run(ctx context.Context) error {
-	a.log.Info("agent serves", "addr", a.Addr(), "target", a.cfg.Agent.Target)
+	a.log.Info("agent started", "addr", a.Addr(), "target", a.cfg.Agent.Target)
 	var g run.Group
 	g.Add(a.accept, func(error) { a.listener.Close() })
 	ticks, stopTicks := context.WithCancel(context.Background())
 	g.Add(func() error { return a.tick(ticks) }, func(error) { stopTicks() })
 	stop, cancel := context.WithCancel(ctx)
-	g.Add(func() error { return a.untilStopped(stop) }, func(error) { cancel() })
+	g.Add(func() error { return a.drainOnStop(stop) }, func(error) { cancel() })
 	err := g.Run()
 	a.closeAll()
-	a.giveUp()
+	a.cancelTasks()
 	a.tasks.Wait()
 	a.serving.Wait()
 	a.log.Info("agent stopped")
 	return err
 }
 
-// untilStopped waits for the stop, refuses new starts and waits until what was
-// accepted has ended and its results are on their way.
-func (a *Agent) untilStopped(ctx context.Context) error {
+// drainOnStop waits until ctx is done, refuses new starts and waits, for at most
+// the drain time, until the accepted tasks have ended.
+func (a *Agent) drainOnStop(ctx context.Context) error {
 	<-ctx.Done()
-	a.log.Info("agent leaves")
-	a.do(func(now clock.Moment) guard.Effects { return a.guard.Leave(now) })
+	a.log.Info("agent stopping, waiting for accepted tasks")
+	a.handleEvent(func(now clock.Moment) guard.Effects { return a.guard.Leave(now) })
 	deadline := time.Now().Add(a.cfg.DrainTime)
 	for time.Now().Before(deadline) && !a.idle() {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
-	time.Sleep(drainLinger)
+	time.Sleep(resultFlushTime)
 	return nil
 }
 
@@ -137,7 +139,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			a.do(a.guard.Tick)
+			a.handleEvent(a.guard.Tick)
 		}
 	}
 }
@@ -152,11 +154,11 @@
 	}
 }
 
-// serve runs one entry's connection.
+// serve handles the connection of one entry.
 func (a *Agent) serve(raw net.Conn) {
 	c, err := wire.Handshake(raw, wire.Hello{Role: wire.RoleAgent, ID: a.self, Region: a.cfg.Region}, &a.stats)
 	if err != nil {
-		a.log.Warn("peer turned away", "remote", raw.RemoteAddr().String(), "error", err)
+		a.log.Warn("handshake with peer failed", "remote", raw.RemoteAddr().String(), "error", err)
 		return
 	}
 	if !a.linkUp(c) {
@@ -165,7 +167,7 @@
 	}
 	from := c.Remote().ID
 	err = c.Run(func(f wire.Frame) error {
-		a.do(func(now clock.Moment) guard.Effects { return a.guard.Receive(now, from, f) })
+		a.handleEvent(func(now clock.Moment) guard.Effects { return a.guard.Receive(now, from, f) })
 		return nil
 	})
 	a.mu.Lock()
@@ -176,7 +178,8 @@
 	a.log.Info("entry disconnected", "peer", from.String(), "error", err)
 }
 
-// linkUp makes c the connection to its entry, unless the agent has closed all.
+// linkUp registers c as the connection to its entry. It reports false after
+// closeAll.
 func (a *Agent) linkUp(c *wire.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -191,7 +194,7 @@
 	return true
 }
 
-// closeAll closes all connections, and has linkUp turn away what comes later.
+// closeAll closes all connections and rejects new ones.
 func (a *Agent) closeAll() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -201,8 +204,8 @@
 	}
 }
 
-// do has the guard handle one event and carries out the effects in order.
-func (a *Agent) do(event func(clock.Moment) guard.Effects) {
+// handleEvent passes one event to the guard and carries out the effects in order.
+func (a *Agent) handleEvent(event func(clock.Moment) guard.Effects) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := event(a.clock.Now())
@@ -212,14 +215,14 @@
 		}
 	}
 	for _, r := range out.Runs {
-		a.tasks.Go(func() { a.perform(r.Start) })
+		a.tasks.Go(func() { a.runTask(r.Start) })
 	}
 }
 
-func (a *Agent) perform(s wire.Start) {
-	status, c, out := a.target.Run(a.work, s)
+func (a *Agent) runTask(s wire.Start) {
+	status, c, out := a.target.Run(a.taskCtx, s)
 	if status != wire.Done {
 		a.log.Warn("task failed", "job", s.Key.Job, "task", s.TaskID, "code", c.String())
 	}
-	a.do(func(now clock.Moment) guard.Effects { return a.guard.Ended(now, s.Key, status, c, out) })
+	a.handleEvent(func(now clock.Moment) guard.Effects { return a.guard.Ended(now, s.Key, status, c, out) })
 }
--- a/seats/agent/agent_test.go
+++ b/seats/agent/agent_test.go
@@ -12,9 +12,9 @@
 	"github.com/beaconpoint/beaconpoint/testutil/loopback"
 )
 
-// TestAConnectionThatComesAfterTheCloseIsTurnedAway: nobody would ever close it,
-// and the stopping process would wait for its end for good.
-func TestAConnectionThatComesAfterTheCloseIsTurnedAway(t *testing.T) {
+// Guards against a connection accepted during the stop that is never closed, so
+// that the process does not exit.
+func TestConnectionAfterCloseIsRejected(t *testing.T) {
 	cfg := settings.Default()
 	cfg.Role, cfg.Name, cfg.Region, cfg.Hall, cfg.Peers = wire.RoleAgent, "worker1", "test", "hall", "127.0.0.1:0"
 	cfg.Agent.Target = "http://127.0.0.1:1"
