--- a/seats/dispatch/place.go
+++ b/seats/dispatch/place.go
@@ -1,22 +1,22 @@
 package dispatch
 
-// Candidate is an agent that may take a start.
+// Candidate is an agent that may get the next start.
 type Candidate struct {
-	// Outstanding is how many starts the home has unanswered there.
+	// Outstanding is the number of unanswered starts at the agent.
 	Outstanding int
-	// Window is how many it may have.
+	// Window is the largest allowed value of Outstanding.
 	Window int
-	// Slowness is the target's measured slowness against the others; one is
-	// the common pace.
+	// Slowness is the ratio of the target's mean task time to the mean of all
+	// targets.
 	Slowness float64
 }
 
-// Choose picks the place of the next start among the candidates, or returns
-// -1 when none can take it.
+// Choose returns the index of the candidate that gets the next start, or -1 if
+// none can take it.
 type Choose func([]Candidate) int
 
-// LeastLoaded picks the candidate with the smallest share of its window in
-// use, a slow target counting as fuller than it is.
+// LeastLoaded chooses the candidate with the smallest fraction of its window in
+// use, multiplied by its slowness if that is above one.
 func LeastLoaded(all []Candidate) int {
 	best, least := -1, 0.0
 	for k, c := range all {
@@ -31,13 +31,13 @@
 	return best
 }
 
-// Policy is how a home decides.
+// Policy selects the next job and the agent that gets its task.
 type Policy struct {
 	Order  Order
 	Choose Choose
 }
 
-// DefaultPolicy returns the policy in service.
+// DefaultPolicy returns the policy used in production.
 func DefaultPolicy() Policy {
 	return Policy{Order: FewestAged, Choose: LeastLoaded}
 }
--- a/seats/dispatch/queue.go
+++ b/seats/dispatch/queue.go
@@ -1,6 +1,6 @@
-// Package dispatch holds the decisions about waiting: which job's task goes
-// next and to which agent. Its policies are values with function fields, so
-// that a measurement can put one in place of another.
+// Package dispatch decides which waiting job's task is started next and at which
+// agent. Policies are values with function fields, so that experiments can
+// replace them.
 package dispatch
 
 import (
@@ -8,60 +8,58 @@
 	"time"
 )
 
-// Item is a job with tasks that wait for a start.
+// Item is a job with waiting tasks.
 type Item struct {
-	// Job is the job's id, Member the one it counts on.
+	// Job is the job's key and Organisation its customer.
 	Job          string
 	Organisation string
-	// Unstarted is how many of its tasks wait.
+	// Unstarted is the number of waiting tasks.
 	Unstarted int
-	// Since is when it was accepted, on the home's clock.
+	// Since is the time of acceptance on the entry's monotonic clock.
 	Since time.Duration
-	// rank is the order's value; the least goes first.
+	// rank is the value of the Order; the lowest rank is first.
 	rank  float64
 	index int
 }
 
-// Order ranks a waiting job; the least goes first. The rank may change only
-// with the item's fields, never with time alone.
+// Order returns the rank of a waiting job; the lowest rank is first. It must
+// depend on the item's fields only, not on the current time.
 type Order func(*Item) float64
 
-// ageing is how long a wait weighs as much as one unstarted task: a job with n
-// tasks waits for n times that at most behind jobs that came later. Measured at
-// 95% load, shorter ageing costs more of the mean (docs/design/placement.md).
-const ageing = time.Second
+// ageingTime is the waiting time that offsets one unstarted task: later jobs delay a
+// job of n tasks by at most n times ageingTime.
+const ageingTime = time.Second
 
 // FirstCome ranks by the time of acceptance.
 func FirstCome(i *Item) float64 {
 	return float64(i.Since)
 }
 
-// FewestUnstarted ranks by the tasks that still wait, without ageing.
+// FewestUnstarted ranks by the number of waiting tasks.
 func FewestUnstarted(i *Item) float64 {
 	return float64(i.Unstarted)
 }
 
-// FewestAged ranks by the tasks that still wait; a long wait counts as fewer
-// tasks, so that large jobs do not starve.
+// FewestAged ranks by the number of waiting tasks and the time of acceptance, so
+// that large jobs do not starve.
 func FewestAged(i *Item) float64 {
-	return float64(i.Unstarted) + float64(i.Since)/float64(ageing)
+	return float64(i.Unstarted) + float64(i.Since)/float64(ageingTime)
 }
 
-// Queue holds the waiting jobs of one service, each organisation's in the order of a
-// policy.
+// Queue holds the waiting jobs of one service, ordered within each organisation.
 type Queue struct {
 	order         Order
-	organisations map[string]*itemHeap
+	organisations map[string]*jobHeap
 	byJob         map[string]*Item
 	tasks         int
 }
 
-// NewQueue returns an empty queue in the given order.
+// NewQueue returns an empty queue with the given order.
 func NewQueue(order Order) *Queue {
-	return &Queue{order: order, organisations: make(map[string]*itemHeap), byJob: make(map[string]*Item)}
+	return &Queue{order: order, organisations: make(map[string]*jobHeap), byJob: make(map[string]*Item)}
 }
 
-// Put adds an organisation's job, or sets its unstarted tasks; none takes it out.
+// Put adds a job or updates its number of unstarted tasks; zero removes it.
 func (q *Queue) Put(job, organisation string, unstarted int, since time.Duration) {
 	i := q.byJob[job]
 	switch {
@@ -71,7 +69,7 @@
 		q.byJob[job] = i
 		q.tasks += unstarted
 		if q.organisations[organisation] == nil {
-			q.organisations[organisation] = &itemHeap{}
+			q.organisations[organisation] = &jobHeap{}
 		}
 		heap.Push(q.organisations[organisation], i)
 	case i == nil:
@@ -90,8 +88,9 @@
 	}
 }
 
-// First returns the job whose task goes next: the first of those organisations that
-// are not over their share, or of all where each is.
+// First returns the first job of the organisations that are not over their share,
+// or of all organisations if each is over its share. It reports false if the
+// queue is empty.
 func (q *Queue) First(over func(organisation string) bool) (Item, bool) {
 	var best, within *Item
 	for organisation, items := range q.organisations {
@@ -112,33 +111,34 @@
 	return Item{}, false
 }
 
-// Waits reports whether the organisation has jobs that wait.
+// Waits reports whether the organisation has waiting jobs.
 func (q *Queue) Waits(organisation string) bool {
 	return q.organisations[organisation] != nil
 }
 
-// Organisations returns how many organisations have jobs that wait.
+// Organisations returns the number of organisations with waiting jobs.
 func (q *Queue) Organisations() int {
 	return len(q.organisations)
 }
 
-// Tasks returns how many tasks wait.
+// Tasks returns the number of waiting tasks.
 func (q *Queue) Tasks() int {
 	return q.tasks
 }
 
-// Jobs returns how many jobs wait.
+// Jobs returns the number of waiting jobs.
 func (q *Queue) Jobs() int {
 	return len(q.byJob)
 }
 
-type itemHeap []*Item
+type jobHeap []*Item
 
-func (h itemHeap) Len() int { return len(h) }
+func (h jobHeap) Len() int { return len(h) }
 
-func (h itemHeap) Less(i, j int) bool { return h[i].before(h[j]) }
+func (h jobHeap) Less(i, j int) bool { return h[i].before(h[j]) }
 
-// before orders items by rank, then by age and name.
+// before reports whether i is ordered before o: by rank, then by time of
+// acceptance and key.
 func (i *Item) before(o *Item) bool {
 	if i.rank != o.rank {
 		return i.rank < o.rank
@@ -149,18 +149,18 @@
 	return i.Job < o.Job
 }
 
-func (h itemHeap) Swap(i, j int) {
+func (h jobHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
-func (h *itemHeap) Push(x any) {
+func (h *jobHeap) Push(x any) {
 	i := x.(*Item)
 	i.index = len(*h)
 	*h = append(*h, i)
 }
 
-func (h *itemHeap) Pop() any {
+func (h *jobHeap) Pop() any {
 	old := *h
 	i := old[len(old)-1]
 	old[len(old)-1] = nil
