--- a/seats/lease/standing.go
+++ b/seats/lease/standing.go
@@ -1,7 +1,7 @@
-// Package lease keeps the confirmations by which a process may act at its
-// roster revision. Each counts from a stamp of the process's own clock, which
-// a seat has echoed: no two clocks are compared, and a confirmation that was
-// delayed or read after a pause is as old as its stamp.
+// Package lease tracks the confirmations that allow a process to act at its
+// roster revision. A seat confirms a process by echoing a timestamp of the
+// process's own clock, and the lease counts from that timestamp. So no two clocks
+// are compared, and a delayed confirmation does not extend the lease.
 package lease
 
 import (
@@ -10,19 +10,19 @@
 	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
-// Standing holds until when each seat has confirmed one process.
+// Standing holds the end of each seat's confirmation of one process.
 type Standing struct {
 	lease time.Duration
 	until map[roster.ID]time.Duration
 }
 
-// NewStanding returns a Standing whose confirmations hold for lease.
+// NewStanding returns a Standing whose confirmations are valid for lease.
 func NewStanding(lease time.Duration) *Standing {
 	return &Standing{lease: lease, until: make(map[roster.ID]time.Duration)}
 }
 
-// Confirm notes that seat has echoed stamp, a reading of this process's clock.
-// A zero stamp was never given out and confirms nothing.
+// Confirm records that seat has echoed stamp, a reading of this process's clock.
+// A stamp of zero or below is ignored, since the process never sends one.
 func (s *Standing) Confirm(seat roster.ID, stamp time.Duration) {
 	if stamp <= 0 {
 		return
@@ -32,8 +32,8 @@
 	}
 }
 
-// Holds reports whether every seat but self has confirmed the process and no
-// confirmation has lapsed at now. Without seats nothing is confirmed.
+// Holds reports whether the confirmations of all seats other than self are valid
+// at now. It reports false if there are no seats.
 func (s *Standing) Holds(now time.Duration, seats []roster.Seat, self roster.ID) bool {
 	for _, seat := range seats {
 		if seat.ID == self {
@@ -46,7 +46,7 @@
 	return len(seats) > 0
 }
 
-// Keep forgets the confirmations of all but the seats.
+// Keep removes the confirmations of all other seats than the given ones.
 func (s *Standing) Keep(seats []roster.Seat) {
 	kept := make(map[roster.ID]time.Duration, len(seats))
 	for _, seat := range seats {
