--- a/seats/roster/golden_test.go
+++ b/seats/roster/golden_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestTheStoredRoster holds the form of the roster in the store.
-func TestTheStoredRoster(t *testing.T) {
+// Guards against changes to the encoding of the roster in the store.
+func TestStoredRosterMatchesGolden(t *testing.T) {
 	id := ID{Name: "entry1", Incarnation: 7}
 	raw, err := json.MarshalIndent(Roster{
 		Revision:   3,
--- a/seats/roster/roster.go
+++ b/seats/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster holds the roster of a region: the entries that have a seat
-// and the agents that are registered. It is an immutable value; a change makes
-// a new one with the next revision.
+// Package roster defines the roster of a region: the entries that hold a seat
+// and the registered agents. A roster is an immutable value; each change returns
+// a new one.
 package roster
 
 import (
@@ -11,27 +11,28 @@
 	"time"
 )
 
-// keptChanges is how many change ids a roster carries, so that a swap whose
-// answer was lost can be found again.
-const keptChanges = 32
+// maxChanges limits the change ids kept in a roster. They show whether a swap
+// took effect whose answer was lost.
+const maxChanges = 32
 
-// ID names one life of a process: a restarted process has a new incarnation.
+// ID identifies one incarnation of a process. A restarted process has the same
+// name and a new incarnation.
 type ID struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// NewID returns the id of one life of the process name.
+// NewID returns the id of an incarnation of the process called name.
 func NewID(name string, incarnation uint64) ID {
 	return ID{Name: name, Incarnation: incarnation}
 }
 
-// String returns the name and the incarnation, as logs show them.
+// String returns the form used in logs, name#incarnation.
 func (i ID) String() string {
 	return i.Name + "#" + strconv.FormatUint(i.Incarnation, 36)
 }
 
-// Compare orders ids by name and incarnation.
+// Compare compares ids by name, then by incarnation.
 func (i ID) Compare(o ID) int {
 	if c := strings.Compare(i.Name, o.Name); c != 0 {
 		return c
@@ -39,53 +40,52 @@
 	return cmp.Compare(i.Incarnation, o.Incarnation)
 }
 
-// IsZero reports whether i names nobody.
+// IsZero reports whether i has no name.
 func (i ID) IsZero() bool {
 	return i.Name == ""
 }
 
-// Seat is an entry's place in the roster.
+// Seat is an entry's membership in the roster.
 type Seat struct {
 	ID   ID     `json:"id"`
 	Addr string `json:"addr"`
-	// Leaving seats are home to no job any more; they finish what they own.
+	// Leaving is set while the entry stops. It owns no new jobs and finishes
+	// those it has.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Loss is a process that left the roster, kept until nothing it knew can
-// matter any more.
+// Loss is a process removed from the roster. It is kept until all jobs that the
+// process may have started have expired.
 type Loss struct {
 	ID ID `json:"id"`
-	// At is when it left, in Unix milliseconds of the writer's clock.
+	// At is the time of removal, in Unix milliseconds of the writer's clock.
 	At int64 `json:"at"`
 }
 
-// Roster is who takes part in a region at one revision.
+// Roster is the membership of a region at one revision.
 type Roster struct {
 	Revision uint64 `json:"revision"`
 	Seats    []Seat `json:"seats"`
 	Agents   []ID   `json:"agents"`
-	// Shards is how many shares each service's jobs are split into; each
-	// share has one home. None counts as one.
+	// Shards is the number of shards of each service's jobs. Each shard is
+	// owned by one seat. Zero counts as one.
 	Shards int `json:"shards,omitempty"`
-	// LostSeats and LostAgents left within the retention.
+	// LostSeats and LostAgents were removed within the retention time.
 	LostSeats  []Loss `json:"lost_seats,omitempty"`
 	LostAgents []Loss `json:"lost_agents,omitempty"`
-	// Changes are the ids of the latest changes, newest last.
+	// Changes lists the ids of the latest changes, newest last.
 	Changes []string `json:"changes"`
 }
 
-// HasSeat reports whether id holds a seat.
 func (r Roster) HasSeat(id ID) bool {
 	return slices.ContainsFunc(r.Seats, func(s Seat) bool { return s.ID == id })
 }
 
-// HasAgent reports whether the agent id is registered.
 func (r Roster) HasAgent(id ID) bool {
 	return slices.Contains(r.Agents, id)
 }
 
-// SeatNamed returns the seat that the entry name holds.
+// SeatNamed returns the seat of the entry called name.
 func (r Roster) SeatNamed(name string) (Seat, bool) {
 	k := slices.IndexFunc(r.Seats, func(s Seat) bool { return s.ID.Name == name })
 	if k < 0 {
@@ -94,18 +94,19 @@
 	return r.Seats[k], true
 }
 
-// WithChange returns the next revision, marked with the change's id.
+// WithChange returns the roster with the next revision and change as its latest
+// change id.
 func (r Roster) WithChange(change string) Roster {
 	r.Revision++
 	r.Changes = append(slices.Clone(r.Changes), change)
-	if n := len(r.Changes); n > keptChanges {
-		r.Changes = r.Changes[n-keptChanges:]
+	if n := len(r.Changes); n > maxChanges {
+		r.Changes = r.Changes[n-maxChanges:]
 	}
 	return r
 }
 
-// WithSeat returns the roster with s seated. An earlier life of the same entry
-// loses its seat.
+// WithSeat returns the roster with the seat s. The seat of an earlier incarnation
+// of the entry is removed.
 func (r Roster) WithSeat(s Seat, at time.Time) Roster {
 	if old, ok := r.SeatNamed(s.ID.Name); ok {
 		r = r.WithoutSeat(old.ID, at)
@@ -125,7 +126,7 @@
 	return r
 }
 
-// WithoutSeat returns the roster with id's seat taken away.
+// WithoutSeat returns the roster without id's seat, which counts as lost.
 func (r Roster) WithoutSeat(id ID, at time.Time) Roster {
 	if !r.HasSeat(id) {
 		return r
@@ -136,7 +137,7 @@
 }
 
 // WithoutLeaver returns the roster without the seat of an entry that has handed
-// over all to the others; it counts as lost only where there are none.
+// over its state. The seat counts as lost only if no other seat remains.
 func (r Roster) WithoutLeaver(id ID, at time.Time) Roster {
 	lost := r.LostSeats
 	r = r.WithoutSeat(id, at)
@@ -146,8 +147,8 @@
 	return r
 }
 
-// WithAgent returns the roster with the agent registered. An earlier life of
-// the same agent counts as lost.
+// WithAgent returns the roster with the agent registered. An earlier incarnation
+// of the agent counts as lost.
 func (r Roster) WithAgent(id ID, at time.Time) Roster {
 	if k := slices.IndexFunc(r.Agents, func(a ID) bool { return a.Name == id.Name }); k >= 0 {
 		r = r.WithoutAgent(r.Agents[k], at)
@@ -156,7 +157,7 @@
 	return r
 }
 
-// WithoutAgent returns the roster with the agent counted as lost.
+// WithoutAgent returns the roster without the agent, which counts as lost.
 func (r Roster) WithoutAgent(id ID, at time.Time) Roster {
 	if !r.HasAgent(id) {
 		return r
@@ -166,13 +167,13 @@
 	return r
 }
 
-// WithShards returns the roster with another number of shares.
+// WithShards returns the roster with n shards per service.
 func (r Roster) WithShards(n int) Roster {
 	r.Shards = n
 	return r
 }
 
-// WithLossesSince returns the roster without the losses from before cutoff.
+// WithLossesSince returns the roster without losses before cutoff.
 func (r Roster) WithLossesSince(cutoff time.Time) Roster {
 	old := func(l Loss) bool { return l.At < cutoff.UnixMilli() }
 	r.LostSeats = slices.DeleteFunc(slices.Clone(r.LostSeats), old)
--- a/seats/roster/view.go
+++ b/seats/roster/view.go
@@ -9,79 +9,76 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// View is a roster with its hashing worked out, for lookups on the path of a
-// request.
+// View is a roster with precomputed lookup tables, for use in request handling.
 type View struct {
 	Roster
-	ring   *rendezvous.Rendezvous
-	ids    map[string]ID
-	shards uint64
-	shard  map[string]uint64 // of each agent, by its name
+	hash    *rendezvous.Rendezvous
+	seatIDs map[string]ID
+	shards  uint64
+	shardOf map[string]uint64 // shard of each agent, by name
 }
 
 // NewView returns the view of r.
 func NewView(r Roster) *View {
-	v := &View{Roster: r, ids: make(map[string]ID, len(r.Seats)), shards: uint64(max(r.Shards, 1))}
+	v := &View{Roster: r, seatIDs: make(map[string]ID, len(r.Seats)), shards: uint64(max(r.Shards, 1))}
 	names := make([]string, 0, len(r.Seats))
 	for _, s := range r.Seats {
 		if s.Leaving {
 			continue
 		}
 		names = append(names, s.ID.String())
-		v.ids[s.ID.String()] = s.ID
+		v.seatIDs[s.ID.String()] = s.ID
 	}
 	slices.Sort(names)
 	if len(names) > 0 {
-		v.ring = rendezvous.New(names, xxhash.Sum64String)
+		v.hash = rendezvous.New(names, xxhash.Sum64String)
 	}
-	v.shareOut()
+	v.assignShards()
 	return v
 }
 
-// shareOut deals the agents out to the shards in turn.
-func (v *View) shareOut() {
+// assignShards assigns the agents, sorted by name, to the shards in turn.
+func (v *View) assignShards() {
 	names := make([]string, 0, len(v.Agents))
 	for _, a := range v.Agents {
 		names = append(names, a.Name)
 	}
 	slices.Sort(names)
-	v.shard = make(map[string]uint64, len(names))
+	v.shardOf = make(map[string]uint64, len(names))
 	for k, name := range names {
-		v.shard[name] = uint64(k) % v.shards
+		v.shardOf[name] = uint64(k) % v.shards
 	}
 }
 
 // Home returns the seat that owns the job with the given key, "service/id", or
-// the zero ID when nobody is seated. All jobs of one shard of a service have
-// one home, which so keeps their order; it is found by rendezvous, so that a
-// change of one seat moves only the shards of that seat.
+// the zero ID if no seat can own jobs. A shard of a service is owned by one seat,
+// which keeps the order of its jobs. Rendezvous hashing selects it, so that
+// adding or removing a seat moves only the shards of that seat.
 func (v *View) Home(key string) ID {
 	service := key[:max(strings.LastIndexByte(key, '/'), 0)]
-	return v.homeOf(service, xxhash.Sum64String(key)%v.shards)
+	return v.ownerOfShard(service, xxhash.Sum64String(key)%v.shards)
 }
 
-// Owner returns the seat that deals out the agent's slots: the home of the
-// shard that the agent is shared out to.
+// Owner returns the seat that owns the shard to which the agent is assigned.
 func (v *View) Owner(service, agent string) ID {
-	return v.homeOf(service, v.shard[agent])
+	return v.ownerOfShard(service, v.shardOf[agent])
 }
 
-// HomesOf returns the seats that are home to the service's shares, one for each
-// share.
+// HomesOf returns the owner of each shard of the service.
 func (v *View) HomesOf(service string) []ID {
-	if v.ring == nil {
+	if v.hash == nil {
 		return nil
 	}
 	homes := make([]ID, v.shards)
 	for shard := range homes {
-		homes[shard] = v.homeOf(service, uint64(shard))
+		homes[shard] = v.ownerOfShard(service, uint64(shard))
 	}
 	return homes
 }
 
-func (v *View) homeOf(service string, shard uint64) ID {
-	if v.ring == nil {
+func (v *View) ownerOfShard(service string, shard uint64) ID {
+	if v.hash == nil {
 		return ID{}
 	}
-	return v.ids[v.ring.Lookup(service+"/"+strconv.FormatUint(shard, 10))]
+	return v.seatIDs[v.hash.Lookup(service+"/"+strconv.FormatUint(shard, 10))]
 }
