--- a/seats/config/document.go
+++ b/seats/config/document.go
@@ -1,6 +1,6 @@
-// Package config holds the operators' configuration: services, the targets
-// that serve them, and the bounds under which organisations use them. It is an
-// immutable value; a confirmed plan makes the next revision.
+// Package config defines the operators' configuration: services, their targets
+// and the quotas of organisations. A document is an immutable value; applying a
+// confirmed plan returns the next revision.
 package config
 
 import (
@@ -14,42 +14,42 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// keptChanges is how many change ids and history lines a document carries.
-const keptChanges = 64
+// maxHistory limits the history lines kept in a document.
+const maxHistory = 64
 
-// Defaults of a service's bounds.
+// Defaults of Bounds.
 const (
 	DefaultLongestExpiry = 60 * time.Second
 	DefaultQueue         = 10_000
 	DefaultLargestJob    = 1200
 )
 
-// Target is one back end of a service, with the agent beside it.
+// Target is one back end of a service, with the agent next to it.
 type Target struct {
 	// Name is the agent's name in its settings.
 	Name string `json:"name" yaml:"name" validate:"required,max=128"`
-	// Agent is the address at which the agent listens.
+	// Agent is the address on which the agent listens.
 	Agent string `json:"agent" yaml:"agent" validate:"required,hostname_port"`
 	Hall  string `json:"hall,omitempty" yaml:"hall,omitempty" validate:"max=128"`
-	// Slots is how many tasks the target runs at once.
+	// Slots is the number of tasks that the target runs concurrently.
 	Slots int `json:"slots" yaml:"slots" validate:"min=1,max=4096"`
-	// Connections is how many connections the target takes.
+	// Connections is the number of connections that the target accepts.
 	Connections int `json:"connections" yaml:"connections" validate:"min=1,max=65536,gtefield=Slots"`
-	// Drained targets take no new work.
+	// Drained is set if the target gets no new tasks.
 	Drained bool `json:"drained,omitempty" yaml:"drained,omitempty"`
 }
 
-// Bounds limit what is admitted. Zero means the default or no limit.
+// Bounds limits the admission of jobs to a service. Zero means the default.
 type Bounds struct {
-	// Queue is how many tasks may wait at one home.
+	// Queue limits the waiting tasks at one entry.
 	Queue int `json:"queue,omitempty" yaml:"queue,omitempty" validate:"min=0,max=10000000"`
-	// LargestJob is how many tasks one job may have.
+	// LargestJob limits the tasks of one job.
 	LargestJob int `json:"largest_job,omitempty" yaml:"largest_job,omitempty" validate:"min=0,max=1200"`
-	// LongestExpiryMS is how far away a job's expiry may be, in milliseconds.
+	// LongestExpiryMS limits the time until a job's expiry, in milliseconds.
 	LongestExpiryMS int64 `json:"longest_expiry_ms,omitempty" yaml:"longest_expiry_ms,omitempty" validate:"min=0,max=600000"`
 }
 
-// Service is what callers submit jobs to.
+// Service is a set of targets to which callers submit jobs.
 type Service struct {
 	Name    string   `json:"name" yaml:"name" validate:"required,max=128,excludesall=/ "`
 	Targets []Target `json:"targets" yaml:"targets" validate:"unique=Name,dive"`
@@ -59,15 +59,15 @@
 // Organisation is a customer.
 type Organisation struct {
 	Name string `json:"name" yaml:"name" validate:"required,max=128"`
-	// InFlight is how many of its tasks may wait and run in a region; zero
-	// is no limit.
-	InFlight int `json:"in_flight,omitempty" yaml:"in_flight,omitempty" validate:"min=0"`
-	// Rate is how many tasks a second it may submit in a region; zero is no
+	// InFlight limits its waiting and running tasks in a region; zero means no
 	// limit.
+	InFlight int `json:"in_flight,omitempty" yaml:"in_flight,omitempty" validate:"min=0"`
+	// Rate limits the tasks per second that it submits in a region; zero means
+	// no limit.
 	Rate int `json:"rate,omitempty" yaml:"rate,omitempty" validate:"min=0"`
 }
 
-// Line is one entry of the history.
+// Line is one applied change in the history of a document.
 type Line struct {
 	Change   string `json:"change"`
 	Revision uint64 `json:"revision"`
@@ -81,39 +81,39 @@
 	Revision      uint64         `json:"revision"`
 	Services      []Service      `json:"services" validate:"unique=Name,dive"`
 	Organisations []Organisation `json:"members" validate:"unique=Name,dive"`
-	// Shards is how many shares each service's jobs are split into, each
-	// with a home of its own; none counts as one. One keeps the order of all
-	// jobs, more spread the work of a very large service.
+	// Shards is the number of shards of each service's jobs, each owned by one
+	// entry; zero counts as one. One shard keeps the order of all jobs of a
+	// service, several spread the load of a large service.
 	Shards  int    `json:"shards,omitempty" validate:"min=0,max=64"`
 	History []Line `json:"history,omitempty"`
 }
 
-// HasChange reports whether the change is in the history.
+// HasChange reports whether the history contains the change.
 func (d Document) HasChange(change string) bool {
 	return slices.ContainsFunc(d.History, func(l Line) bool { return l.Change == change })
 }
 
-// WithLine returns the next revision, with the line in its history.
+// WithLine returns the next revision with l added to its history.
 func (d Document) WithLine(l Line) Document {
 	d.Revision++
 	l.Revision = d.Revision
 	d.History = append(slices.Clone(d.History), l)
-	if n := len(d.History); n > keptChanges {
-		d.History = d.History[n-keptChanges:]
+	if n := len(d.History); n > maxHistory {
+		d.History = d.History[n-maxHistory:]
 	}
 	return d
 }
 
-// Encode returns the document as JSON.
+// Encode returns the JSON encoding of the document.
 func (d Document) Encode() []byte {
 	raw, err := json.Marshal(d)
 	if err != nil {
-		panic(fmt.Sprintf("config: encode: %v", err)) // plain data always encodes
+		panic(fmt.Sprintf("config: encode: %v", err)) // cannot fail for this type
 	}
 	return raw
 }
 
-// Decode reads a document.
+// Decode parses the JSON encoding of a document.
 func Decode(raw []byte) (Document, error) {
 	var d Document
 	dec := json.NewDecoder(bytes.NewReader(raw))
@@ -123,7 +123,8 @@
 	return d, nil
 }
 
-// Validate returns the first fault of the document.
+// Validate checks the fields of the document, and that no target serves two
+// services.
 func (d Document) Validate() error {
 	if err := validate.Struct(d); err != nil {
 		return err
@@ -132,7 +133,7 @@
 	for _, s := range d.Services {
 		for _, t := range s.Targets {
 			if other, ok := seen[t.Name]; ok {
-				return fmt.Errorf("target %q serves %q already", t.Name, other)
+				return fmt.Errorf("target %q already serves service %q", t.Name, other)
 			}
 			seen[t.Name] = s.Name
 		}
@@ -142,8 +143,8 @@
 
 var validate = newValidator()
 
-// newValidator returns a validator whose messages call organisations members, as the
-// operators' interface does.
+// newValidator returns a validator that names the field Organisations "Members" in
+// its messages, as the operators' interface does.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -155,7 +156,7 @@
 	return v
 }
 
-// WithDefaults returns the bounds with the defaults in place of zeros.
+// WithDefaults returns the bounds with zeros replaced by the defaults.
 func (b Bounds) WithDefaults() Bounds {
 	if b.Queue == 0 {
 		b.Queue = DefaultQueue
@@ -169,7 +170,7 @@
 	return b
 }
 
-// LongestExpiry returns how far away a job's expiry may be.
+// LongestExpiry returns the limit of the time until a job's expiry.
 func (b Bounds) LongestExpiry() time.Duration {
 	return time.Duration(b.WithDefaults().LongestExpiryMS) * time.Millisecond
 }
--- a/seats/config/golden_test.go
+++ b/seats/config/golden_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestTheStoredDocument holds the form of the configuration in the store.
-func TestTheStoredDocument(t *testing.T) {
+// Guards against changes to the encoding of the configuration in the store.
+func TestStoredDocumentMatchesGolden(t *testing.T) {
 	raw, err := json.MarshalIndent(Document{
 		Revision: 7,
 		Services: []Service{{
--- a/seats/config/plan.go
+++ b/seats/config/plan.go
@@ -12,39 +12,38 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-// Intent is what an operator states: services and organisations to put in place of
-// those with the same name, and names to take away.
+// Intent is a change requested by an operator: services and organisations to add
+// or replace by name, names to remove, and targets to drain.
 type Intent struct {
 	Services            []Service      `json:"services,omitempty" yaml:"services,omitempty"`
 	Organisations       []Organisation `json:"members,omitempty" yaml:"members,omitempty"`
 	RemoveServices      []string       `json:"remove_services,omitempty" yaml:"remove_services,omitempty"`
 	RemoveOrganisations []string       `json:"remove_members,omitempty" yaml:"remove_members,omitempty"`
-	// Shards, where above zero, sets how many shares each service's jobs
-	// are split into.
+	// Shards sets the number of shards unless it is zero.
 	Shards int `json:"shards,omitempty" yaml:"shards,omitempty"`
-	// Drain and Undrain name targets.
+	// Drain and Undrain list the names of targets.
 	Drain   []string `json:"drain,omitempty" yaml:"drain,omitempty"`
 	Undrain []string `json:"undrain,omitempty" yaml:"undrain,omitempty"`
 }
 
-// Plan is what an intent would change. It comes back whole with the
-// confirmation, so that no process has to keep it.
+// Plan describes the effect of an intent. The client returns the whole plan to
+// confirm it, so that the server does not store it.
 type Plan struct {
-	// Change names this plan; confirming it twice is one change.
+	// Change is the id of the change; confirming a plan twice applies it once.
 	Change string `json:"change"`
-	// Base is the revision that the plan starts from.
+	// Base is the revision to which the plan applies.
 	Base uint64 `json:"base"`
-	// Intent is what was asked for.
+	// Intent is the requested change.
 	Intent Intent `json:"intent"`
-	// Changes tells what would change, one line each.
+	// Changes describes the differences, one line each.
 	Changes []string `json:"changes"`
-	// Warnings tells what an operator may not have meant.
+	// Warnings lists likely mistakes in the resulting document.
 	Warnings []string `json:"warnings,omitempty"`
-	// Digest is over the rest of the plan.
+	// Digest is a hash of the other fields.
 	Digest string `json:"digest"`
 }
 
-// NewPlan works out what the intent would change in base.
+// NewPlan returns the plan that applies the intent to base.
 func NewPlan(base Document, in Intent, change string) (Plan, error) {
 	next, err := base.WithIntent(in)
 	if err != nil {
@@ -61,15 +60,15 @@
 	return p, nil
 }
 
-// Apply returns the document that the plan makes of base. A plan that was
-// altered, or made from another revision, is refused.
+// Apply returns base with the plan applied as its next revision. It fails if the
+// plan was altered or is based on another revision.
 func (p Plan) Apply(base Document, by string, at time.Time) (Document, error) {
 	if p.Digest != p.digest() {
-		return Document{}, code.Error(code.PlanTampered, "the plan's digest does not fit its content")
+		return Document{}, code.Error(code.PlanTampered, "the plan's digest does not match its content")
 	}
 	if base.Revision != p.Base {
-		return Document{}, code.Errorf(code.PlanStale, "the plan starts from revision %d, but %d is in force: %s",
-			p.Base, base.Revision, base.since(p.Base))
+		return Document{}, code.Errorf(code.PlanStale, "the plan is based on revision %d, but revision %d is in force: %s",
+			p.Base, base.Revision, base.changesSince(p.Base))
 	}
 	next, err := base.WithIntent(p.Intent)
 	if err != nil {
@@ -86,13 +85,13 @@
 	p.Digest = ""
 	raw, err := json.Marshal(p)
 	if err != nil {
-		panic(fmt.Sprintf("config: encode plan: %v", err)) // plain data always encodes
+		panic(fmt.Sprintf("config: encode plan: %v", err)) // cannot fail for this type
 	}
 	return strconv.FormatUint(xxhash.Sum64(raw), 16)
 }
 
-// since tells what changed after revision.
-func (d Document) since(revision uint64) string {
+// changesSince describes the history after revision.
+func (d Document) changesSince(revision uint64) string {
 	text := ""
 	for _, l := range d.History {
 		if l.Revision > revision {
@@ -102,27 +101,27 @@
 	return text
 }
 
-// WithIntent returns the document that the intent asks for, checked, with its
-// revision unchanged.
+// WithIntent returns the document with the intent applied and validated. The
+// revision stays the same.
 func (d Document) WithIntent(in Intent) (Document, error) {
 	var err error
 	d.Services = slices.Clone(d.Services)
 	d.Organisations = slices.Clone(d.Organisations)
 	for _, name := range in.RemoveServices {
-		if d.Services, err = remove(d.Services, name, serviceName); err != nil {
+		if d.Services, err = removeByName(d.Services, name, serviceName); err != nil {
 			return Document{}, err
 		}
 	}
 	for _, name := range in.RemoveOrganisations {
-		if d.Organisations, err = remove(d.Organisations, name, organisationName); err != nil {
+		if d.Organisations, err = removeByName(d.Organisations, name, organisationName); err != nil {
 			return Document{}, err
 		}
 	}
 	for _, s := range in.Services {
-		d.Services = put(d.Services, s, serviceName)
+		d.Services = putByName(d.Services, s, serviceName)
 	}
 	for _, m := range in.Organisations {
-		d.Organisations = put(d.Organisations, m, organisationName)
+		d.Organisations = putByName(d.Organisations, m, organisationName)
 	}
 	for _, name := range in.Drain {
 		if d.Services, err = setDrained(d.Services, name, true); err != nil {
@@ -147,7 +146,7 @@
 
 func organisationName(m Organisation) string { return m.Name }
 
-func put[T any](all []T, v T, name func(T) string) []T {
+func putByName[T any](all []T, v T, name func(T) string) []T {
 	k := slices.IndexFunc(all, func(o T) bool { return name(o) == name(v) })
 	if k < 0 {
 		return append(all, v)
@@ -156,17 +155,17 @@
 	return all
 }
 
-func remove[T any](all []T, gone string, name func(T) string) ([]T, error) {
-	k := slices.IndexFunc(all, func(o T) bool { return name(o) == gone })
+func removeByName[T any](all []T, removed string, name func(T) string) ([]T, error) {
+	k := slices.IndexFunc(all, func(o T) bool { return name(o) == removed })
 	if k < 0 {
-		return nil, code.Errorf(code.BadIntent, "there is no %q to remove", gone)
+		return nil, code.Errorf(code.BadIntent, "cannot remove %q: it does not exist", removed)
 	}
 	return slices.Delete(all, k, k+1), nil
 }
 
-func setDrained(services []Service, target string, drained bool) ([]Service, error) {
+func setDrained(services []Service, targetName string, drained bool) ([]Service, error) {
 	for i, s := range services {
-		k := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == target })
+		k := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == targetName })
 		if k < 0 {
 			continue
 		}
@@ -175,33 +174,33 @@
 		services[i] = s
 		return services, nil
 	}
-	return nil, code.Errorf(code.BadIntent, "no service has a target %q", target)
+	return nil, code.Errorf(code.BadIntent, "no service has a target %q", targetName)
 }
 
-// Diff tells what differs between two documents, one line each.
+// Diff describes the differences between two documents, one line each.
 func Diff(from, to Document) []string {
-	lines := diff("service", from.Services, to.Services, serviceName)
-	lines = append(lines, diff("member", from.Organisations, to.Organisations, organisationName)...)
+	lines := diffByName("service", from.Services, to.Services, serviceName)
+	lines = append(lines, diffByName("member", from.Organisations, to.Organisations, organisationName)...)
 	if from.Shards != to.Shards {
 		lines = append(lines, fmt.Sprintf("~ shards %d -> %d", from.Shards, to.Shards))
 	}
 	return lines
 }
 
-func diff[T any](kind string, from, to []T, name func(T) string) []string {
+func diffByName[T any](kind string, from, to []T, name func(T) string) []string {
 	var lines []string
 	before := make(map[string]string)
 	for _, v := range from {
-		before[name(v)] = text(v)
+		before[name(v)] = encodeText(v)
 	}
 	for _, v := range to {
 		old, ok := before[name(v)]
 		delete(before, name(v))
 		switch {
 		case !ok:
-			lines = append(lines, fmt.Sprintf("+ %s %s %s", kind, name(v), text(v)))
-		case old != text(v):
-			lines = append(lines, fmt.Sprintf("~ %s %s %s -> %s", kind, name(v), old, text(v)))
+			lines = append(lines, fmt.Sprintf("+ %s %s %s", kind, name(v), encodeText(v)))
+		case old != encodeText(v):
+			lines = append(lines, fmt.Sprintf("~ %s %s %s -> %s", kind, name(v), old, encodeText(v)))
 		}
 	}
 	for _, v := range from {
@@ -212,7 +211,7 @@
 	return lines
 }
 
-func text(v any) string {
+func encodeText(v any) string {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
@@ -220,7 +219,7 @@
 	return string(raw)
 }
 
-// warnings tells what in the document may not be meant.
+// warnings describes likely mistakes in the document.
 func warnings(d Document) []string {
 	var lines []string
 	for _, s := range d.Services {
--- a/seats/config/view.go
+++ b/seats/config/view.go
@@ -1,17 +1,16 @@
 package config
 
-// View is a document with its names worked out, for lookups on the path of a
-// request.
+// View is a document with lookup tables by name, for use in request handling.
 type View struct {
 	Document
-	// Raw is the document as JSON, for handing on.
+	// Raw is the JSON encoding of the document.
 	Raw           []byte
 	services      map[string]*Service
 	organisations map[string]*Organisation
 	targets       map[string]Placed
 }
 
-// Placed is a target with the service it serves.
+// Placed is a target with the name of its service.
 type Placed struct {
 	Target
 	Service string
@@ -49,13 +48,13 @@
 	return v.organisations[name]
 }
 
-// FindTarget returns the target whose agent is called name.
+// FindTarget returns the target whose agent is called name, if there is one.
 func (v *View) FindTarget(name string) (Placed, bool) {
 	t, ok := v.targets[name]
 	return t, ok
 }
 
-// AllTargets returns every target by its agent's name.
+// AllTargets returns all targets by the names of their agents.
 func (v *View) AllTargets() map[string]Placed {
 	return v.targets
 }
