--- a/seats/wire/codec.go
+++ b/seats/wire/codec.go
@@ -14,14 +14,15 @@
 // MaxFrame is the largest frame, in bytes, without its length prefix.
 const MaxFrame = 8 << 20
 
-// Faults of a frame. A peer that sends such a frame is cut off.
+// Errors of ReadFrame and DecodeFrame. The connection to a peer that sends such a
+// frame is closed.
 var (
 	ErrFrameSize = framing.ErrSize
-	ErrFrameKind = errors.New("wire: unknown kind of frame")
-	ErrFrameData = errors.New("wire: broken frame")
+	ErrFrameKind = errors.New("wire: unknown frame kind")
+	ErrFrameData = errors.New("wire: malformed frame")
 )
 
-// AppendFrame writes f with its length prefix to buf.
+// AppendFrame appends f with its length prefix to buf.
 func AppendFrame(buf *bytes.Buffer, f Frame) error {
 	f.Header.Kind = f.Body.Kind()
 	raw, err := framing.Append(buf.AvailableBuffer(), MaxFrame, framing.Arrays, &f.Header, f.Body)
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// ReadFrame reads one frame. Its size is checked before memory is allocated.
+// ReadFrame reads one frame. It checks the size before it allocates memory.
 func ReadFrame(r io.Reader) (Frame, error) {
 	body, err := framing.Read(r, MaxFrame)
 	if err != nil {
--- a/seats/wire/conn.go
+++ b/seats/wire/conn.go
@@ -11,61 +11,59 @@
 	"time"
 )
 
-// Bounds of a connection.
 const (
-	// entryQueue and agentQueue are how many frames may wait to be written to
-	// an entry and to an agent. An entry has some hundreds of agents, each
-	// with few starts under way, so that the size of the queue counts.
-	entryQueue = 4096
-	agentQueue = 256
-	// readBuffer is the size of a connection's read buffer, in bytes.
-	readBuffer = 8 << 10
-	// flushSize is how many bytes are gathered into one write.
-	flushSize = 64 << 10
-	// helloTimeout bounds the exchange of hellos.
+	// entryQueueFrames and agentQueueFrames limit the frames that wait to be written to an
+	// entry and to an agent. An entry has hundreds of agents, so their queues
+	// are short to save memory.
+	entryQueueFrames = 4096
+	agentQueueFrames = 256
+	readBufferBytes  = 8 << 10
+	// writeBatchBytes is the size from which a write takes no further frames.
+	writeBatchBytes = 64 << 10
+	// helloTimeout limits the exchange of hellos.
 	helloTimeout = 3 * time.Second
-	// writeTimeout bounds one write; a peer that takes nothing for so long
-	// is cut off.
+	// writeTimeout limits one write. The connection is closed after it.
 	writeTimeout = 5 * time.Second
 )
 
-// ErrHello is the fault of a peer that does not introduce itself as expected.
-var ErrHello = errors.New("wire: bad hello")
+// ErrHello is returned for a peer whose hello is missing or does not match.
+var ErrHello = errors.New("wire: invalid hello")
 
-// Stats counts what passes over the connections of a process.
+// Stats counts the traffic of all connections of a process.
 type Stats struct {
 	FramesIn, FramesOut, BytesIn, BytesOut atomic.Uint64
 }
 
-// Conn is one connection between two processes. Frames are sent in order, from
-// any goroutine; they are received by the one that calls Run.
+// Conn is a connection between two processes. Send may be called from any
+// goroutine; frames are written in order. Run handles received frames in the
+// calling goroutine.
 type Conn struct {
-	raw    net.Conn
-	in     *bufio.Reader
-	out    chan Frame
-	done   chan struct{}
-	once   sync.Once
-	stats  *Stats
-	remote Hello
+	raw       net.Conn
+	in        *bufio.Reader
+	out       chan Frame
+	done      chan struct{}
+	closeOnce sync.Once
+	stats     *Stats
+	remote    Hello
 }
 
-// Handshake exchanges hellos over raw and returns the connection. On a fault
-// raw is closed.
+// Handshake exchanges hellos over raw and returns the connection. It closes raw
+// if it fails.
 func Handshake(raw net.Conn, own Hello, stats *Stats) (*Conn, error) {
 	c := &Conn{
 		raw:   raw,
-		in:    bufio.NewReaderSize(raw, readBuffer),
+		in:    bufio.NewReaderSize(raw, readBufferBytes),
 		done:  make(chan struct{}),
 		stats: stats,
 	}
-	if err := c.hello(own); err != nil {
+	if err := c.exchangeHellos(own); err != nil {
 		raw.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (c *Conn) hello(own Hello) error {
+func (c *Conn) exchangeHellos(own Hello) error {
 	if err := c.raw.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
 		return err
 	}
@@ -92,9 +90,9 @@
 		return fmt.Errorf("%w: region %q, want %q", ErrHello, h.Region, own.Region)
 	}
 	c.remote = h
-	c.out = make(chan Frame, entryQueue)
+	c.out = make(chan Frame, entryQueueFrames)
 	if h.Role == RoleAgent {
-		c.out = make(chan Frame, agentQueue)
+		c.out = make(chan Frame, agentQueueFrames)
 	}
 	return c.raw.SetDeadline(time.Time{})
 }
@@ -104,8 +102,8 @@
 	return c.remote
 }
 
-// Send queues f. It returns false when the connection is closed, and closes it
-// when its queue is full: a peer that reads too slowly is cut off.
+// Send queues f for writing. It closes the connection if the queue is full, and
+// reports false if the connection is closed.
 func (c *Conn) Send(f Frame) bool {
 	select {
 	case <-c.done:
@@ -121,8 +119,8 @@
 	}
 }
 
-// Run reads frames and hands them to handle until the connection ends. It
-// writes the queued frames meanwhile.
+// Run writes the queued frames, and reads frames and passes them to handle until
+// the connection is closed or handle fails.
 func (c *Conn) Run(handle func(Frame) error) error {
 	written := make(chan struct{})
 	go func() {
@@ -135,9 +133,9 @@
 	return err
 }
 
-// Close ends the connection.
+// Close closes the connection. It may be called several times.
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.done)
 		c.raw.Close()
 	})
@@ -166,21 +164,21 @@
 			return
 		case f := <-c.out:
 			buf.Reset()
-			if !c.gather(&buf, f) || !c.flush(&buf) {
+			if !c.encodeQueued(&buf, f) || !c.flush(&buf) {
 				return
 			}
 		}
 	}
 }
 
-// gather encodes f and what else is queued, up to flushSize.
-func (c *Conn) gather(buf *bytes.Buffer, f Frame) bool {
+// encodeQueued encodes f and further queued frames until buf has writeBatchBytes.
+func (c *Conn) encodeQueued(buf *bytes.Buffer, f Frame) bool {
 	for {
 		if err := AppendFrame(buf, f); err != nil {
 			return false
 		}
 		c.stats.FramesOut.Add(1)
-		if buf.Len() >= flushSize {
+		if buf.Len() >= writeBatchBytes {
 			return true
 		}
 		select {
--- a/seats/wire/golden_test.go
+++ b/seats/wire/golden_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestMessagesOnTheWire holds the bytes of every kind of message.
-func TestMessagesOnTheWire(t *testing.T) {
+// Guards against changes to the encoding of messages.
+func TestMessageEncodingMatchesGolden(t *testing.T) {
 	var out strings.Builder
 	for _, m := range samples() {
 		if f, ok := m.(Forward); ok {
--- a/seats/wire/message.go
+++ b/seats/wire/message.go
@@ -1,5 +1,5 @@
-// Package wire carries messages between beaconpoint's own processes: frames
-// of msgpack over TCP.
+// Package wire implements the protocol between beaconpoint's processes: frames of
+// msgpack over TCP.
 package wire
 
 import (
@@ -12,11 +12,10 @@
 	"github.com/beaconpoint/beaconpoint/seats/roster"
 )
 
-// Version is the version of the messages; processes of other versions are
-// turned away at the hello.
+// Version is the protocol version. The handshake rejects peers with another one.
 const Version = 1
 
-// Kind tells which message a frame carries.
+// Kind identifies the type of a message.
 type Kind uint8
 
 // Kinds of messages.
@@ -39,24 +38,24 @@
 
 // Message is the body of a frame.
 type Message interface {
-	// Kind returns the kind that the frame's header names.
+	// Kind returns the kind for the frame's header.
 	Kind() Kind
 }
 
-// Header goes before each message.
+// Header precedes each message.
 type Header struct {
 	Kind Kind
-	// Seq grows with each frame that one process sends to another; an agent
-	// takes a seat's frames in growing order only.
+	// Seq increases with each frame that a process sends to another. An agent
+	// ignores frames of a seat that arrive out of order.
 	Seq uint64
 	// Revision is the sender's roster revision.
 	Revision uint64
 	// Config is the sender's configuration revision.
 	Config uint64
-	// Stamp is the sender's own clock, in nanoseconds.
+	// Stamp is a reading of the sender's monotonic clock, in nanoseconds.
 	Stamp int64
-	// Echo is the latest stamp that the sender has from the receiver. It
-	// confirms the receiver for a lease that counts from that stamp.
+	// Echo is the latest Stamp that the sender has received from the
+	// receiver. It confirms the receiver for one lease from that time.
 	Echo int64
 }
 
@@ -64,19 +63,19 @@
 type Frame struct {
 	Header
 	Body Message
-	size int // as read, with its length prefix, in bytes
+	size int // in bytes, with the length prefix; set by ReadFrame
 }
 
-// Role tells what a process is.
+// Role is the role of a process.
 type Role string
 
-// Roles.
+// Roles of processes.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
 )
 
-// Hello opens a connection, in both directions.
+// Hello is the first message of each peer on a connection.
 type Hello struct {
 	Version int
 	Role    Role
@@ -84,44 +83,48 @@
 	Region  string
 }
 
-// Heartbeat is sent by an entry where nothing else flows.
+// Heartbeat is sent by an entry in the absence of other frames.
 type Heartbeat struct {
-	// Waiting is how many tasks wait at the sender for the receiver's
+	// Waiting is the number of the sender's tasks that wait for the receiver's
 	// service.
 	Waiting int
-	// Running is how many tasks the sender has running.
+	// Running is the number of the sender's tasks at the receiver.
 	Running int
-	// Settling says that the sender lacks the receiver's hand-over at the
-	// frame's revision.
+	// Settling reports that the sender still needs the receiver's hand-over at
+	// the frame's revision.
 	Settling bool
 }
 
-// AgentHeartbeat answers an entry's frame.
+// AgentHeartbeat is sent by an agent in answer to a Heartbeat, Roster or Target,
+// and when it begins to stop.
 type AgentHeartbeat struct {
 	// Service is the service that the agent's target serves.
 	Service string
-	// Window is how many starts the receiver may have unanswered here.
+	// Window is the number of unanswered starts that the receiver may have at
+	// the agent.
 	Window int
-	// Slots is how many tasks the target runs at once.
+	// Slots is the number of tasks that the target runs concurrently.
 	Slots int
-	// Standing says that every seat confirms the agent.
+	// Standing reports that every seat confirms the agent.
 	Standing bool
-	// Leaving says that the agent takes no new starts.
+	// Leaving reports that the agent accepts no new starts.
 	Leaving bool
 }
 
-// Roster hands over a roster.
+// Roster carries a newer roster.
 type Roster struct {
 	Roster roster.Roster
 }
 
-// Config hands over the operators' configuration, as JSON.
+// Config carries a newer configuration to an entry.
 type Config struct {
+	// Document is the JSON encoding of a config.Document.
 	Document []byte
 }
 
-// Target hands an agent its own part of the configuration.
+// Target carries an agent's part of a newer configuration.
 type Target struct {
+	// Known is false if the configuration has no target for the agent.
 	Known       bool
 	Service     string
 	Slots       int
@@ -129,13 +132,14 @@
 	Drained     bool
 }
 
-// TaskKey names one task of one job, by the job's key.
+// TaskKey identifies a task.
 type TaskKey struct {
+	// Job is the job's key, "service/id".
 	Job   string
 	Index int
 }
 
-// String returns the job and the task's index.
+// String returns the form "service/id/index".
 func (k TaskKey) String() string {
 	return fmt.Sprintf("%s/%d", k.Job, k.Index)
 }
@@ -145,7 +149,7 @@
 	return k.Job[:max(strings.LastIndexByte(k.Job, '/'), 0)]
 }
 
-// Compare orders keys by job and index.
+// Compare compares keys by job, then by index.
 func (k TaskKey) Compare(o TaskKey) int {
 	if c := strings.Compare(k.Job, o.Job); c != 0 {
 		return c
@@ -153,60 +157,61 @@
 	return k.Index - o.Index
 }
 
-// Start asks an agent to start a task. An agent that holds a record of the
-// task starts nothing and answers from the record.
+// Start requests an agent to start a task. An agent that has a record of the task
+// does not start it again and answers from the record.
 type Start struct {
 	Key    TaskKey
 	TaskID string
-	// Digest is of the whole job's content.
+	// Digest is the digest of the whole job.
 	Digest  uint64
 	Service string
 	Payload []byte
-	// Expiry is the job's, in Unix milliseconds.
+	// Expiry is the job's expiry, in Unix milliseconds.
 	Expiry int64
-	// Raw says that the payload is a JSON string of base64 bytes, to be
-	// handed to the target decoded.
+	// Raw reports that the payload is a JSON string of base64, which the target
+	// gets decoded.
 	Raw bool
 }
 
-// Await asks for the result of a task that was started before; it never
-// starts one.
+// Await requests the result of a task that was started before, without starting
+// it.
 type Await struct {
 	Key TaskKey
 }
 
-// Status is how a task ended.
+// Status is the outcome of a Start or an Await.
 type Status uint8
 
-// Ways in which a task ends.
+// Outcomes of a Start or an Await.
 const (
-	// Done: the target answered with success.
+	// Done means that the target completed the task.
 	Done Status = iota + 1
-	// Failed: the target may have run the task and gave no good answer.
+	// Failed means that the target may have run the task without success.
 	Failed
-	// NotRun: the agent did not and will not run it for this request.
+	// NotRun means that the agent has not run and will not run the task for
+	// this request.
 	NotRun
 )
 
 // Result answers a Start or an Await.
 type Result struct {
 	Key TaskKey
-	// Seq is that of the frame that is answered.
+	// Seq is the sequence number of the answered frame.
 	Seq    uint64
 	Status Status
 	Code   code.Code
 	Output []byte
-	// Window is as in AgentHeartbeat.
+	// Window has the meaning of AgentHeartbeat.Window.
 	Window int
 }
 
-// Collect asks an agent for its records of the jobs that the sender is home to
-// and that others started.
+// Collect requests an agent's records of the jobs that the sender owns and that
+// other seats started.
 type Collect struct {
 	Revision uint64
 }
 
-// Record is what an agent remembers of one start.
+// Record is an agent's record of an accepted start.
 type Record struct {
 	Key     TaskKey
 	Digest  uint64
@@ -220,14 +225,14 @@
 	Records  []Record
 }
 
-// Forward hands a submission to its home.
+// Forward sends a submission to the seat that owns the job.
 type Forward struct {
 	Ticket     uint64
 	Submission job.Submission
-	// Lookup asks only where the job stands.
+	// Lookup requests the state of the job without submitting it.
 	Lookup bool
-	// Pointed says that the receiver holds the job's record, though it is
-	// not its home any more.
+	// Pointed reports that the receiver holds the job's record without owning
+	// the job any more.
 	Pointed bool
 }
 
@@ -237,42 +242,41 @@
 	Answer seats.Answer
 }
 
-// Moved is a job whose record stays with its old home.
+// Moved is a job that has a new owner while its record stays at another seat.
 type Moved struct {
 	Job    string
 	Expiry int64
 }
 
-// Share is what the homes of jobs depend on.
+// Share is the part of a roster that determines the owners of jobs.
 type Share struct {
 	Seats  []roster.Seat
 	Shards int
 }
 
-// Doubt is a share of jobs about which it can't be known whether they ran: those
-// that Holder got from other seats that are gone, with an agent's records gone
-// too.
+// Doubt is a set of jobs for which no process can tell whether they ran: Holder
+// took them over from removed seats, and records of an agent are lost too.
 type Doubt struct {
 	Holder roster.ID
-	// At is where Holder was home to them, and Before where it was not to
-	// all of them; without any before, all that it was home to are in doubt.
+	// At determines the jobs that Holder owned. Before lists the earlier
+	// states: a job that Holder owned at all of them is not in doubt. If it is
+	// empty, all jobs that Holder owned are in doubt.
 	At     Share
 	Before []Share
-	// Expiry is the latest that such a job can have, in Unix milliseconds.
+	// Expiry is the latest expiry of the jobs, in Unix milliseconds.
 	Expiry int64
 }
 
-// HandOver is what a seat tells each other one at a new revision: the jobs that
-// the receiver is home to and whose records the sender keeps.
+// HandOver is sent by each seat to each other one at a new roster revision. It
+// lists the jobs that the receiver owns and whose state the sender has.
 type HandOver struct {
 	Revision uint64
-	// Settled says that the sender has answered for jobs before.
+	// Settled reports that the sender has completed a takeover before.
 	Settled bool
-	// Moved are jobs that the sender holds: their records, or what it knows
-	// of their starts by seats that are gone.
+	// Moved lists the jobs whose records the sender holds or has recovered.
 	Moved []Moved
-	// Orphans are jobs whose holder is gone and Doubted those of them that
-	// stay in doubt.
+	// Orphans lists jobs whose holder is gone, and Doubted such jobs that may
+	// have run with their records lost.
 	Orphans []Moved
 	Doubted []Moved
 	Doubts  []Doubt
--- a/seats/wire/wire_test.go
+++ b/seats/wire/wire_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestEveryKindComesThrough(t *testing.T) {
+func TestEveryKindRoundTrips(t *testing.T) {
 	seen := make(map[Kind]bool)
 	for _, m := range samples() {
 		var buf bytes.Buffer
@@ -51,7 +51,7 @@
 		f, err := ReadFrame(&buf)
 		assert.NilError(t, err)
 		assert.Equal(t, f.Kind, m.Kind())
-		// Times compare by their instant; the rest as it is.
+		// The time in a Forward decodes with another location.
 		if _, ok := m.(Forward); !ok {
 			assert.Assert(t, reflect.DeepEqual(f.Body, m), "%+v\n%+v", f.Body, m)
 		}
@@ -60,7 +60,7 @@
 	assert.Equal(t, len(seen), len(decoders))
 }
 
-func TestHeadersComeThrough(t *testing.T) {
+func TestHeadersRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := Header{
 			Seq: rapid.Uint64().Draw(t, "seq"), Revision: rapid.Uint64().Draw(t, "revision"),
@@ -76,38 +76,38 @@
 		}
 		h.Kind = KindCollect
 		if f.Header != h {
-			t.Fatalf("%+v came through as %+v", h, f.Header)
+			t.Fatalf("header %+v decoded as %+v", h, f.Header)
 		}
 	})
 }
 
-func TestOversizeFrameIsRefusedBeforeItIsRead(t *testing.T) {
+func TestOversizeFrameIsRejectedBeforeAllocation(t *testing.T) {
 	prefix := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
 	_, err := ReadFrame(bytes.NewReader(prefix))
 	assert.Assert(t, errors.Is(err, ErrFrameSize))
 }
 
-func TestPeerThatSpeaksRubbishIsCutOff(t *testing.T) {
-	for _, rubbish := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x01\xc1", "\x00\x00\x00\x00"} {
+func TestHandshakeRejectsMalformedInput(t *testing.T) {
+	for _, input := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x01\xc1", "\x00\x00\x00\x00"} {
 		ours, theirs := net.Pipe()
 		go func() {
-			_, _ = theirs.Write([]byte(rubbish)) // cut off at any byte
+			_, _ = theirs.Write([]byte(input)) // fails when the peer closes
 			theirs.Close()
 		}()
 		go func() { _, _ = bytes.NewBuffer(nil).ReadFrom(theirs) }()
 		_, err := Handshake(ours, Hello{Role: RoleEntry, ID: roster.NewID("a", 1)}, &Stats{})
-		assert.Assert(t, err != nil, "%q", rubbish)
+		assert.Assert(t, err != nil, "%q", input)
 	}
 }
 
-func TestOtherVersionAndRegionAreTurnedAway(t *testing.T) {
+func TestHandshakeRejectsOtherVersionOrRegion(t *testing.T) {
 	for _, c := range []struct {
 		hello Hello
 		want  string
 	}{
 		{Hello{Version: Version + 1, ID: roster.NewID("a", 1), Region: "bay"}, "version"},
 		{Hello{Version: Version, ID: roster.NewID("a", 1), Region: "elsewhere"}, "region"},
-		{Hello{Version: Version, Region: "bay"}, "bad hello"},
+		{Hello{Version: Version, Region: "bay"}, "invalid hello"},
 	} {
 		ours, theirs := net.Pipe()
 		go func() {
