--- a/seats/job/submission.go
+++ b/seats/job/submission.go
@@ -1,5 +1,4 @@
-// Package job reads what callers submit: it checks a job's form and works out
-// its identity.
+// Package job parses and validates submitted jobs and computes their identity.
 package job
 
 import (
@@ -16,32 +15,32 @@
 	"github.com/beaconpoint/beaconpoint/seats"
 )
 
-// Submission is a well-formed job on its way to its home.
+// Submission is a validated job, or the id of a job to look up.
 type Submission struct {
 	Service string
 	Job     seats.Job
-	// Digest is over the job's content and expiry.
+	// Digest is a hash of the service and of the job with its expiry.
 	Digest uint64
-	// Deadline is the caller's expiry or, where it gave none, the one that
-	// the first entry set, in Unix milliseconds. It is not part of the
-	// identity.
+	// Deadline is the caller's expiry or, if it gave none, the one set by the
+	// entry that took the submission, in Unix milliseconds. The digest does not
+	// include it.
 	Deadline int64
-	// Single marks a single request, the only kind that may be repeatable.
+	// Single marks a single request. Only single requests can be repeatable.
 	Single bool
 }
 
-// Key names the job among all jobs of all services.
+// Key returns the key of the job, "service/id".
 func (s Submission) Key() string {
 	return s.Service + "/" + s.Job.ID
 }
 
-// IDOf returns the id of the job that a key names.
+// IDOf returns the job id in a key.
 func IDOf(key string) string {
 	return key[strings.LastIndexByte(key, '/')+1:]
 }
 
-// Expiry returns the job's expiry in Unix milliseconds, or zero where the
-// caller gave none.
+// Expiry returns the caller's expiry in Unix milliseconds, or zero if it gave
+// none.
 func (s Submission) Expiry() int64 {
 	if s.Job.ExpiresAt == nil {
 		return 0
@@ -49,39 +48,40 @@
 	return s.Job.ExpiresAt.UnixMilli()
 }
 
-// Repeatable reports whether a lost start may be sent again.
+// Repeatable reports whether the task may be started again after its agent was
+// lost.
 func (s Submission) Repeatable() bool {
 	return s.Single && s.Job.Tasks[0].Repeatable
 }
 
-// Parse reads the body of a submission and checks its form. The errors carry
-// the codes of package code.
+// Parse decodes and validates the body of a submission. Its errors have codes of
+// package code. On an error, the submission has the job's id if that is valid.
 func Parse(service string, body []byte) (Submission, error) {
-	j, err := decode(body)
+	j, err := decodeJob(body)
 	if err != nil {
 		return Submission{}, err
 	}
 	s, err := New(service, j)
 	if err != nil && ValidID(j.ID) {
-		s.Job.ID = j.ID // for the refusal
+		s.Job.ID = j.ID
 	}
 	return s, err
 }
 
-// New checks the form of j and returns its submission.
+// New validates j and returns its submission.
 func New(service string, j seats.Job) (Submission, error) {
-	if err := check(j); err != nil {
+	if err := validateJob(j); err != nil {
 		return Submission{}, err
 	}
-	digest, err := digest(service, j)
+	digest, err := jobDigest(service, j)
 	if err != nil {
 		return Submission{}, code.Errorf(code.BadJSON, "a payload is not JSON: %v", err)
 	}
 	return Submission{Service: service, Job: j, Digest: digest}, nil
 }
 
-// NewSingle returns the submission of a single request, whose payload is the
-// body as it is.
+// NewSingle returns the submission of a single request with an arbitrary body,
+// which the payload holds as a base64 string.
 func NewSingle(service, organisation, id string, body []byte, repeatable bool, expiry *time.Time) (Submission, error) {
 	payload, err := json.Marshal(body)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return s, err
 }
 
-func decode(body []byte) (seats.Job, error) {
+func decodeJob(body []byte) (seats.Job, error) {
 	var j seats.Job
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
@@ -106,12 +106,12 @@
 		return j, code.Errorf(code.BadJSON, "the body is not a job: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return j, code.Error(code.BadJSON, "the body goes on after the job")
+		return j, code.Error(code.BadJSON, "the body has data after the job")
 	}
 	return j, nil
 }
 
-func check(j seats.Job) error {
+func validateJob(j seats.Job) error {
 	if !ValidID(j.ID) {
 		return code.Errorf(code.BadID, "the job's id %.40q is not an id", j.ID)
 	}
@@ -126,14 +126,14 @@
 	}
 	seen := make(map[string]bool, len(j.Tasks))
 	for _, t := range j.Tasks {
-		if err := checkTask(t, seen); err != nil {
+		if err := validateTask(t, seen); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkTask(t seats.Task, seen map[string]bool) error {
+func validateTask(t seats.Task, seen map[string]bool) error {
 	if !ValidID(t.ID) {
 		return code.Errorf(code.BadID, "the task's id %.40q is not an id", t.ID)
 	}
@@ -142,13 +142,13 @@
 	}
 	seen[t.ID] = true
 	if t.ExpectedMS < 0 {
-		return code.Errorf(code.BadValue, "task %q: expected_ms is below zero", t.ID)
+		return code.Errorf(code.BadValue, "task %q: expected_ms is negative", t.ID)
 	}
 	return nil
 }
 
-// ValidID reports whether id may name a job, task, request or organisation: 1 to
-// seats.MaxID printable ASCII characters without space, slash or quotes.
+// ValidID reports whether id is valid for a job, task, request or organisation: 1
+// to seats.MaxID printable ASCII characters, without space and /\"'?#%.
 func ValidID(id string) bool {
 	if id == "" || len(id) > seats.MaxID {
 		return false
@@ -161,8 +161,9 @@
 	return true
 }
 
-// digest hashes the job in a form that white space does not change.
-func digest(service string, j seats.Job) (uint64, error) {
+// jobDigest returns a hash of the job that does not depend on whitespace and time
+// zone.
+func jobDigest(service string, j seats.Job) (uint64, error) {
 	if j.ExpiresAt != nil {
 		utc := j.ExpiresAt.UTC()
 		j.ExpiresAt = &utc
@@ -172,7 +173,7 @@
 		return 0, err
 	}
 	h := xxhash.New()
-	_, _ = h.WriteString(service) // a hash takes every write
+	_, _ = h.WriteString(service) // never fails
 	_, _ = h.Write(raw)
 	return h.Sum64(), nil
 }
--- a/seats/job/submission_test.go
+++ b/seats/job/submission_test.go
@@ -8,7 +8,7 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-func TestWhiteSpaceDoesNotChangeTheIdentity(t *testing.T) {
+func TestDigestIgnoresWhitespaceAndTimeZone(t *testing.T) {
 	a, err := Parse("s", []byte(`{"id":"a","member":"m","expires_at":"2026-01-01T00:00:00Z","tasks":[{"id":"t","payload":{"x":1}}]}`))
 	assert.NilError(t, err)
 	b, err := Parse("s", []byte(`{"id":"a", "member":"m", "expires_at":"2026-01-01T01:00:00+01:00", "tasks":[{"id":"t","payload": {"x": 1}}]}`))
@@ -19,7 +19,7 @@
 	assert.Assert(t, a.Digest != other.Digest)
 }
 
-func TestBodyThatGoesOnIsRefused(t *testing.T) {
+func TestDataAfterJobIsRejected(t *testing.T) {
 	_, err := Parse("s", []byte(`{"id":"a","member":"m","tasks":[{"id":"t"}]} {}`))
 	assert.Equal(t, code.Of(err, code.OK), code.BadJSON)
 }
