--- a/seats/entry/callers.go
+++ b/seats/entry/callers.go
@@ -17,7 +17,7 @@
 	"github.com/beaconpoint/beaconpoint/seats/job"
 )
 
-// Headers of a single request.
+// HTTP headers of a single request and its response.
 const (
 	HeaderRequestID  = "X-Request-Id"
 	HeaderMember     = "X-Member"
@@ -27,7 +27,7 @@
 	HeaderRan        = "X-Ran"
 )
 
-// callersHandler serves those who submit work.
+// callersHandler returns the handler of the callers' API.
 func (e *Entry) callersHandler() http.Handler {
 	s := newEcho()
 	s.POST("/v1/services/:service/jobs", e.postJob)
@@ -36,7 +36,7 @@
 	return s
 }
 
-// newEcho returns a router whose own faults have the form of answers.
+// newEcho returns a router that writes its errors as JSON.
 func newEcho() *echo.Echo {
 	s := echo.New()
 	s.HideBanner = true
@@ -50,24 +50,24 @@
 		if errors.As(err, &he) {
 			status = he.Code
 		}
-		_ = c.JSON(status, map[string]string{"message": err.Error()}) // the caller has gone
+		_ = c.JSON(status, map[string]string{"message": err.Error()}) // fails only if the client has disconnected
 	}
 	return s
 }
 
 func (e *Entry) postJob(c echo.Context) error {
 	if kind, _, err := mime.ParseMediaType(c.Request().Header.Get(echo.HeaderContentType)); err != nil || kind != echo.MIMEApplicationJSON {
-		return badRequest(c, "", code.Error(code.UnsupportedType, "the content type is not application/json"))
+		return writeBadRequest(c, "", code.Error(code.UnsupportedType, "the content type is not application/json"))
 	}
 	body, err := readBody(c)
 	if err != nil {
-		return badRequest(c, "", err)
+		return writeBadRequest(c, "", err)
 	}
 	sub, err := job.Parse(c.Param("service"), body)
 	if err != nil {
-		return badRequest(c, sub.Job.ID, err)
+		return writeBadRequest(c, sub.Job.ID, err)
 	}
-	a, err := e.ask(c.Request().Context(), sub, false)
+	a, err := e.submitAndWait(c.Request().Context(), sub, false)
 	if err != nil {
 		return err
 	}
@@ -77,36 +77,36 @@
 func (e *Entry) getJob(c echo.Context) error {
 	id := c.Param("id")
 	if !job.ValidID(id) {
-		return badRequest(c, id, code.Error(code.BadID, "the job's id is not an id"))
+		return writeBadRequest(c, id, code.Error(code.BadID, "the job's id is not an id"))
 	}
 	sub := job.Submission{Service: c.Param("service"), Job: seats.Job{ID: id}}
-	a, err := e.ask(c.Request().Context(), sub, true)
+	a, err := e.submitAndWait(c.Request().Context(), sub, true)
 	if err != nil {
 		return err
 	}
 	return writeAnswer(c, a)
 }
 
-// postRequest runs one request; the target's answer is the body of the answer.
+// postRequest runs a single request. The response body is the target's output.
 func (e *Entry) postRequest(c echo.Context) error {
 	body, err := readBody(c)
 	if err != nil {
-		return badRequest(c, "", err)
+		return writeBadRequest(c, "", err)
 	}
 	h := c.Request().Header
 	expiry, err := parseExpiry(h.Get(HeaderExpiresAt))
 	if err != nil {
-		return badRequest(c, h.Get(HeaderRequestID), err)
+		return writeBadRequest(c, h.Get(HeaderRequestID), err)
 	}
 	repeatable, err := parseRepeatable(h.Get(HeaderRepeatable))
 	if err != nil {
-		return badRequest(c, h.Get(HeaderRequestID), err)
+		return writeBadRequest(c, h.Get(HeaderRequestID), err)
 	}
 	sub, err := job.NewSingle(c.Param("service"), h.Get(HeaderMember), h.Get(HeaderRequestID), body, repeatable, expiry)
 	if err != nil {
-		return badRequest(c, h.Get(HeaderRequestID), err)
+		return writeBadRequest(c, h.Get(HeaderRequestID), err)
 	}
-	a, err := e.ask(c.Request().Context(), sub, false)
+	a, err := e.submitAndWait(c.Request().Context(), sub, false)
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	return v, nil
 }
 
-// readBody reads at most the largest body.
+// readBody reads a body of at most seats.MaxBody bytes.
 func readBody(c echo.Context) ([]byte, error) {
 	var buf bytes.Buffer
 	if n := c.Request().ContentLength; n > 0 && n <= seats.MaxBody {
@@ -151,7 +151,7 @@
 	}
 	_, err := buf.ReadFrom(io.LimitReader(c.Request().Body, seats.MaxBody+1))
 	if err != nil {
-		return nil, code.Errorf(code.BadJSON, "the body broke off: %v", err)
+		return nil, code.Errorf(code.BadJSON, "the body could not be read: %v", err)
 	}
 	if buf.Len() > seats.MaxBody {
 		return nil, code.Errorf(code.TooLarge, "the body is larger than %d bytes", seats.MaxBody)
@@ -159,8 +159,8 @@
 	return buf.Bytes(), nil
 }
 
-// badRequest refuses what is not a well-formed job: nothing can have run.
-func badRequest(c echo.Context, id string, err error) error {
+// writeBadRequest refuses a malformed submission, of which no task has run.
+func writeBadRequest(c echo.Context, id string, err error) error {
 	k := code.Of(err, code.BadJSON)
 	return writeAnswer(c, seats.Answer{
 		ID: id, State: seats.Refused,
@@ -168,7 +168,7 @@
 	})
 }
 
-// writeAnswer writes an answer with its status and the time to come back.
+// writeAnswer writes an answer with its HTTP status and headers.
 func writeAnswer(c echo.Context, a seats.Answer) error {
 	h := c.Response().Header()
 	if a.RetryAfterMS > 0 {
--- a/seats/entry/close_test.go
+++ b/seats/entry/close_test.go
@@ -11,9 +11,9 @@
 	"github.com/beaconpoint/beaconpoint/testutil/loopback"
 )
 
-// TestAConnectionThatComesAfterTheCloseIsTurnedAway: nobody would ever close it,
-// and the stopping process would wait for its end for good.
-func TestAConnectionThatComesAfterTheCloseIsTurnedAway(t *testing.T) {
+// Guards against a connection accepted during the stop that is never closed, so
+// that the process does not exit.
+func TestConnectionAfterCloseIsRejected(t *testing.T) {
 	e := newTestEntry(t, io.Discard)
 	near, far := loopback.Pair(t)
 	defer far.Close()
--- a/seats/entry/entry.go
+++ b/seats/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry runs an entry: it serves callers and operators over HTTP and
-// carries frames, answers and store calls to and from the home.
+// Package entry runs an entry. It serves callers and operators over HTTP and
+// connects the state machine of package home to the network and the store.
 package entry
 
 import (
@@ -27,72 +27,72 @@
 
 // Intervals of an entry.
 const (
-	tickInterval = 50 * time.Millisecond
-	drainLinger  = 200 * time.Millisecond
-	httpGrace    = 2 * time.Second
-	// balancerLag is how long a stopping entry serves on as before while the
-	// balancer notices that it is not ready.
-	balancerLag = time.Second
+	tickInterval        = 50 * time.Millisecond
+	resultFlushTime     = 200 * time.Millisecond
+	httpShutdownTimeout = 2 * time.Second
+	// readinessDelay is the time for the load balancer to see that a stopping
+	// entry is not ready, during which the entry serves as before.
+	readinessDelay = time.Second
 )
 
 // Entry is one running entry.
 type Entry struct {
-	cfg      settings.Settings
-	log      *slog.Logger
-	clock    clock.Clock
-	store    *store.Client
-	tokens   *tokens
-	peers    net.Listener
-	callers  net.Listener
-	ops      net.Listener
-	stats    wire.Stats
-	work     chan func(context.Context)
-	serving  sync.WaitGroup
-	closed   bool // no connection is taken any more
-	stopping atomic.Bool
-	// config is read on the path of a request without a lock.
+	cfg        settings.Settings
+	log        *slog.Logger
+	clock      clock.Clock
+	store      *store.Client
+	tokens     *tokens
+	peers      net.Listener
+	callers    net.Listener
+	ops        net.Listener
+	stats      wire.Stats
+	storeCalls chan func(context.Context)
+	serving    sync.WaitGroup
+	closed     bool // new connections are rejected
+	stopping   atomic.Bool
+	// config is the configuration in force, to be read without the lock.
 	config atomic.Pointer[config.View]
 	ready  atomic.Bool
 
-	mu      sync.Mutex
-	self    roster.ID
-	home    *home.Home
-	past    home.Stats // of earlier lives
-	conns   map[roster.ID]*wire.Conn
-	tickets uint64
-	waiting map[uint64]*ticket
-	done    chan struct{} // closed when a stopping entry has given up its seat
+	mu            sync.Mutex
+	self          roster.ID
+	home          *home.Home
+	previousStats home.Stats // of earlier incarnations
+	conns         map[roster.ID]*wire.Conn
+	tickets       uint64
+	waiting       map[uint64]*ticket
+	done          chan struct{} // closed when a stopping entry has lost its seat
 }
 
-// ticket is a caller that waits for an answer.
+// ticket is a submission whose caller waits for the answer.
 type ticket struct {
 	sub    job.Submission
 	lookup bool
 	answer chan seats.Answer
 }
 
-// NewEntry returns an entry that listens at its settings' addresses.
+// NewEntry returns an entry that listens on the addresses of cfg.
 func NewEntry(cfg settings.Settings, log *slog.Logger) (*Entry, error) {
 	keys, err := loadTokens(cfg.Entry.Tokens)
 	if err != nil {
 		return nil, err
 	}
 	e := &Entry{
-		cfg:     cfg,
-		log:     log.With("role", wire.RoleEntry),
-		clock:   clock.New(),
-		store:   store.NewClient(cfg.Entry.Platform),
-		tokens:  keys,
-		work:    make(chan func(context.Context), 64),
-		conns:   make(map[roster.ID]*wire.Conn),
-		waiting: make(map[uint64]*ticket),
-		done:    make(chan struct{}),
+		cfg:        cfg,
+		log:        log.With("role", wire.RoleEntry),
+		clock:      clock.New(),
+		store:      store.NewClient(cfg.Entry.Platform),
+		tokens:     keys,
+		storeCalls: make(chan func(context.Context), 64),
+		conns:      make(map[roster.ID]*wire.Conn),
+		waiting:    make(map[uint64]*ticket),
+		done:       make(chan struct{}),
 	}
 	e.config.Store(config.NewView(config.Document{}))
 	if err := e.listen(); err != nil {
 		return nil, err
 	}
-	e.begin()
+	e.startIncarnation()
 	return e, nil
 }
 
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// begin starts a new life: a removed incarnation never comes back. It is called
-// with the lock held, or before anything else runs.
-func (e *Entry) begin() {
+// startIncarnation replaces the state machine by one with a new incarnation. It
+// is called with e.mu held, or from NewEntry.
+func (e *Entry) startIncarnation() {
 	e.self = roster.NewID(e.cfg.Name, agent.NewIncarnation())
 	hc := home.DefaultConfig(e.self, e.peers.Addr().String())
 	hc.Lease = e.cfg.Lease
@@ -121,13 +121,13 @@
 	hc.Skew = e.cfg.Skew
 	hc.AnswerBytes = e.cfg.Entry.AnswerMB << 20
 	if e.home != nil {
-		e.past = e.past.Plus(e.home.Stats())
+		e.previousStats = e.previousStats.Plus(e.home.Stats())
 	}
 	e.home = home.NewHome(hc)
-	e.log.Info("life begins", "seat", e.self.String())
+	e.log.Info("incarnation started", "seat", e.self.String())
 }
 
-// PeersAddr returns where other processes reach the entry.
+// PeersAddr returns the address for other processes.
 func (e *Entry) PeersAddr() string { return e.peers.Addr().String() }
 
 // CallersURL returns the base URL for callers.
@@ -136,10 +136,10 @@
 // OperatorsURL returns the base URL for operators.
 func (e *Entry) OperatorsURL() string { return "http://" + e.ops.Addr().String() }
 
-// Run serves until ctx is done, then finishes what it has accepted and gives
-// up its seat.
+// Run serves until ctx is done, then finishes the accepted jobs and gives up the
+// seat.
 func (e *Entry) Run(ctx context.Context) error {
-	e.log.Info("entry serves", "peers", e.PeersAddr(), "callers", e.CallersURL(), "operators", e.OperatorsURL())
+	e.log.Info("entry started", "peers", e.PeersAddr(), "callers", e.CallersURL(), "operators", e.OperatorsURL())
 	var g run.Group
 	callers := &http.Server{Handler: e.callersHandler(), ReadHeaderTimeout: 10 * time.Second}
 	ops := &http.Server{Handler: e.operatorsHandler(), ReadHeaderTimeout: 10 * time.Second}
@@ -147,13 +147,13 @@
 	e.addServer(&g, ops, e.ops)
 	g.Add(e.accept, func(error) { e.peers.Close() })
 	for _, actor := range []func(context.Context) error{
-		e.tick, e.dial, e.storeWork, e.watchConfig, e.watchRoster, e.watchHosts,
+		e.tick, e.dial, e.runStoreCalls, e.watchConfig, e.watchRoster, e.watchHosts,
 	} {
 		actorCtx, cancel := context.WithCancel(context.Background())
 		g.Add(func() error { return actor(actorCtx) }, func(error) { cancel() })
 	}
 	stop, cancel := context.WithCancel(ctx)
-	g.Add(func() error { return e.untilStopped(stop) }, func(error) { cancel() })
+	g.Add(func() error { return e.drainOnStop(stop) }, func(error) { cancel() })
 	err := g.Run()
 	e.closeAll()
 	e.serving.Wait()
@@ -168,28 +168,28 @@
 		}
 		return nil
 	}, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), httpGrace)
+		ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 		defer cancel()
-		_ = s.Shutdown(ctx) // what is still open then is cut off by Close
+		_ = s.Shutdown(ctx) // Close ends the remaining connections
 		_ = s.Close()
 	})
 }
 
-// untilStopped waits for the stop, then until every job is answered and the
-// seat is given up, within the drain time.
-func (e *Entry) untilStopped(ctx context.Context) error {
+// drainOnStop waits until ctx is done, and then, for at most the drain time, until
+// every job is answered and the seat is given up.
+func (e *Entry) drainOnStop(ctx context.Context) error {
 	<-ctx.Done()
-	e.log.Info("entry leaves")
+	e.log.Info("entry stopping, waiting for accepted jobs")
 	e.stopping.Store(true)
 	e.ready.Store(false)
-	time.Sleep(balancerLag)
-	e.do(func(now clock.Moment) home.Effects { return e.home.Leave(now) })
+	time.Sleep(readinessDelay)
+	e.handleEvent(func(now clock.Moment) home.Effects { return e.home.Leave(now) })
 	select {
 	case <-e.done:
 	case <-time.After(e.cfg.DrainTime):
-		e.log.Warn("drain time is over")
+		e.log.Warn("drain time exceeded before the seat was given up")
 	}
-	time.Sleep(drainLinger)
+	time.Sleep(resultFlushTime)
 	return nil
 }
 
@@ -201,19 +201,19 @@
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			e.do(func(now clock.Moment) home.Effects { return e.home.Tick(now) })
+			e.handleEvent(func(now clock.Moment) home.Effects { return e.home.Tick(now) })
 		}
 	}
 }
 
-// do has the home handle one event and carries out the effects in order.
-func (e *Entry) do(event func(clock.Moment) home.Effects) {
+// handleEvent passes one event to the state machine and carries out its effects.
+func (e *Entry) handleEvent(event func(clock.Moment) home.Effects) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.apply(event(e.clock.Now()))
+	e.applyEffects(event(e.clock.Now()))
 }
 
-func (e *Entry) apply(out home.Effects) {
+func (e *Entry) applyEffects(out home.Effects) {
 	for _, s := range out.Sends {
 		if c := e.conns[s.To]; c != nil {
 			c.Send(s.Frame)
@@ -226,13 +226,13 @@
 		e.config.Store(e.home.Configuration())
 	}
 	if out.Swap != nil {
-		e.post(e.swapWork(e.home, *out.Swap))
+		e.queueStoreCall(e.swapCall(e.home, *out.Swap))
 	}
 	if out.Read {
-		e.post(e.readWork(e.home))
+		e.queueStoreCall(e.readCall(e.home))
 	}
 	if out.Removed {
-		e.removed()
+		e.handleSeatLoss()
 	}
 	e.ready.Store(e.home.Settled() && !e.stopping.Load())
 }
@@ -244,9 +244,9 @@
 	}
 }
 
-// removed ends this life. A stopping entry is done; another one begins anew
-// and brings its callers' submissions along.
-func (e *Entry) removed() {
+// handleSeatLoss handles the loss of the seat. Unless the entry is stopping,
+// it starts a new incarnation and submits the waiting callers' jobs again.
+func (e *Entry) handleSeatLoss() {
 	for _, c := range e.conns {
 		c.Close()
 	}
@@ -255,13 +255,13 @@
 		close(e.done)
 		return
 	}
-	e.log.Warn("seat lost", "seat", e.self.String())
+	e.log.Warn("seat lost, starting a new incarnation", "seat", e.self.String())
 	d := e.home.Configuration().Document
-	e.begin()
+	e.startIncarnation()
 	now := e.clock.Now()
-	e.apply(e.home.Configure(now, d))
+	e.applyEffects(e.home.Configure(now, d))
 	for id, t := range e.waiting {
-		e.apply(e.submit(now, id, t))
+		e.applyEffects(e.submit(now, id, t))
 	}
 }
 
@@ -272,11 +272,12 @@
 	return e.home.Submit(now, id, t.sub)
 }
 
-// ask submits and waits for the answer, or until the caller has gone.
-func (e *Entry) ask(ctx context.Context, sub job.Submission, lookup bool) (seats.Answer, error) {
+// submitAndWait submits a job or a lookup and waits for the answer, or until ctx
+// is done.
+func (e *Entry) submitAndWait(ctx context.Context, sub job.Submission, lookup bool) (seats.Answer, error) {
 	t := &ticket{sub: sub, lookup: lookup, answer: make(chan seats.Answer, 1)}
 	var id uint64
-	e.do(func(now clock.Moment) home.Effects {
+	e.handleEvent(func(now clock.Moment) home.Effects {
 		e.tickets++
 		id = e.tickets
 		e.waiting[id] = t
@@ -293,7 +294,7 @@
 	}
 }
 
-// closeAll closes all connections, and has linkUp turn away what comes later.
+// closeAll closes all connections and rejects new ones.
 func (e *Entry) closeAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/seats/entry/links.go
+++ b/seats/entry/links.go
@@ -12,26 +12,26 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// Bounds of dialling.
+// Timing of outgoing connections.
 const (
 	dialInterval = 100 * time.Millisecond
 	dialTimeout  = time.Second
-	firstBackoff = 100 * time.Millisecond
-	lastBackoff  = 2 * time.Second
+	minBackoff   = 100 * time.Millisecond
+	maxBackoff   = 2 * time.Second
 )
 
-// attempt is what is known of the dialling of one address.
-type attempt struct {
+// dialState is the state of the outgoing connection to one address.
+type dialState struct {
 	busy    bool
 	backoff time.Duration
 	after   time.Time
 }
 
-// dial keeps a connection to every agent of the configuration and to every
-// seat of the roster whose name comes after this entry's; the others dial it.
-// An entry without a seat dials all, since they don't know of it.
+// dial keeps connections to every agent in the configuration and to every seat
+// whose name is greater than this entry's. The other seats dial this entry. An
+// entry without a seat dials all seats, since it is not in their roster.
 func (e *Entry) dial(ctx context.Context) error {
-	attempts := make(map[string]*attempt)
+	states := make(map[string]*dialState)
 	ended := make(chan string, 64)
 	t := time.NewTicker(dialInterval)
 	defer t.Stop()
@@ -40,28 +40,28 @@
 		case <-ctx.Done():
 			return nil
 		case addr := <-ended:
-			a := attempts[addr]
+			a := states[addr]
 			a.busy = false
 			a.after = time.Now().Add(a.backoff/2 + rand.N(a.backoff))
-			a.backoff = min(2*a.backoff, lastBackoff)
+			a.backoff = min(2*a.backoff, maxBackoff)
 		case <-t.C:
-			e.dialMissing(ctx, attempts, ended)
+			e.dialMissing(ctx, states, ended)
 		}
 	}
 }
 
-func (e *Entry) dialMissing(ctx context.Context, attempts map[string]*attempt, ended chan<- string) {
+func (e *Entry) dialMissing(ctx context.Context, states map[string]*dialState, ended chan<- string) {
 	missing := e.missing()
-	for addr := range attempts {
-		if !missing[addr] && !attempts[addr].busy {
-			delete(attempts, addr)
+	for addr := range states {
+		if !missing[addr] && !states[addr].busy {
+			delete(states, addr)
 		}
 	}
 	for addr := range missing {
-		a := attempts[addr]
+		a := states[addr]
 		if a == nil {
-			a = &attempt{backoff: firstBackoff}
-			attempts[addr] = a
+			a = &dialState{backoff: minBackoff}
+			states[addr] = a
 		}
 		if a.busy || time.Now().Before(a.after) {
 			continue
@@ -77,7 +77,7 @@
 	}
 }
 
-// missing returns the addresses to which there should be a connection.
+// missing returns the addresses to which a connection is needed and missing.
 func (e *Entry) missing() map[string]bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -103,7 +103,7 @@
 	d := net.Dialer{Timeout: dialTimeout}
 	raw, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		e.log.Debug("no connection", "addr", addr, "error", err)
+		e.log.Debug("connection failed", "addr", addr, "error", err)
 		return
 	}
 	e.serve(raw)
@@ -119,14 +119,14 @@
 	}
 }
 
-// serve runs one connection to another process.
+// serve handles one connection to another process.
 func (e *Entry) serve(raw net.Conn) {
 	e.mu.Lock()
 	self := e.self
 	e.mu.Unlock()
 	c, err := wire.Handshake(raw, wire.Hello{Role: wire.RoleEntry, ID: self, Region: e.cfg.Region}, &e.stats)
 	if err != nil {
-		e.log.Warn("peer turned away", "remote", raw.RemoteAddr().String(), "error", err)
+		e.log.Warn("handshake with peer failed", "remote", raw.RemoteAddr().String(), "error", err)
 		return
 	}
 	h, ok := e.linkUp(c, self)
@@ -136,14 +136,15 @@
 	}
 	from := c.Remote().ID
 	err = c.Run(func(f wire.Frame) error {
-		e.forLife(h, func(now clock.Moment) home.Effects { return h.Receive(now, from, f) })
+		e.handleEventFor(h, func(now clock.Moment) home.Effects { return h.Receive(now, from, f) })
 		return nil
 	})
 	e.linkDown(c, h, from)
-	e.log.Info("disconnected", "peer", from.String(), "error", err)
+	e.log.Info("peer disconnected", "peer", from.String(), "error", err)
 }
 
-// linkUp makes c the connection to its peer, for the life that said hello.
+// linkUp registers c as the connection to its peer. It reports false after
+// closeAll, or if self is no longer the present incarnation.
 func (e *Entry) linkUp(c *wire.Conn, self roster.ID) (*home.Home, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,7 +156,7 @@
 		old.Close()
 	}
 	e.conns[peer.ID] = c
-	e.apply(e.home.LinkUp(e.clock.Now(), peer.ID, peer.Role))
+	e.applyEffects(e.home.LinkUp(e.clock.Now(), peer.ID, peer.Role))
 	return e.home, true
 }
 
@@ -167,15 +168,15 @@
 	}
 	delete(e.conns, peer)
 	if e.home == h {
-		e.apply(h.LinkDown(e.clock.Now(), peer))
+		e.applyEffects(h.LinkDown(e.clock.Now(), peer))
 	}
 }
 
-// forLife has h handle an event, unless another life has begun since.
-func (e *Entry) forLife(h *home.Home, event func(clock.Moment) home.Effects) {
+// handleEventFor passes an event to h, unless another incarnation has replaced it.
+func (e *Entry) handleEventFor(h *home.Home, event func(clock.Moment) home.Effects) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.home == h {
-		e.apply(event(e.clock.Now()))
+		e.applyEffects(event(e.clock.Now()))
 	}
 }
--- a/seats/entry/metrics.go
+++ b/seats/entry/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// writeMetrics writes what docs/metrics.md lists.
+// writeMetrics writes the metrics listed in docs/metrics.md.
 func (e *Entry) writeMetrics(w io.Writer) {
 	s := e.Status()
 	set := metrics.NewSet()
@@ -38,8 +38,8 @@
 		name  string
 		value float64
 	}{
-		{"beaconpoint_standing", truth(s.Standing)},
-		{"beaconpoint_settled", truth(s.Settled)},
+		{"beaconpoint_standing", boolGauge(s.Standing)},
+		{"beaconpoint_settled", boolGauge(s.Settled)},
 		{"beaconpoint_roster_revision", float64(s.Roster)},
 		{"beaconpoint_config_revision", float64(s.Config)},
 		{"beaconpoint_tasks_waiting", float64(s.Waiting)},
@@ -50,14 +50,14 @@
 	set.WritePrometheus(w)
 }
 
-func truth(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// Messages returns how many frames the entry has sent and received.
+// Messages returns the number of frames sent and received.
 func (e *Entry) Messages() uint64 {
 	return e.stats.FramesOut.Load() + e.stats.FramesIn.Load()
 }
--- a/seats/entry/metrics_test.go
+++ b/seats/entry/metrics_test.go
@@ -36,7 +36,7 @@
 	return e
 }
 
-func TestMetricsPageFitsTheCode(t *testing.T) {
+func TestMetricsMatchPage(t *testing.T) {
 	var out bytes.Buffer
 	newTestEntry(t, io.Discard).writeMetrics(&out)
 	var inCode []string
--- a/seats/entry/operators.go
+++ b/seats/entry/operators.go
@@ -21,13 +21,13 @@
 	"github.com/beaconpoint/beaconpoint/seats/store"
 )
 
-// Confirmed answers a confirmed plan.
+// Confirmed is the response to a confirmed plan.
 type Confirmed struct {
 	Change   string `json:"change"`
 	Revision uint64 `json:"revision"`
 }
 
-// Status is what one entry tells of itself.
+// Status is the state of one entry.
 type Status struct {
 	Seat     string `json:"seat"`
 	Seated   bool   `json:"seated"`
@@ -35,31 +35,32 @@
 	Settled  bool   `json:"settled"`
 	Roster   uint64 `json:"roster_revision"`
 	Config   uint64 `json:"config_revision"`
-	// AgentConfig is the lowest configuration revision that a connected agent
-	// has shown.
+	// AgentConfig is the lowest configuration revision reported by a connected
+	// agent.
 	AgentConfig uint64   `json:"agent_config_revision"`
 	Seats       []string `json:"seats"`
 	Agents      []string `json:"agents"`
 	Waiting     int      `json:"tasks_waiting"`
 	Running     int      `json:"tasks_running"`
-	// Open is how many agents take starts of this entry now.
+	// Open is the number of agents that accept starts from this entry.
 	Open  int    `json:"agents_open"`
 	Calls uint64 `json:"store_calls"`
-	// Frames and Bytes count what was sent and received over the connections
-	// to other processes of the system.
+	// Frames and Bytes count the traffic with other processes, both sent and
+	// received.
 	Frames uint64     `json:"frames"`
 	Bytes  uint64     `json:"bytes"`
 	Counts home.Stats `json:"counts"`
 }
 
-// Problem is the answer to an operator's call that did not succeed.
+// Problem is the response to a failed operator call.
 type Problem struct {
 	Code    uint16 `json:"code"`
 	Name    string `json:"name"`
 	Message string `json:"message"`
 }
 
-// operatorsHandler serves the operators, each call with a bearer token.
+// operatorsHandler returns the handler of the operators' API. Each call requires a
+// bearer token.
 func (e *Entry) operatorsHandler() http.Handler {
 	s := newEcho()
 	s.Use(e.authorize)
@@ -77,21 +78,21 @@
 	return func(c echo.Context) error {
 		given, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
 		if !ok {
-			return problem(c, code.Error(code.Unauthorized, "a bearer token is wanted"))
+			return writeProblem(c, code.Error(code.Unauthorized, "the request has no bearer token"))
 		}
-		holder, ok := e.tokens.holder(given)
+		holder, ok := e.tokens.find(given)
 		if !ok {
-			return problem(c, code.Error(code.Unauthorized, "the bearer token is unknown"))
+			return writeProblem(c, code.Error(code.Unauthorized, "the bearer token is unknown"))
 		}
 		if c.Request().Method != http.MethodGet && !holder.Change {
-			return problem(c, code.Errorf(code.Forbidden, "%s may only read", holder.Name))
+			return writeProblem(c, code.Errorf(code.Forbidden, "the token of %s permits reading only", holder.Name))
 		}
 		c.Set("holder", holder.Name)
 		return next(c)
 	}
 }
 
-func problem(c echo.Context, err error) error {
+func writeProblem(c echo.Context, err error) error {
 	k := code.Of(err, code.ChangeUnknown)
 	return c.JSON(k.Status(), Problem{Code: uint16(k), Name: k.Name(), Message: err.Error()})
 }
@@ -103,7 +104,7 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// Status returns what the entry tells of itself.
+// Status returns the present state of the entry.
 func (e *Entry) Status() Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,7 +119,7 @@
 		Calls:    e.store.Calls(),
 		Frames:   e.Messages(),
 		Bytes:    e.stats.BytesIn.Load() + e.stats.BytesOut.Load(),
-		Counts:   e.past.Plus(e.home.Stats()),
+		Counts:   e.previousStats.Plus(e.home.Stats()),
 	}
 	s.Waiting, s.Running = e.home.Waiting()
 	s.AgentConfig = e.home.AgentConfig()
@@ -135,33 +136,33 @@
 func (e *Entry) plan(c echo.Context) error {
 	var in config.Intent
 	if err := decodeStrict(c, &in); err != nil {
-		return problem(c, err)
+		return writeProblem(c, err)
 	}
 	base, _, err := e.getConfig(c.Request().Context())
 	if err != nil {
-		return problem(c, code.Errorf(code.StoreDown, "the configuration can't be read: %v", err))
+		return writeProblem(c, code.Errorf(code.StoreDown, "the configuration can't be read: %v", err))
 	}
 	p, err := config.NewPlan(base, in, fmt.Sprintf("change-%x", agent.NewIncarnation()))
 	if err != nil {
-		return problem(c, err)
+		return writeProblem(c, err)
 	}
 	return c.JSON(http.StatusOK, p)
 }
 
-// confirm puts a plan in force: one swap in the store. Confirming a plan again
-// is the same change.
+// confirm applies a plan with one swap in the store. Confirming an applied plan
+// again succeeds without a further change.
 func (e *Entry) confirm(c echo.Context) error {
 	var p config.Plan
 	if err := decodeStrict(c, &p); err != nil {
-		return problem(c, err)
+		return writeProblem(c, err)
 	}
-	d, err := e.commit(c.Request().Context(), p, c.Get("holder").(string))
+	d, err := e.applyPlan(c.Request().Context(), p, c.Get("holder").(string))
 	if err != nil {
 		e.log.Warn("plan not confirmed", "change", p.Change, "error", err)
-		return problem(c, err)
+		return writeProblem(c, err)
 	}
 	e.log.Info("plan confirmed", "change", p.Change, "revision", d.Revision)
-	e.do(func(now clock.Moment) home.Effects { return e.home.Configure(now, d) })
+	e.handleEvent(func(now clock.Moment) home.Effects { return e.home.Configure(now, d) })
 	for _, l := range d.History {
 		if l.Change == p.Change {
 			return c.JSON(http.StatusOK, Confirmed{Change: p.Change, Revision: l.Revision})
@@ -170,7 +171,7 @@
 	return c.JSON(http.StatusOK, Confirmed{Change: p.Change, Revision: d.Revision})
 }
 
-func (e *Entry) commit(ctx context.Context, p config.Plan, by string) (config.Document, error) {
+func (e *Entry) applyPlan(ctx context.Context, p config.Plan, by string) (config.Document, error) {
 	base, key, err := e.getConfig(ctx)
 	if err != nil {
 		return config.Document{}, code.Errorf(code.StoreDown, "the configuration can't be read, nothing was changed: %v", err)
@@ -189,22 +190,22 @@
 	return e.readBack(ctx, p, err)
 }
 
-// readBack finds out whether a swap whose answer was not a success took effect.
+// readBack checks whether a swap that returned the error cause took effect.
 func (e *Entry) readBack(ctx context.Context, p config.Plan, cause error) (config.Document, error) {
 	now, _, err := e.getConfig(ctx)
 	switch {
 	case err != nil:
-		return config.Document{}, code.Errorf(code.ChangeUnknown, "the store's answer was lost (%v) and it can't be read back (%v)", cause, err)
+		return config.Document{}, code.Errorf(code.ChangeUnknown, "the outcome of the swap in the store is unknown (%v) and the configuration could not be read again (%v)", cause, err)
 	case now.HasChange(p.Change):
 		return now, nil
 	case errors.Is(cause, store.ErrConflict):
 		_, err := p.Apply(now, "", time.Now())
 		if err == nil {
-			err = code.Error(code.PlanStale, "another change came first")
+			err = code.Error(code.PlanStale, "another change was applied first")
 		}
 		return config.Document{}, err
 	}
-	return config.Document{}, code.Errorf(code.ChangeUnknown, "the store's answer was lost (%v); the change is not there now but may still take effect", cause)
+	return config.Document{}, code.Errorf(code.ChangeUnknown, "the outcome of the swap in the store is unknown (%v); the change has not taken effect yet but still may", cause)
 }
 
 func (e *Entry) getConfig(ctx context.Context) (config.Document, uint64, error) {
@@ -224,7 +225,7 @@
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return code.Errorf(code.BadIntent, "the body can't be read: %v", err)
+		return code.Errorf(code.BadIntent, "the body could not be decoded: %v", err)
 	}
 	return nil
 }
--- a/seats/entry/operators_test.go
+++ b/seats/entry/operators_test.go
@@ -12,7 +12,7 @@
 	"github.com/beaconpoint/beaconpoint/seats/config"
 )
 
-func TestWhoMayDoWhat(t *testing.T) {
+func TestOperatorCallsRequireToken(t *testing.T) {
 	var log bytes.Buffer
 	e := newTestEntry(t, &log)
 	h := e.operatorsHandler()
@@ -39,10 +39,10 @@
 			assert.Equal(t, rec.Code, c.want, rec.Body.String())
 		})
 	}
-	assert.Assert(t, !strings.Contains(log.String(), testToken), "a token is in the log")
+	assert.Assert(t, !strings.Contains(log.String(), testToken), "the log contains a token")
 }
 
-func TestUnknownFieldOfAnIntentIsRefused(t *testing.T) {
+func TestIntentWithUnknownFieldIsRejected(t *testing.T) {
 	e := newTestEntry(t, new(bytes.Buffer))
 	req := httptest.NewRequest("POST", "/v1/plan", strings.NewReader(`{"service":[]}`))
 	req.Header.Set("Authorization", "Bearer "+testToken+"-chief")
@@ -52,7 +52,7 @@
 	assert.Assert(t, strings.Contains(rec.Body.String(), "service"), rec.Body.String())
 }
 
-func TestPlansAreChecked(t *testing.T) {
+func TestInvalidIntentsAreRejected(t *testing.T) {
 	base := config.Document{Revision: 4, Organisations: []config.Organisation{{Name: "m"}}}
 	for _, in := range []config.Intent{
 		{RemoveOrganisations: []string{"nobody"}},
--- a/seats/entry/store.go
+++ b/seats/entry/store.go
@@ -14,50 +14,50 @@
 	"github.com/beaconpoint/beaconpoint/seats/store"
 )
 
-// Keys and intervals of the store.
+// Keys and timing of store calls.
 const (
-	configKey = "beaconpoint-config"
-	rosterKey = "beaconpoint-roster-"
-	// watchWait is how long one watch waits.
-	watchWait = 30 * time.Second
-	// storeBackoff is how long a failed call is followed by none, about.
+	configKey       = "beaconpoint-config"
+	rosterKeyPrefix = "beaconpoint-roster-"
+	// watchTimeout is the long-poll timeout of one watch call.
+	watchTimeout = 30 * time.Second
+	// storeBackoff is the mean pause after a failed watch call.
 	storeBackoff = 500 * time.Millisecond
-	// hostsInterval is how often the host list is read.
+	// hostsInterval is the mean interval at which the host list is read.
 	hostsInterval = time.Second
 )
 
-// post hands work to the goroutine that calls the store. When too much waits the work is not
-// done, and the home asks again.
-func (e *Entry) post(work func(context.Context)) {
+// queueStoreCall queues a call for runStoreCalls. It drops the call if the queue
+// is full.
+func (e *Entry) queueStoreCall(call func(context.Context)) {
 	select {
-	case e.work <- work:
+	case e.storeCalls <- call:
 	default:
-		e.log.Error("store work dropped")
+		e.log.Error("store call dropped, queue is full")
 	}
 }
 
-func (e *Entry) storeWork(ctx context.Context) error {
+func (e *Entry) runStoreCalls(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case work := <-e.work:
-			work(ctx)
+		case call := <-e.storeCalls:
+			call(ctx)
 		}
 	}
 }
 
 func (e *Entry) rosterKey() string {
-	return rosterKey + e.cfg.Region
+	return rosterKeyPrefix + e.cfg.Region
 }
 
-// swapWork swaps the roster: it reads the key's revision, sees that the base
-// still stands, and writes.
-func (e *Entry) swapWork(h *home.Home, s home.Swap) func(context.Context) {
+// swapCall returns the store call that swaps the roster and reports the outcome
+// to h.
+func (e *Entry) swapCall(h *home.Home, s home.Swap) func(context.Context) {
 	return func(ctx context.Context) {
 		outcome := e.swapRoster(ctx, s)
-		e.log.Info("roster change", "change", s.Change, "base", s.Base, "outcome", outcome.String())
-		e.forLife(h, func(now clock.Moment) home.Effects { return h.SwapEnded(now, s.Change, outcome) })
+		e.log.Info("roster swap ended", "change", s.Change, "base", s.Base, "outcome", outcome.String())
+		e.handleEventFor(h, func(now clock.Moment) home.Effects { return h.SwapEnded(now, s.Change, outcome) })
 	}
 }
 
@@ -83,10 +83,10 @@
 	return home.Unknown
 }
 
-func (e *Entry) readWork(h *home.Home) func(context.Context) {
+func (e *Entry) readCall(h *home.Home) func(context.Context) {
 	return func(ctx context.Context) {
 		r, _, err := e.getRoster(ctx)
-		e.forLife(h, func(now clock.Moment) home.Effects { return h.RosterRead(now, r, err) })
+		e.handleEventFor(h, func(now clock.Moment) home.Effects { return h.RosterRead(now, r, err) })
 	}
 }
 
@@ -108,20 +108,20 @@
 	return r, err
 }
 
-// watchRoster keeps a watch on the roster, so that a change is heard of even
-// when whoever made it has died.
+// watchRoster watches the roster in the store, so that a change arrives even if
+// the entry that made it has failed.
 func (e *Entry) watchRoster(ctx context.Context) error {
 	return e.watch(ctx, e.rosterKey(), func(v store.Value) error {
 		r, err := decodeRoster(v)
 		if err != nil {
 			return err
 		}
-		e.do(func(now clock.Moment) home.Effects { return e.home.RosterRead(now, r, nil) })
+		e.handleEvent(func(now clock.Moment) home.Effects { return e.home.RosterRead(now, r, nil) })
 		return nil
 	})
 }
 
-// watchConfig keeps a watch on the operators' configuration.
+// watchConfig watches the operators' configuration in the store.
 func (e *Entry) watchConfig(ctx context.Context) error {
 	return e.watch(ctx, configKey, func(v store.Value) error {
 		var d config.Document
@@ -131,32 +131,32 @@
 				return err
 			}
 		}
-		e.do(func(now clock.Moment) home.Effects { return e.home.Configure(now, d) })
+		e.handleEvent(func(now clock.Moment) home.Effects { return e.home.Configure(now, d) })
 		return nil
 	})
 }
 
-func (e *Entry) watch(ctx context.Context, key string, take func(store.Value) error) error {
-	var seen uint64
+func (e *Entry) watch(ctx context.Context, key string, handle func(store.Value) error) error {
+	var revision uint64
 	for ctx.Err() == nil {
-		v, err := e.store.Watch(ctx, key, seen, watchWait)
+		v, err := e.store.Watch(ctx, key, revision, watchTimeout)
 		if err == nil {
-			seen = v.Revision
-			err = take(v)
+			revision = v.Revision
+			err = handle(v)
 		}
 		if err != nil && ctx.Err() == nil {
-			e.log.Warn("watch failed", "key", key, "error", err)
-			pause(ctx, storeBackoff/2+rand.N(storeBackoff))
+			e.log.Warn("store watch failed", "key", key, "error", err)
+			sleep(ctx, storeBackoff/2+rand.N(storeBackoff))
 		}
 	}
 	return nil
 }
 
-// watchHosts reads the host list, and gives nothing new to the agents of hosts
-// that are leaving.
+// watchHosts polls the host list. Agents on hosts that are leaving get no new
+// tasks.
 func (e *Entry) watchHosts(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause(ctx, hostsInterval/2+rand.N(hostsInterval))
+		sleep(ctx, hostsInterval/2+rand.N(hostsInterval))
 		hosts, err := e.store.Hosts(ctx)
 		if err != nil {
 			continue
@@ -165,12 +165,12 @@
 		for _, h := range hosts {
 			leaving[h.Name] = h.State == store.HostLeaving
 		}
-		e.do(func(now clock.Moment) home.Effects { return e.home.HostsLeaving(now, leaving) })
+		e.handleEvent(func(now clock.Moment) home.Effects { return e.home.HostsLeaving(now, leaving) })
 	}
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/seats/entry/tokens.go
+++ b/seats/entry/tokens.go
@@ -10,14 +10,13 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// shortestToken is the least length of a token, in bytes.
-const shortestToken = 16
+const minTokenBytes = 16
 
-// holder is who a bearer token belongs to.
+// holder is the holder of a bearer token.
 type holder struct {
 	Name  string `yaml:"name"`
 	Token string `yaml:"token"`
-	// Change allows more than reading.
+	// Change permits calls that change the configuration.
 	Change bool `yaml:"change"`
 }
 
@@ -26,29 +25,29 @@
 	holders []holder
 }
 
-// loadTokens reads a token file: a YAML list of name, token and change.
+// loadTokens reads a token file, a YAML list of holders.
 func loadTokens(path string) (*tokens, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("token file: %w", err)
+		return nil, fmt.Errorf("read token file: %w", err)
 	}
 	dec := yaml.NewDecoder(bytes.NewReader(raw))
 	dec.KnownFields(true)
 	var t tokens
 	if err := dec.Decode(&t.holders); err != nil {
-		return nil, fmt.Errorf("token file %s can't be read", path) // the cause may quote a token
+		return nil, fmt.Errorf("token file %s is not a valid YAML list of name, token and change", path) // the error may quote a token
 	}
 	for k, h := range t.holders {
-		if h.Name == "" || len(h.Token) < shortestToken {
-			return nil, fmt.Errorf("token file %s: entry %d needs a name and a token of at least %d bytes", path, k+1, shortestToken)
+		if h.Name == "" || len(h.Token) < minTokenBytes {
+			return nil, fmt.Errorf("token file %s: entry %d needs a name and a token of at least %d bytes", path, k+1, minTokenBytes)
 		}
 	}
 	return &t, nil
 }
 
-// holder returns whose token was given. Every token is compared, in constant
-// time.
-func (t *tokens) holder(given string) (holder, bool) {
+// find returns the holder of the given token. It compares all tokens, each in
+// constant time.
+func (t *tokens) find(given string) (holder, bool) {
 	var found holder
 	ok := false
 	sum := sha256.Sum256([]byte(given))
