--- a/seats/home/change.go
+++ b/seats/home/change.go
@@ -37,8 +37,7 @@
 	// Conflicted means that the stored revision had changed and nothing was
 	// written.
 	Conflicted
-	// Unknown means that the store did not answer; the change may have taken
-	// effect.
+	// Unknown means that the change may have taken effect.
 	Unknown
 )
 
--- a/seats/home/judge.go
+++ b/seats/home/judge.go
@@ -81,8 +81,8 @@
 	if s == nil {
 		return refusal{code.UnknownService, "there is no service " + sub.Service, 0}, false
 	}
-	m := h.config.FindOrganisation(sub.Job.Organisation)
-	if m == nil {
+	organisation := h.config.FindOrganisation(sub.Job.Organisation)
+	if organisation == nil {
 		return refusal{code.UnknownOrganisation, "there is no member " + sub.Job.Organisation, 0}, false
 	}
 	bounds := s.Bounds.WithDefaults()
@@ -92,7 +92,7 @@
 	if len(sub.Job.Tasks) > bounds.LargestJob {
 		return refusal{code.TooManyTasks, "the job is larger than the service allows", 0}, false
 	}
-	return h.admitLoad(sub, bounds, m)
+	return h.admitLoad(sub, bounds, organisation)
 }
 
 func (h *Home) admitExpiry(sub job.Submission, bounds config.Bounds) (refusal, bool) {
@@ -106,7 +106,7 @@
 	return refusal{}, true
 }
 
-func (h *Home) admitLoad(sub job.Submission, bounds config.Bounds, m *config.Organisation) (refusal, bool) {
+func (h *Home) admitLoad(sub job.Submission, bounds config.Bounds, organisation *config.Organisation) (refusal, bool) {
 	s := h.service(sub.Service)
 	n := len(sub.Job.Tasks)
 	queued := s.queue.Tasks()
@@ -127,7 +127,7 @@
 	if wait := s.drain.drainTime(queued + n); wait > left {
 		return refusal{code.CannotMeetExpiry, "the queue cannot drain before the job's expiry", s.drain.staggeredRetryAfter(h.now.Mono, n)}, false
 	}
-	return h.admitQuota(m, n, &s.drain)
+	return h.admitQuota(organisation, n, &s.drain)
 }
 
 // left returns the time until ms, in Unix milliseconds.
--- a/seats/home/place.go
+++ b/seats/home/place.go
@@ -122,8 +122,8 @@
 // tooLate reports whether a job without started tasks cannot finish before its
 // expiry, even with all slots of the service.
 func (h *Home) tooLate(s *service, r *record) bool {
-	untouched := !r.knownStarted && len(r.waitingTasks) == len(r.tasks)
-	return untouched && s.drain.drainTime(len(r.tasks)) > h.left(r.expiry)
+	notStarted := !r.knownStarted && len(r.waitingTasks) == len(r.tasks)
+	return notStarted && s.drain.drainTime(len(r.tasks)) > h.left(r.expiry)
 }
 
 // refuseLate refuses a job that has not started and cannot finish in time.
--- a/seats/home/quota.go
+++ b/seats/home/quota.go
@@ -17,21 +17,21 @@
 }
 
 func (h *Home) organisation(name string) *organisation {
-	m := h.organisations[name]
-	if m == nil {
-		m = &organisation{}
-		h.organisations[name] = m
+	usage := h.organisations[name]
+	if usage == nil {
+		usage = &organisation{}
+		h.organisations[name] = usage
 	}
-	return m
+	return usage
 }
 
 // admitQuota checks n further tasks against the organisation's quotas.
-func (h *Home) admitQuota(m *config.Organisation, n int, drain *drainRate) (refusal, bool) {
-	own := h.organisation(m.Name)
-	if limit := h.quotaShare(m.InFlight); limit > 0 && own.inFlight+n > limit {
-		return refusal{code.QuotaInFlight, "the member's quota of tasks in flight is exhausted", drain.retryAfter(own.inFlight + n - limit)}, false
+func (h *Home) admitQuota(organisation *config.Organisation, n int, drain *drainRate) (refusal, bool) {
+	usage := h.organisation(organisation.Name)
+	if limit := h.quotaShare(organisation.InFlight); limit > 0 && usage.inFlight+n > limit {
+		return refusal{code.QuotaInFlight, "the member's quota of tasks in flight is exhausted", drain.retryAfter(usage.inFlight + n - limit)}, false
 	}
-	if wait := own.reserve(h.now.Wall, h.quotaShare(m.Rate), n); wait > 0 {
+	if wait := usage.reserve(h.now.Wall, h.quotaShare(organisation.Rate), n); wait > 0 {
 		return refusal{code.RateLimited, "the member's quota of tasks per second is exceeded", max(wait, minRetryAfter)}, false
 	}
 	return refusal{}, true
@@ -40,15 +40,15 @@
 // reserve takes n tokens from the organisation's rate limiter, or returns the
 // time until they are available. A job of more than perSecond tasks needs
 // perSecond tokens.
-func (m *organisation) reserve(now time.Time, perSecond, n int) time.Duration {
+func (o *organisation) reserve(now time.Time, perSecond, n int) time.Duration {
 	if perSecond == 0 {
-		m.limiter = nil
+		o.limiter = nil
 		return 0
 	}
-	if m.limiter == nil || m.limiter.Burst() != perSecond {
-		m.limiter = rate.NewLimiter(rate.Limit(perSecond), perSecond)
+	if o.limiter == nil || o.limiter.Burst() != perSecond {
+		o.limiter = rate.NewLimiter(rate.Limit(perSecond), perSecond)
 	}
-	r := m.limiter.ReserveN(now, min(n, perSecond))
+	r := o.limiter.ReserveN(now, min(n, perSecond))
 	wait := r.DelayFrom(now)
 	if wait > 0 {
 		r.CancelAt(now)
--- a/seats/home/record.go
+++ b/seats/home/record.go
@@ -38,7 +38,7 @@
 	tasks        []task
 	waitingTasks []int // indices of waiting tasks, the next one last
 	unfinished   int
-	knownStarted bool // an agent has reported that a task ran
+	knownStarted bool // a task is known to have been started
 	answer       seats.Answer
 	outputBytes  int // total output size of the tasks that are done
 	answerBytes  int
--- a/seats/home/submit.go
+++ b/seats/home/submit.go
@@ -17,8 +17,8 @@
 // forwardGrace is how long after a job's deadline its owner may still answer.
 const forwardGrace = 500 * time.Millisecond
 
-// Submit handles a submission by a caller of this entry. Exactly one answer with
-// the ticket follows.
+// Submit handles a submission by a caller of this entry. It is answered once, with
+// the ticket, in Effects.Answers of this or a later call.
 func (h *Home) Submit(now clock.Moment, ticket uint64, sub job.Submission) Effects {
 	h.now = now
 	h.stats.Submitted++
@@ -27,7 +27,7 @@
 	return h.takeEffects()
 }
 
-// Lookup requests the state of a job. Exactly one answer with the ticket follows.
+// Lookup requests the state of a job. It is answered like a submission.
 func (h *Home) Lookup(now clock.Moment, ticket uint64, service, id string) Effects {
 	h.now = now
 	sub := job.Submission{Service: service, Job: seats.Job{ID: id}}
--- a/seats/home/takeover.go
+++ b/seats/home/takeover.go
@@ -272,7 +272,8 @@
 }
 
 // goneSeats returns the seats removed from the roster since the last completed
-// takeover, without those that had left in order.
+// takeover that were not marked as leaving. Before the first takeover it includes
+// the lost seats of the roster.
 func (h *Home) goneSeats() []roster.ID {
 	var gone []roster.ID
 	for _, v := range h.takeover.views {
