--- a/seats/config/document.go
+++ b/seats/config/document.go
@@ -49,7 +49,7 @@
 	LongestExpiryMS int64 `json:"longest_expiry_ms,omitempty" yaml:"longest_expiry_ms,omitempty" validate:"min=0,max=600000"`
 }
 
-// Service is a set of targets to which callers submit jobs.
+// Service is a group of targets to which callers submit jobs.
 type Service struct {
 	Name    string   `json:"name" yaml:"name" validate:"required,max=128,excludesall=/ "`
 	Targets []Target `json:"targets" yaml:"targets" validate:"unique=Name,dive"`
--- a/seats/config/plan.go
+++ b/seats/config/plan.go
@@ -120,8 +120,8 @@
 	for _, s := range in.Services {
 		d.Services = putByName(d.Services, s, serviceName)
 	}
-	for _, m := range in.Organisations {
-		d.Organisations = putByName(d.Organisations, m, organisationName)
+	for _, organisation := range in.Organisations {
+		d.Organisations = putByName(d.Organisations, organisation, organisationName)
 	}
 	for _, name := range in.Drain {
 		if d.Services, err = setDrained(d.Services, name, true); err != nil {
@@ -144,7 +144,7 @@
 
 func serviceName(s Service) string { return s.Name }
 
-func organisationName(m Organisation) string { return m.Name }
+func organisationName(o Organisation) string { return o.Name }
 
 func putByName[T any](all []T, v T, name func(T) string) []T {
 	k := slices.IndexFunc(all, func(o T) bool { return name(o) == name(v) })
