--- a/seats/wire/message.go
+++ b/seats/wire/message.go
@@ -225,7 +225,7 @@
 	Records  []Record
 }
 
-// Forward sends a submission to the seat that owns the job.
+// Forward sends a submission to the seat that owns the job or holds its record.
 type Forward struct {
 	Ticket     uint64
 	Submission job.Submission
