--- a/seats/entry/links.go
+++ b/seats/entry/links.go
@@ -140,7 +140,7 @@
 		return nil
 	})
 	e.linkDown(c, h, from)
-	e.log.Info("peer disconnected", "peer", from.String(), "error", err)
+	e.log.Info("disconnected", "peer", from.String(), "error", err)
 }
 
 // linkUp registers c as the connection to its peer. It reports false after
