--- a/seats/agent/agent.go
+++ b/seats/agent/agent.go
@@ -95,7 +95,7 @@
 
 // Run serves until ctx is done, then finishes the accepted tasks.
 func (a *Agent) Run(ctx context.Context) error {
-	a.log.Info("agent started", "addr", a.Addr(), "target", a.cfg.Agent.Target)
+	a.log.Info("agent serves", "addr", a.Addr(), "target", a.cfg.Agent.Target)
 	var g run.Group
 	g.Add(a.accept, func(error) { a.listener.Close() })
 	ticks, stopTicks := context.WithCancel(context.Background())
