--- a/seats/entry/entry.go
+++ b/seats/entry/entry.go
@@ -139,7 +139,7 @@
 // Run serves until ctx is done, then finishes the accepted jobs and gives up the
 // seat.
 func (e *Entry) Run(ctx context.Context) error {
-	e.log.Info("entry started", "peers", e.PeersAddr(), "callers", e.CallersURL(), "operators", e.OperatorsURL())
+	e.log.Info("entry serves", "peers", e.PeersAddr(), "callers", e.CallersURL(), "operators", e.OperatorsURL())
 	var g run.Group
 	callers := &http.Server{Handler: e.callersHandler(), ReadHeaderTimeout: 10 * time.Second}
 	ops := &http.Server{Handler: e.operatorsHandler(), ReadHeaderTimeout: 10 * time.Second}
