--- a/seats/config/document.go
+++ b/seats/config/document.go
@@ -133,7 +133,7 @@
 	for _, s := range d.Services {
 		for _, t := range s.Targets {
 			if other, ok := seen[t.Name]; ok {
-				return fmt.Errorf("target %q already serves service %q", t.Name, other)
+				return fmt.Errorf("target %q serves %q already", t.Name, other)
 			}
 			seen[t.Name] = s.Name
 		}
--- a/seats/config/plan.go
+++ b/seats/config/plan.go
@@ -64,10 +64,10 @@
 // plan was altered or is based on another revision.
 func (p Plan) Apply(base Document, by string, at time.Time) (Document, error) {
 	if p.Digest != p.digest() {
-		return Document{}, code.Error(code.PlanTampered, "the plan's digest does not match its content")
+		return Document{}, code.Error(code.PlanTampered, "the plan's digest does not fit its content")
 	}
 	if base.Revision != p.Base {
-		return Document{}, code.Errorf(code.PlanStale, "the plan is based on revision %d, but revision %d is in force: %s",
+		return Document{}, code.Errorf(code.PlanStale, "the plan starts from revision %d, but %d is in force: %s",
 			p.Base, base.Revision, base.changesSince(p.Base))
 	}
 	next, err := base.WithIntent(p.Intent)
@@ -158,7 +158,7 @@
 func removeByName[T any](all []T, removed string, name func(T) string) ([]T, error) {
 	k := slices.IndexFunc(all, func(o T) bool { return name(o) == removed })
 	if k < 0 {
-		return nil, code.Errorf(code.BadIntent, "cannot remove %q: it does not exist", removed)
+		return nil, code.Errorf(code.BadIntent, "there is no %q to remove", removed)
 	}
 	return slices.Delete(all, k, k+1), nil
 }
--- a/seats/entry/callers.go
+++ b/seats/entry/callers.go
@@ -151,7 +151,7 @@
 	}
 	_, err := buf.ReadFrom(io.LimitReader(c.Request().Body, seats.MaxBody+1))
 	if err != nil {
-		return nil, code.Errorf(code.BadJSON, "the body could not be read: %v", err)
+		return nil, code.Errorf(code.BadJSON, "the body broke off: %v", err)
 	}
 	if buf.Len() > seats.MaxBody {
 		return nil, code.Errorf(code.TooLarge, "the body is larger than %d bytes", seats.MaxBody)
--- a/seats/entry/operators.go
+++ b/seats/entry/operators.go
@@ -78,14 +78,14 @@
 	return func(c echo.Context) error {
 		given, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
 		if !ok {
-			return writeProblem(c, code.Error(code.Unauthorized, "the request has no bearer token"))
+			return writeProblem(c, code.Error(code.Unauthorized, "a bearer token is wanted"))
 		}
 		holder, ok := e.tokens.find(given)
 		if !ok {
 			return writeProblem(c, code.Error(code.Unauthorized, "the bearer token is unknown"))
 		}
 		if c.Request().Method != http.MethodGet && !holder.Change {
-			return writeProblem(c, code.Errorf(code.Forbidden, "the token of %s permits reading only", holder.Name))
+			return writeProblem(c, code.Errorf(code.Forbidden, "%s may only read", holder.Name))
 		}
 		c.Set("holder", holder.Name)
 		return next(c)
@@ -195,17 +195,17 @@
 	now, _, err := e.getConfig(ctx)
 	switch {
 	case err != nil:
-		return config.Document{}, code.Errorf(code.ChangeUnknown, "the outcome of the swap in the store is unknown (%v) and the configuration could not be read again (%v)", cause, err)
+		return config.Document{}, code.Errorf(code.ChangeUnknown, "the store's answer was lost (%v) and it can't be read back (%v)", cause, err)
 	case now.HasChange(p.Change):
 		return now, nil
 	case errors.Is(cause, store.ErrConflict):
 		_, err := p.Apply(now, "", time.Now())
 		if err == nil {
-			err = code.Error(code.PlanStale, "another change was applied first")
+			err = code.Error(code.PlanStale, "another change came first")
 		}
 		return config.Document{}, err
 	}
-	return config.Document{}, code.Errorf(code.ChangeUnknown, "the outcome of the swap in the store is unknown (%v); the change has not taken effect yet but still may", cause)
+	return config.Document{}, code.Errorf(code.ChangeUnknown, "the store's answer was lost (%v); the change is not there now but may still take effect", cause)
 }
 
 func (e *Entry) getConfig(ctx context.Context) (config.Document, uint64, error) {
@@ -225,7 +225,7 @@
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return code.Errorf(code.BadIntent, "the body could not be decoded: %v", err)
+		return code.Errorf(code.BadIntent, "the body can't be read: %v", err)
 	}
 	return nil
 }
--- a/seats/home/judge.go
+++ b/seats/home/judge.go
@@ -32,7 +32,7 @@
 	}
 	if h.takeover.inDoubt(key, sub.Expiry()) && !h.rules.SkipDoubt {
 		h.refuse(w, id, seats.RanMaybe, refusal{code.OwnerLost,
-			"an entry and an agent that may hold records of the job failed together", h.takeover.doubtRemaining(h.now)})
+			"an entry and an agent that may know of the job were lost together", h.takeover.doubtRemaining(h.now)})
 		return
 	}
 	if r, ok := h.admit(sub); !ok {
@@ -111,13 +111,13 @@
 	n := len(sub.Job.Tasks)
 	queued := s.queue.Tasks()
 	if !s.anyAvailable(h) {
-		return refusal{code.NoTarget, "no target of the service accepts work", h.cfg.Heartbeat * 2}, false
+		return refusal{code.NoTarget, "no target of the service takes work now", h.cfg.Heartbeat * 2}, false
 	}
 	if h.leaving && len(h.view.Seats) == 1 {
 		return refusal{code.Leaving, "this entry is stopping", h.cfg.Heartbeat}, false
 	}
 	if queued+n > bounds.Queue && queued > 0 {
-		return refusal{code.QueueFull, "the service's queue at this entry is full", s.drain.staggeredRetryAfter(h.now.Mono, n)}, false
+		return refusal{code.QueueFull, "the service's queue is full here", s.drain.staggeredRetryAfter(h.now.Mono, n)}, false
 	}
 	if 2*queued < bounds.Queue {
 		s.drain.resetStagger()
@@ -125,7 +125,7 @@
 	left := h.left(sub.Deadline)
 	s.countSlots()
 	if wait := s.drain.drainTime(queued + n); wait > left {
-		return refusal{code.CannotMeetExpiry, "the queue cannot drain before the job's expiry", s.drain.staggeredRetryAfter(h.now.Mono, n)}, false
+		return refusal{code.CannotMeetExpiry, "the queue is longer than the job's expiry allows", s.drain.staggeredRetryAfter(h.now.Mono, n)}, false
 	}
 	return h.admitQuota(organisation, n, &s.drain)
 }
@@ -156,7 +156,7 @@
 	}
 	if len(r.waitingTasks) > 0 && h.takeover.inDoubt(sub.Key(), sub.Expiry()) && !h.rules.SkipDoubt {
 		h.refuse(w, id, seats.RanYes, refusal{code.OwnerLost,
-			"an entry and an agent that may hold records of the job failed together", 0})
+			"an entry and an agent that may know of the job were lost together", 0})
 		return
 	}
 	h.accept(w, r)
--- a/seats/home/place.go
+++ b/seats/home/place.go
@@ -129,7 +129,7 @@
 // refuseLate refuses a job that has not started and cannot finish in time.
 func (h *Home) refuseLate(s *service, r *record) {
 	h.finish(r, refused(r.id, code.CannotMeetExpiry, seats.RanNo,
-		"the job cannot finish before its expiry after waiting in the queue", s.drain.staggeredRetryAfter(h.now.Mono, len(r.tasks))))
+		"the job waited so long that it can't end before its expiry", s.drain.staggeredRetryAfter(h.now.Mono, len(r.tasks))))
 }
 
 // mayStart reports whether this entry holds a seat. Agents check its
@@ -252,7 +252,7 @@
 		r.unfinished--
 		switch {
 		case r.outputBytes > seats.MaxAnswer:
-			h.fail(r, code.AnswerLarge, "the combined output of the tasks is too large for one answer")
+			h.fail(r, code.AnswerLarge, "the tasks' outputs together are too large")
 		case r.unfinished == 0:
 			h.finish(r, r.complete())
 		}
@@ -319,7 +319,7 @@
 		h.startWaiting(r.sub.Service)
 		return
 	}
-	h.fail(r, code.AgentLost, "the agent running task "+r.sub.Job.Tasks[k].ID+" was lost")
+	h.fail(r, code.AgentLost, "the agent that held task "+r.sub.Job.Tasks[k].ID+" was lost")
 }
 
 // replaceAgent fails the starts at earlier incarnations of a reconnected agent.
--- a/seats/home/quota.go
+++ b/seats/home/quota.go
@@ -29,10 +29,10 @@
 func (h *Home) admitQuota(organisation *config.Organisation, n int, drain *drainRate) (refusal, bool) {
 	usage := h.organisation(organisation.Name)
 	if limit := h.quotaShare(organisation.InFlight); limit > 0 && usage.inFlight+n > limit {
-		return refusal{code.QuotaInFlight, "the member's quota of tasks in flight is exhausted", drain.retryAfter(usage.inFlight + n - limit)}, false
+		return refusal{code.QuotaInFlight, "the member's quota of tasks in flight is used up", drain.retryAfter(usage.inFlight + n - limit)}, false
 	}
 	if wait := usage.reserve(h.now.Wall, h.quotaShare(organisation.Rate), n); wait > 0 {
-		return refusal{code.RateLimited, "the member's quota of tasks per second is exceeded", max(wait, minRetryAfter)}, false
+		return refusal{code.RateLimited, "the member submits more tasks a second than its quota allows", max(wait, minRetryAfter)}, false
 	}
 	return refusal{}, true
 }
--- a/seats/home/record.go
+++ b/seats/home/record.go
@@ -154,7 +154,7 @@
 	h.answeredBytes -= r.answerBytes
 	r.answerBytes = 0
 	if r.answer.State == seats.Complete {
-		r.answer = failed(r.id, code.AnswerDropped, seats.RanYes, "the job ran, but its answer is no longer stored")
+		r.answer = failed(r.id, code.AnswerDropped, seats.RanYes, "the job ran; its answer is no longer held")
 	}
 }
 
--- a/seats/home/submit.go
+++ b/seats/home/submit.go
@@ -116,7 +116,7 @@
 func (h *Home) refusePending(p pending) {
 	h.stats.Refused++
 	h.deliver(p.from, refused(p.sub.Job.ID, code.NotConfirmed, seats.RanMaybe,
-		"this entry is not confirmed as the owner of the job", h.cfg.Lease))
+		"this entry can't speak for the job now", h.cfg.Lease))
 }
 
 // attach answers a submission from the job's record, or adds its caller to the
@@ -230,7 +230,7 @@
 		delete(h.forwards, t)
 		h.stats.Refused++
 		h.deliver(f.waiter(h.cfg.Self), refused(f.sub.Job.ID, code.HomeUnreachable, seats.RanMaybe,
-			"the entry that owns the job did not answer in time", h.cfg.Lease))
+			"the job's home did not answer in time", h.cfg.Lease))
 	}
 }
 
--- a/seats/job/submission.go
+++ b/seats/job/submission.go
@@ -106,7 +106,7 @@
 		return j, code.Errorf(code.BadJSON, "the body is not a job: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return j, code.Error(code.BadJSON, "the body has data after the job")
+		return j, code.Error(code.BadJSON, "the body goes on after the job")
 	}
 	return j, nil
 }
@@ -142,7 +142,7 @@
 	}
 	seen[t.ID] = true
 	if t.ExpectedMS < 0 {
-		return code.Errorf(code.BadValue, "task %q: expected_ms is negative", t.ID)
+		return code.Errorf(code.BadValue, "task %q: expected_ms is below zero", t.ID)
 	}
 	return nil
 }
