--- a/seats/client.go
+++ b/seats/client.go
@@ -16,15 +16,15 @@
 	http *http.Client
 }
 
-// ClientOption changes a Client as it is made.
+// ClientOption configures a Client.
 type ClientOption func(*Client)
 
-// WithHTTPClient makes the client use h instead of http.DefaultClient.
+// WithHTTPClient sets the HTTP client. The default is http.DefaultClient.
 func WithHTTPClient(h *http.Client) ClientOption {
 	return func(c *Client) { c.http = h }
 }
 
-// NewClient returns a client of the entry at base, such as
+// NewClient returns a client for the entry with the given base URL, such as
 // "http://127.0.0.1:7400".
 func NewClient(base string, opts ...ClientOption) *Client {
 	c := &Client{base: base, http: http.DefaultClient}
@@ -34,9 +34,8 @@
 	return c
 }
 
-// Submit hands in the job and waits for its answer. An error means that no
-// answer was received: the job may have run, and the same job may be submitted
-// again.
+// Submit sends the job and waits for its answer. After an error the job may or
+// may not have run; submitting it again unchanged is safe.
 func (c *Client) Submit(ctx context.Context, service string, j Job) (Answer, error) {
 	body, err := json.Marshal(j)
 	if err != nil {
