--- a/seats/settings/golden_test.go
+++ b/seats/settings/golden_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestKeysOfTheSettings holds the keys of the settings file with their defaults.
-func TestKeysOfTheSettings(t *testing.T) {
+// Fails when a key of the settings file or its default changes.
+func TestSettingsKeysAndDefaultsMatchGolden(t *testing.T) {
 	process, err := yaml.Marshal(Default())
 	assert.NilError(t, err)
 	golden.Assert(t, string(process), "process-keys.golden")
--- a/seats/settings/settings.go
+++ b/seats/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the YAML settings of one process and checks them.
+// Package settings reads and validates the YAML settings of an entry or agent.
 package settings
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/beaconpoint/beaconpoint/settings"
 )
 
-// Defaults of the settings.
+// Default values.
 const (
 	DefaultLease     = 3 * time.Second
 	DefaultQueue     = 0
@@ -25,57 +25,58 @@
 	DefaultSkew      = 2 * time.Second
 )
 
-// Settings are what one process reads at its start. Addresses are "IP:port".
+// Settings holds the settings that a process reads when it starts. Addresses
+// have the form "IP:port".
 type Settings struct {
 	// Role is "entry" or "agent".
 	Role wire.Role `yaml:"role" validate:"required,oneof=entry agent"`
-	// Name is the process's name, unique in its region.
+	// Name is unique among the processes of the region.
 	Name string `yaml:"name" validate:"required,max=64,hostname_rfc1123"`
-	// Region and Hall say where the process runs.
+	// Region and Hall are the location of the process.
 	Region string `yaml:"region" validate:"required,max=64,hostname_rfc1123"`
 	Hall   string `yaml:"hall" validate:"required,max=64,hostname_rfc1123"`
-	// Peers is where other processes of the system reach this one.
+	// Peers is the listen address for entries and agents.
 	Peers string `yaml:"peers" validate:"required,tcp_addr"`
-	// Lease is how long a confirmation holds; all processes of a region must
-	// agree on it.
+	// Lease is how long a lease confirmation is valid. It must be the same in
+	// all processes of a region.
 	Lease time.Duration `yaml:"lease" validate:"min=500ms,max=60s"`
-	// Skew is how far the calendars of two hosts may differ.
+	// Skew is the largest allowed difference between the clocks of two hosts.
 	Skew time.Duration `yaml:"skew" validate:"min=0,max=60s"`
-	// DrainTime bounds a planned stop.
+	// DrainTime limits the duration of a graceful shutdown.
 	DrainTime time.Duration `yaml:"drain_time" validate:"min=1s,max=30m"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `yaml:"log_level" validate:"oneof=debug info warn error"`
-	// Entry holds the settings of an entry.
+	// Entry holds the settings of the role "entry".
 	Entry Entry `yaml:"entry" validate:"-"`
-	// Agent holds the settings of an agent.
+	// Agent holds the settings of the role "agent".
 	Agent Agent `yaml:"agent" validate:"-"`
 }
 
-// Entry is the part of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
-	// Callers is the address of the callers' HTTP.
+	// Callers is the listen address of the HTTP API for callers.
 	Callers string `yaml:"callers" validate:"required,tcp_addr"`
-	// Operators is the address of the operators' HTTP.
+	// Operators is the listen address of the HTTP API for operators.
 	Operators string `yaml:"operators" validate:"required,tcp_addr,nefield=Callers"`
 	// Platform is the base URL of the platform's services.
 	Platform string `yaml:"platform" validate:"required,http_url"`
-	// Tokens is the file with the operators' bearer tokens.
+	// Tokens is the path of the file with the operators' bearer tokens.
 	Tokens string `yaml:"tokens" validate:"required"`
-	// AnswerMB bounds the answers that are held, in MB.
+	// AnswerMB limits the memory for stored answers, in MB.
 	AnswerMB int `yaml:"answer_mb" validate:"min=1,max=4096"`
 }
 
-// Agent is the part of an agent.
+// Agent holds the settings of an agent.
 type Agent struct {
-	// Target is the base URL of the target beside the agent.
+	// Target is the base URL of the agent's target.
 	Target string `yaml:"target" validate:"required,http_url"`
-	// Queue is how many accepted tasks may wait for a slot.
+	// Queue is the maximum number of accepted tasks that wait for a slot.
 	Queue int `yaml:"queue" validate:"min=0,max=4096"`
-	// OutputMB bounds the outputs that are held, in MB.
+	// OutputMB limits the memory for stored outputs, in MB.
 	OutputMB int `yaml:"output_mb" validate:"min=1,max=4096"`
 }
 
-// Default returns the settings that a file starts from.
+// Default returns the settings that apply where a file sets nothing else.
 func Default() Settings {
 	return Settings{
 		Lease:     DefaultLease,
@@ -87,8 +88,8 @@
 	}
 }
 
-// Load reads and checks the file at path. The error is of type Faults where
-// the file's content is at fault.
+// Load reads and validates the file at path. If the content is invalid, the
+// error is a settings.Faults.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -100,8 +101,8 @@
 	return Parse(raw)
 }
 
-// Parse reads and checks settings. The error is of type settings.Faults and holds
-// every fault, with its line.
+// Parse decodes and validates settings. The error is a settings.Faults that
+// lists all faults with their lines.
 func Parse(raw []byte) (Settings, error) {
 	s := Default()
 	root, err := settings.Decode(raw, &s,
@@ -115,23 +116,23 @@
 	return s, nil
 }
 
-// check validates the settings and the part of their role.
+// check validates the common settings and the section of the role.
 func check(s Settings, root *yaml.Node) settings.Faults {
 	faults := settings.StructFaults(s, "", root)
 	switch s.Role {
 	case wire.RoleEntry:
 		faults = append(faults, settings.StructFaults(s.Entry, "entry", root)...)
-		faults = append(faults, foreignPart("agent", s.Role, root)...)
+		faults = append(faults, otherRoleFaults("agent", s.Role, root)...)
 	case wire.RoleAgent:
 		faults = append(faults, settings.StructFaults(s.Agent, "agent", root)...)
-		faults = append(faults, foreignPart("entry", s.Role, root)...)
+		faults = append(faults, otherRoleFaults("entry", s.Role, root)...)
 	}
 	slices.SortStableFunc(faults, func(a, b settings.Fault) int { return a.Line - b.Line })
 	return faults
 }
 
-// foreignPart reports settings of the other role, which would have no effect.
-func foreignPart(key string, role wire.Role, root *yaml.Node) settings.Faults {
+// otherRoleFaults reports a section of the other role, which would have no effect.
+func otherRoleFaults(key string, role wire.Role, root *yaml.Node) settings.Faults {
 	if line := settings.LineOf(root, key); line > 0 {
 		return settings.Faults{{Line: line, Text: fmt.Sprintf("%q has no meaning for the role %q", key, role)}}
 	}
--- a/seats/settings/settings_test.go
+++ b/seats/settings/settings_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestFaults reads each file of testdata and compares its faults with the
-// golden file beside it.
-func TestFaults(t *testing.T) {
+// Fails when a settings file in testdata yields other faults than its golden
+// file.
+func TestFaultsMatchGolden(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 0)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExampleFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/[ea]*[0-9].yaml")
 	assert.NilError(t, err)
 	assert.Equal(t, len(files), 6)
