--- a/seats/store/client.go
+++ b/seats/store/client.go
@@ -1,5 +1,5 @@
-// Package store speaks the platform's published protocol: a small key-value
-// service with compare-and-swap and long-poll watches, and a list of hosts.
+// Package store is a client for the platform's key-value service, with
+// compare-and-swap and long-poll watches, and for its host list.
 package store
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Headers and parameters of the protocol.
+// Headers and query parameters of the protocol.
 const (
 	HeaderRevision = "X-Revision"
 	ParamRevision  = "revision"
@@ -24,32 +24,32 @@
 	ParamWait      = "wait_ms"
 )
 
-// MaxValue is the largest value that the service holds, in bytes.
+// MaxValue is the largest value that the service stores, in bytes.
 const MaxValue = 1 << 20
 
-// callTimeout bounds one call, beyond the time a watch waits.
+// callTimeout limits a call, in addition to the wait time of a watch.
 const callTimeout = 2 * time.Second
 
-// Errors of the client. Any error of Swap but ErrConflict leaves open whether
-// the swap took effect.
+// Errors of the client. After any error of Swap other than ErrConflict, the
+// swap may or may not have been applied.
 var (
 	ErrConflict = errors.New("store: the revision has moved")
 	ErrStatus   = errors.New("store: unexpected status")
 )
 
-// Value is what a key holds; a missing key has revision zero.
+// Value is the value of a key. A missing key has revision zero.
 type Value struct {
 	Data     []byte
 	Revision uint64
 }
 
-// Host is a line of the host list, which lags behind reality.
+// Host is an element of the host list, which may be out of date.
 type Host struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
 }
 
-// HostLeaving is the state of a host that is about to go.
+// HostLeaving is the state of a host that will be shut down.
 const HostLeaving = "leaving"
 
 // Client calls the platform's services.
@@ -59,24 +59,24 @@
 	calls atomic.Uint64
 }
 
-// NewClient returns a client of the services at base, such as
+// NewClient returns a client for the platform with the given base URL, such as
 // "http://127.0.0.1:7300".
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{}}
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls made so far.
 func (c *Client) Calls() uint64 {
 	return c.calls.Load()
 }
 
-// Get reads a key.
+// Get returns the value of a key.
 func (c *Client) Get(ctx context.Context, key string) (Value, error) {
 	return c.read(ctx, key, nil, callTimeout)
 }
 
-// Watch waits until the key's revision is above after, for wait at most, and
-// returns the value at that time.
+// Watch returns the value of a key as soon as its revision exceeds after, or
+// the current value once wait has passed.
 func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error) {
 	q := url.Values{
 		ParamAfter: {strconv.FormatUint(after, 10)},
@@ -85,7 +85,7 @@
 	return c.read(ctx, key, q, wait+callTimeout)
 }
 
-// Swap writes data if the key's revision is still base, and returns the new
+// Swap writes data if the key's revision equals base, and returns the new
 // revision.
 func (c *Client) Swap(ctx context.Context, key string, base uint64, data []byte) (uint64, error) {
 	q := url.Values{ParamRevision: {strconv.FormatUint(base, 10)}}
