--- a/seats/target/client.go
+++ b/seats/target/client.go
@@ -1,4 +1,4 @@
-// Package target performs tasks at the target beside an agent, over HTTP.
+// Package target runs tasks on an agent's target over HTTP.
 package target
 
 import (
@@ -17,29 +17,28 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// Headers of a task's request.
+// Headers of a task request.
 const (
 	HeaderJob  = "X-Job"
 	HeaderTask = "X-Task"
 )
 
-// Bounds of a task's request.
+// Limits of a task request.
 const (
-	// dialTimeout bounds the making of a connection.
 	dialTimeout = time.Second
-	// maxOutput is the largest output that is taken, in bytes.
+	// maxOutput is the largest accepted response body, in bytes.
 	maxOutput = 1 << 20
 )
 
-// Client sends tasks to one target. Each task has a connection of its own:
-// one that was kept may have been closed by the target meanwhile, and then it
-// can't be known whether the request was read.
+// Client sends tasks to one target. It opens a connection for each task: if the
+// target closes an idle keep-alive connection while a request is being sent,
+// the client cannot know whether the request was read.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// NewClient returns a client of the target at base, such as
+// NewClient returns a client for the target with the given base URL, such as
 // "http://127.0.0.1:8080".
 func NewClient(base string) *Client {
 	return &Client{
@@ -54,10 +53,10 @@
 	}
 }
 
-// Run performs the task and returns how it ended: NotRun only where no
-// connection was made, so that nothing can have been sent.
+// Run sends the task and waits for its end. It returns wire.NotRun only if no
+// byte of the request can have been sent.
 func (c *Client) Run(ctx context.Context, s wire.Start) (wire.Status, code.Code, []byte) {
-	body, err := payload(s)
+	body, err := requestBody(s)
 	if err != nil {
 		return wire.Failed, code.BadJSON, nil
 	}
@@ -67,8 +66,8 @@
 	if err != nil {
 		return wire.NotRun, code.TargetUnreachable, nil
 	}
-	// A body that can't be replayed and no GetBody keep the transport from
-	// ever sending the request a second time.
+	// Without GetBody the transport cannot replay the body, so it never sends
+	// the request twice.
 	req.Body = io.NopCloser(bytes.NewReader(body))
 	req.ContentLength = int64(len(body))
 	req.GetBody = nil
@@ -83,23 +82,23 @@
 		return wire.Failed, code.TargetLost, nil
 	}
 	defer resp.Body.Close()
-	return read(resp, s.Raw)
+	return readResponse(resp, s.Raw)
 }
 
-func read(resp *http.Response, raw bool) (wire.Status, code.Code, []byte) {
+func readResponse(resp *http.Response, raw bool) (wire.Status, code.Code, []byte) {
 	out, err := io.ReadAll(io.LimitReader(resp.Body, maxOutput+1))
 	if err != nil || len(out) > maxOutput || resp.StatusCode/100 != 2 {
 		return wire.Failed, code.TaskFailed, nil
 	}
-	out, err = output(out, raw)
+	out, err = encodeOutput(out, raw)
 	if err != nil {
 		return wire.Failed, code.TaskFailed, nil
 	}
 	return wire.Done, code.OK, out
 }
 
-// payload returns the bytes for the target.
-func payload(s wire.Start) ([]byte, error) {
+// requestBody returns the request body. A raw requestBody is base64 in a JSON string.
+func requestBody(s wire.Start) ([]byte, error) {
 	if !s.Raw {
 		return s.Payload, nil
 	}
@@ -108,9 +107,9 @@
 	return body, err
 }
 
-// output returns the target's answer as JSON: bytes in base64 for a single
-// request, else its own JSON, or its text as a string.
-func output(out []byte, raw bool) ([]byte, error) {
+// encodeOutput encodes the response body as JSON. A raw body becomes a base64 string,
+// a JSON body is compacted, and any other body becomes a string.
+func encodeOutput(out []byte, raw bool) ([]byte, error) {
 	if raw {
 		return json.Marshal(out)
 	}
