--- a/seats/operator/client.go
+++ b/seats/operator/client.go
@@ -1,4 +1,4 @@
-// Package operator is the operators' client of an entry.
+// Package operator is a client for the operators' HTTP API of an entry.
 package operator
 
 import (
@@ -14,48 +14,49 @@
 	"github.com/beaconpoint/beaconpoint/seats/entry"
 )
 
-// Client calls the operators' interface of one entry.
+// Client calls the operators' HTTP API of one entry.
 type Client struct {
 	base  string
 	token string
 	http  *http.Client
 }
 
-// NewClient returns a client of the entry at base, with the bearer token.
+// NewClient returns a client for the entry with the given base URL. Calls are
+// authorized by the bearer token.
 func NewClient(base, token string) *Client {
 	return &Client{base: base, token: token, http: http.DefaultClient}
 }
 
-// Plan asks what the intent would change.
+// Plan returns the changes that the intent would make.
 func (c *Client) Plan(ctx context.Context, in config.Intent) (config.Plan, error) {
 	var p config.Plan
 	err := c.call(ctx, http.MethodPost, "/v1/plan", in, &p)
 	return p, err
 }
 
-// Confirm puts a plan in force.
+// Confirm applies a plan.
 func (c *Client) Confirm(ctx context.Context, p config.Plan) (entry.Confirmed, error) {
-	var done entry.Confirmed
-	err := c.call(ctx, http.MethodPost, "/v1/confirm", p, &done)
-	return done, err
+	var confirmed entry.Confirmed
+	err := c.call(ctx, http.MethodPost, "/v1/confirm", p, &confirmed)
+	return confirmed, err
 }
 
-// Status asks an entry for its status.
+// Status returns the status of the entry.
 func (c *Client) Status(ctx context.Context) (entry.Status, error) {
 	var s entry.Status
 	err := c.call(ctx, http.MethodGet, "/v1/status", nil, &s)
 	return s, err
 }
 
-// Config asks for the configuration in force.
+// Config returns the active configuration.
 func (c *Client) Config(ctx context.Context) (config.Document, error) {
 	var d config.Document
 	err := c.call(ctx, http.MethodGet, "/v1/config", nil, &d)
 	return d, err
 }
 
-// call makes one call. A problem that the entry answers with is an error that
-// carries its code.
+// call sends one request. If the entry responds with a problem, the error has
+// the problem's code.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
