--- a/seats/load/load.go
+++ b/seats/load/load.go
@@ -1,5 +1,5 @@
-// Package load puts a bounded, seeded load of jobs on entries and measures the
-// answers: response time against the ideal, and refusals by code.
+// Package load is a seeded load generator. It submits jobs to entries and
+// reports the ratio of response time to ideal time and the failures by code.
 package load
 
 import (
@@ -20,41 +20,43 @@
 	"github.com/beaconpoint/beaconpoint/seats"
 )
 
-// Bounds of a load.
+// Limits of a load and the distribution of task durations.
 const (
-	maxJobs     = 1_000_000
-	maxRate     = 100_000
-	maxInFlight = 4096
-	// ratioScale is the precision of a ratio in the histogram.
+	maxJobs          = 1_000_000
+	maxJobsPerSecond = 100_000
+	maxInFlight      = 4096
+	// ratioScale is the histogram value of a ratio of one.
 	ratioScale = 1000
 	maxRatio   = 10_000 * ratioScale
-	// longShare is the share of tasks of several seconds.
-	longShare  = 0.02
-	severalMin = 2000
-	severalMax = 5000
+	// longTaskShare is the fraction of long tasks.
+	longTaskShare = 0.02
+	longTaskMinMS = 2000
+	longTaskMaxMS = 5000
 )
 
-// Config is the shape of a load.
+// Config describes a load.
 type Config struct {
-	// Entries are base URLs, comma-separated; jobs go to them in turn.
+	// Entries lists the base URLs of the entries, separated by commas. Jobs
+	// are submitted to them in round-robin order.
 	Entries      string
 	Service      string
 	Organisation string
-	// Jobs is how many jobs are submitted.
+	// Jobs is the number of jobs.
 	Jobs int
-	// LargestJob is the largest number of tasks; sizes are log-uniform.
+	// LargestJob is the largest number of tasks in a job. Job sizes are
+	// log-uniform.
 	LargestJob int
-	// JobsPerSecond is the mean rate of arrivals, which are Poisson.
+	// JobsPerSecond is the mean rate of the Poisson arrivals.
 	JobsPerSecond float64
-	// ShortMS and LongMS bound the common task's length, in milliseconds;
-	// one in fifty lasts several seconds if LongMS is at least 1000.
+	// ShortMS and LongMS are the range of task durations in milliseconds. If
+	// LongMS is at least 1000, one task in fifty runs for 2 to 5 s instead.
 	ShortMS, LongMS int
-	// Expiry is each job's time to live; zero for none.
+	// Expiry is the time to live of each job; zero means none.
 	Expiry time.Duration
 	Seed   uint64
 }
 
-// DefaultConfig returns a small load.
+// DefaultConfig returns the configuration of a small load.
 func DefaultConfig() Config {
 	return Config{
 		Service: "trackd", Organisation: "port-gate", Jobs: 200, LargestJob: 20,
@@ -62,7 +64,7 @@
 	}
 }
 
-// Report is what came of a load.
+// Report holds the results of a load.
 type Report struct {
 	mu       sync.Mutex
 	Jobs     int
@@ -70,14 +72,14 @@
 	States   map[seats.State]int
 	Codes    map[string]int
 	NoAnswer int
-	// Wrong counts complete answers that were not whole and the caller's own.
+	// Wrong counts complete answers whose results do not match the job.
 	Wrong    int
 	Ratio    *hdrhistogram.Histogram
 	Took     time.Duration
-	Finished int // tasks of complete jobs
+	Finished int // number of tasks of complete jobs
 }
 
-// Run puts the load on the entries and waits for every answer.
+// Run submits the jobs of the load and waits for all answers.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -94,24 +96,24 @@
 		clients = append(clients, seats.NewClient(base, seats.WithHTTPClient(&http.Client{Transport: transport})))
 	}
 	rng := rand.New(rand.NewPCG(cfg.Seed, cfg.Seed))
-	room := make(chan struct{}, maxInFlight)
+	inFlight := make(chan struct{}, maxInFlight)
 	var jobs sync.WaitGroup
-	began := time.Now()
-	next := began
+	start := time.Now()
+	next := start
 	for k := range cfg.Jobs {
-		j, longest := cfg.job(rng, k)
+		j, longest := cfg.newJob(rng, k)
 		next = next.Add(time.Duration(rng.ExpFloat64() / cfg.JobsPerSecond * float64(time.Second)))
 		if !sleepUntil(ctx, next) {
 			break
 		}
-		room <- struct{}{}
+		inFlight <- struct{}{}
 		jobs.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-inFlight }()
 			r.submit(ctx, clients[k%len(clients)], cfg, j, longest)
 		})
 	}
 	jobs.Wait()
-	r.Took = time.Since(began)
+	r.Took = time.Since(start)
 	return r, nil
 }
 
@@ -123,35 +125,35 @@
 		return fmt.Errorf("jobs must be 1 to %d", maxJobs)
 	case c.LargestJob < 1 || c.LargestJob > seats.MaxTasks:
 		return fmt.Errorf("tasks must be 1 to %d", seats.MaxTasks)
-	case c.JobsPerSecond <= 0 || c.JobsPerSecond > maxRate:
-		return fmt.Errorf("the rate must be above 0 and at most %d", maxRate)
+	case c.JobsPerSecond <= 0 || c.JobsPerSecond > maxJobsPerSecond:
+		return fmt.Errorf("the rate must be above 0 and at most %d", maxJobsPerSecond)
 	case c.ShortMS < 0 || c.LongMS < c.ShortMS:
 		return errors.New("the longest task must not be shorter than the shortest")
 	}
 	return nil
 }
 
-// job makes the k-th job and tells its longest task.
-func (c Config) job(rng *rand.Rand, k int) (seats.Job, time.Duration) {
+// newJob returns the k-th newJob and the duration of its longest task.
+func (c Config) newJob(rng *rand.Rand, k int) (seats.Job, time.Duration) {
 	n := int(math.Exp(rng.Float64() * math.Log(float64(c.LargestJob)+0.999)))
 	j := seats.Job{ID: fmt.Sprintf("load-%d-%d-%d", c.Seed, time.Now().UnixNano(), k), Organisation: c.Organisation}
 	if c.Expiry > 0 {
 		at := time.Now().Add(c.Expiry)
 		j.ExpiresAt = &at
 	}
-	longest := 1
+	longestMS := 1
 	for i := range n {
 		ms := c.ShortMS + rng.IntN(c.LongMS-c.ShortMS+1)
-		if c.LongMS >= 1000 && rng.Float64() < longShare {
-			ms = severalMin + rng.IntN(severalMax-severalMin)
+		if c.LongMS >= 1000 && rng.Float64() < longTaskShare {
+			ms = longTaskMinMS + rng.IntN(longTaskMaxMS-longTaskMinMS)
 		}
-		longest = max(longest, ms)
+		longestMS = max(longestMS, ms)
 		j.Tasks = append(j.Tasks, seats.Task{
 			ID:      fmt.Sprintf("t%d", i),
 			Payload: fmt.Appendf(nil, `{"ms":%d,"echo":"%s-%d"}`, ms, j.ID, i),
 		})
 	}
-	return j, time.Duration(longest) * time.Millisecond
+	return j, time.Duration(longestMS) * time.Millisecond
 }
 
 func sleepUntil(ctx context.Context, at time.Time) bool {
@@ -183,14 +185,15 @@
 		return
 	}
 	r.Finished += len(j.Tasks)
-	if !whole(j, a) {
+	if !resultsMatch(j, a) {
 		r.Wrong++
 	}
 	_ = r.Ratio.RecordValue(min(int64(float64(took)/float64(longest)*ratioScale), maxRatio)) // within bounds
 }
 
-// whole reports whether a answers every task of j, each with its own echo.
-func whole(j seats.Job, a seats.Answer) bool {
+// resultsMatch reports whether a holds one result for each task of j, with the echo of
+// that task.
+func resultsMatch(j seats.Job, a seats.Answer) bool {
 	if a.ID != j.ID || len(a.Results) != len(j.Tasks) {
 		return false
 	}
@@ -206,7 +209,7 @@
 	return true
 }
 
-// Text returns the report for people.
+// Text returns the report as human-readable text.
 func (r *Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "jobs %d, tasks %d, in %.1f s (%.0f tasks/s finished)\n",
