--- a/seats/clock/clock.go
+++ b/seats/clock/clock.go
@@ -1,37 +1,37 @@
-// Package clock gives the two readings of time that the state machines take:
-// they have no clock of their own.
+// Package clock reads the monotonic and the wall clock, for state machines that
+// receive the time with each call.
 package clock
 
 import "time"
 
-// Moment is one reading of a process's clocks.
+// Moment is a reading of both clocks of a process.
 type Moment struct {
-	// Mono is the time since the process began. It never goes back and
-	// counts on while the process is stopped.
+	// Mono is the monotonic time since the process started. It also advances
+	// while the process is stopped.
 	Mono time.Duration
-	// Wall is the calendar time, which other hosts share within the
+	// Wall is the wall-clock time, which differs between hosts by at most the
 	// allowed skew.
 	Wall time.Time
 }
 
-// Clock reads the time of one process.
+// Clock reads the clocks of one process.
 type Clock struct {
 	began time.Time
 }
 
-// New returns a clock whose monotonic reading begins at one second, so that a
-// zero reading never counts as a time.
+// New returns a clock. Its monotonic reading starts at one second, so that zero
+// can mean "not set".
 func New() Clock {
 	return Clock{began: time.Now().Add(-time.Second)}
 }
 
-// Now returns the present moment.
+// Now returns the current time.
 func (c Clock) Now() Moment {
 	now := time.Now()
 	return Moment{Mono: now.Sub(c.began), Wall: now}
 }
 
-// Plus returns the moment d later.
+// Plus returns m moved forward by d.
 func (m Moment) Plus(d time.Duration) Moment {
 	return Moment{Mono: m.Mono + d, Wall: m.Wall.Add(d)}
 }
