--- a/seats/demo/demo.go
+++ b/seats/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole small system in one process, on loopback, with the
-// stand-ins for the platform and the targets.
+// Package demo runs a small system in one process on loopback, with test
+// doubles for the platform and the targets.
 package demo
 
 import (
@@ -27,7 +27,7 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// Sizes of the demo.
+// Size and time limits of the demo.
 const (
 	entries      = 3
 	agents       = 3
@@ -35,24 +35,24 @@
 	tasks        = 40
 	service      = "trackd"
 	organisation = "port-gate"
-	readyLimit   = 5 * time.Second
-	stopLimit    = 5 * time.Second
+	readyTimeout = 5 * time.Second
+	stopTimeout  = 5 * time.Second
 )
 
-// anyPort lets the system choose a loopback address.
+// anyPort is a loopback address with a port chosen by the operating system.
 const anyPort = "127.0.0.1:0"
 
-// Config is how a demo runs.
+// Config configures a demo.
 type Config struct {
-	// Stay keeps serving after the job.
+	// Stay keeps the system running after the job.
 	Stay bool
-	// Out takes the progress.
+	// Out receives the progress messages.
 	Out io.Writer
-	// Log takes the processes' logs.
+	// Log receives the logs of entries and agents.
 	Log *slog.Logger
 }
 
-// system is the demo's processes.
+// system holds the entries, agents and targets of the demo.
 type system struct {
 	cfg     Config
 	group   run.Group
@@ -63,8 +63,8 @@
 	targets []*standtarget.Target
 }
 
-// Run starts the system, runs a job through it and stops it, or serves until
-// ctx is done.
+// Run starts the system and submits a job to it. It then stops the system, or
+// with Stay waits until ctx is done.
 func Run(ctx context.Context, cfg Config) error {
 	dir, err := os.MkdirTemp("", "beaconpoint-demo-")
 	if err != nil {
@@ -75,16 +75,17 @@
 	if err := s.build(); err != nil {
 		return err
 	}
-	work, cancel := context.WithCancel(ctx)
+	scenarioCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.group.Add(func() error { return s.show(work) }, func(error) { cancel() })
+	s.group.Add(func() error { return s.runScenario(scenarioCtx) }, func(error) { cancel() })
 	return s.group.Run()
 }
 
-// build makes the stand-ins and the processes, and adds them to the group.
+// build creates the test doubles, agents and entries and adds them to the run
+// group.
 func (s *system) build() error {
 	store := standplatform.NewStore(time.Second)
-	base, err := s.serve(standplatform.NewServer(store))
+	base, err := s.addServer(standplatform.NewServer(store))
 	if err != nil {
 		return err
 	}
@@ -103,13 +104,13 @@
 			return err
 		}
 	}
-	s.say("started %d entries, %d agents with targets, 1 platform stand-in", entries, agents)
+	s.printf("started %d entries, %d agents with targets, 1 platform stand-in", entries, agents)
 	return nil
 }
 
 func (s *system) addAgent(k int) error {
 	t := standtarget.NewTarget()
-	base, err := s.serve(t)
+	base, err := s.addServer(t)
 	if err != nil {
 		return err
 	}
@@ -123,7 +124,7 @@
 	}
 	s.targets = append(s.targets, t)
 	s.agents = append(s.agents, a)
-	s.add(a.Run)
+	s.addProcess(a.Run)
 	return nil
 }
 
@@ -138,19 +139,20 @@
 		return err
 	}
 	s.entries = append(s.entries, e)
-	s.add(e.Run)
+	s.addProcess(e.Run)
 	return nil
 }
 
-// add runs one process in the group. It is stopped with the others and given
-// a while to drain.
-func (s *system) add(serve func(context.Context) error) {
+// addProcess adds an entry or agent to the run group. When the group stops, the
+// context of serve is cancelled.
+func (s *system) addProcess(serve func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.group.Add(func() error { return serve(ctx) }, func(error) { cancel() })
 }
 
-// serve runs a stand-in and returns its base URL.
-func (s *system) serve(h http.Handler) (string, error) {
+// addServer adds an HTTP server for a test double to the run group and returns its
+// base URL.
+func (s *system) addServer(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return "", err
@@ -164,9 +166,9 @@
 		<-stop.Done()
 		return nil
 	}, func(error) {
-		// The processes still need the stand-ins while they drain.
+		// Entries and agents need the test doubles while they drain.
 		go func() {
-			time.Sleep(stopLimit / 2)
+			time.Sleep(stopTimeout / 2)
 			_ = srv.Close()
 			cancel()
 		}()
@@ -174,13 +176,13 @@
 	return "http://" + l.Addr().String(), nil
 }
 
-// show configures the service, runs the job and tells what came of it.
-func (s *system) show(ctx context.Context) error {
+// runScenario configures the service, submits the job and prints the result.
+func (s *system) runScenario(ctx context.Context) error {
 	ops := operator.NewClient(s.entries[0].OperatorsURL(), s.token)
 	if err := s.configure(ctx, ops); err != nil {
 		return err
 	}
-	if err := s.untilReady(ctx); err != nil {
+	if err := s.waitReady(ctx); err != nil {
 		return err
 	}
 	if err := s.runJob(ctx); err != nil {
@@ -189,9 +191,9 @@
 	if !s.cfg.Stay {
 		return nil
 	}
-	s.say("\nserving; stop with Ctrl-C. Submit a job with:\n  curl -s -H 'Content-Type: application/json' -d '{\"id\":\"job-1\",\"member\":\"%s\",\"tasks\":[{\"id\":\"a\",\"payload\":{\"ms\":100}}]}' %s/v1/services/%s/jobs",
+	s.printf("\nserving; stop with Ctrl-C. Submit a job with:\n  curl -s -H 'Content-Type: application/json' -d '{\"id\":\"job-1\",\"member\":\"%s\",\"tasks\":[{\"id\":\"a\",\"payload\":{\"ms\":100}}]}' %s/v1/services/%s/jobs",
 		organisation, s.entries[1].CallersURL(), service)
-	s.say("look at an entry with:\n  curl -s -H 'Authorization: Bearer %s' %s/v1/status", s.token, s.entries[0].OperatorsURL())
+	s.printf("look at an entry with:\n  curl -s -H 'Authorization: Bearer %s' %s/v1/status", s.token, s.entries[0].OperatorsURL())
 	<-ctx.Done()
 	return nil
 }
@@ -211,27 +213,28 @@
 		return fmt.Errorf("plan: %w", err)
 	}
 	for _, line := range p.Changes {
-		s.say("plan: %.100s", line)
+		s.printf("plan: %.100s", line)
 	}
 	c, err := ops.Confirm(ctx, p)
 	if err != nil {
 		return fmt.Errorf("confirm: %w", err)
 	}
-	s.say("confirmed: revision %d", c.Revision)
+	s.printf("confirmed: revision %d", c.Revision)
 	return nil
 }
 
-// untilReady waits until every entry speaks for its jobs and knows the agents.
-func (s *system) untilReady(ctx context.Context) error {
+// waitReady waits until every entry holds its lease, has settled and lists all
+// agents and entries.
+func (s *system) waitReady(ctx context.Context) error {
 	began := time.Now()
-	for time.Since(began) < readyLimit {
+	for time.Since(began) < readyTimeout {
 		ready := true
 		for _, e := range s.entries {
 			st := e.Status()
 			ready = ready && st.Standing && st.Settled && len(st.Agents) == agents && len(st.Seats) == entries
 		}
 		if ready {
-			s.say("ready after %d ms", time.Since(began).Milliseconds())
+			s.printf("ready after %d ms", time.Since(began).Milliseconds())
 			return nil
 		}
 		select {
@@ -256,32 +259,33 @@
 	if a.State != seats.Complete {
 		return fmt.Errorf("the job was %s: %d %s: %s", a.State, a.Code, a.Name, a.Message)
 	}
-	s.say("job %s: %s with %d results, the first %s", a.ID, a.State, len(a.Results), a.Results[0].Output)
-	s.say("response %d ms, ideal %d ms (its longest task): %.2f times the ideal",
+	s.printf("job %s: %s with %d results, the first %s", a.ID, a.State, len(a.Results), a.Results[0].Output)
+	s.printf("response %d ms, ideal %d ms (its longest task): %.2f times the ideal",
 		took.Milliseconds(), longest.Milliseconds(), float64(took)/float64(longest))
-	started, doubled := s.starts()
-	s.say("%d tasks started, %d twice; %.2f messages a task, heartbeats included",
-		started, doubled, float64(s.messages()-before)/tasks)
+	started, repeated := s.starts()
+	s.printf("%d tasks started, %d twice; %.2f messages a task, heartbeats included",
+		started, repeated, float64(s.messages()-before)/tasks)
 	return nil
 }
 
-// mixedJob returns a job of short and longer tasks, and its longest task.
+// mixedJob returns a job of short and long tasks and the duration of its longest
+// task.
 func mixedJob() (seats.Job, time.Duration) {
 	j := seats.Job{ID: "demo-job", Organisation: organisation}
-	longest := 0
+	longestMS := 0
 	for k := range tasks {
 		ms := 50 + (k*37)%200
 		if k == tasks/2 {
 			ms = 900
 		}
-		longest = max(longest, ms)
+		longestMS = max(longestMS, ms)
 		j.Tasks = append(j.Tasks, seats.Task{
 			ID:         fmt.Sprintf("task-%02d", k),
 			Payload:    fmt.Appendf(nil, `{"ms":%d,"echo":"fix-%d"}`, ms, k),
 			ExpectedMS: int64(ms),
 		})
 	}
-	return j, time.Duration(longest) * time.Millisecond
+	return j, time.Duration(longestMS) * time.Millisecond
 }
 
 func (s *system) messages() uint64 {
@@ -292,18 +296,18 @@
 	return n
 }
 
-func (s *system) starts() (started, doubled int) {
+func (s *system) starts() (started, repeated int) {
 	for _, t := range s.targets {
 		for _, n := range t.Starts() {
 			started++
 			if n > 1 {
-				doubled++
+				repeated++
 			}
 		}
 	}
-	return started, doubled
+	return started, repeated
 }
 
-func (s *system) say(format string, args ...any) {
+func (s *system) printf(format string, args ...any) {
 	fmt.Fprintf(s.cfg.Out, format+"\n", args...)
 }
