--- a/seats/standin/cmd/platform/main.go
+++ b/seats/standin/cmd/platform/main.go
@@ -1,4 +1,4 @@
-// Command platform runs the stand-in for the platform's key-value service and
+// Command platform runs a test double for the platform's key-value service and
 // host list.
 package main
 
@@ -16,10 +16,10 @@
 	listen := "127.0.0.1:7300"
 	lag := 5 * time.Second
 	flaggy.SetName("platform")
-	flaggy.SetDescription("stand-in for the platform; POST /control sets its faults, GET /control counts the calls")
+	flaggy.SetDescription("test double for the platform; POST /control sets the faults, GET /control returns the number of calls")
 	flaggy.String(&listen, "l", "listen", "address to serve at")
-	flaggy.Duration(&lag, "", "lag", "how far the host list lags behind")
+	flaggy.Duration(&lag, "", "lag", "time after which the host list shows a change")
 	flaggy.Parse()
-	log.Printf("platform stand-in serves at http://%s", listen)
+	log.Printf("platform test double listening on http://%s", listen)
 	log.Fatal(http.ListenAndServe(listen, store.NewServer(store.NewStore(lag))))
 }
--- a/seats/standin/cmd/target/main.go
+++ b/seats/standin/cmd/target/main.go
@@ -1,4 +1,4 @@
-// Command target runs the stand-in for a target.
+// Command target runs a test double for a target.
 package main
 
 import (
@@ -14,12 +14,12 @@
 	listen := "127.0.0.1:7501"
 	slowness := 1.0
 	flaggy.SetName("target")
-	flaggy.SetDescription("stand-in for a target; GET /starts tells how often each task was started")
+	flaggy.SetDescription("test double for a target; GET /starts returns the number of starts of each task")
 	flaggy.String(&listen, "l", "listen", "address to serve at")
-	flaggy.Float64(&slowness, "", "slowness", "how many times longer each task runs")
+	flaggy.Float64(&slowness, "", "slowness", "factor by which each task runs longer")
 	flaggy.Parse()
 	t := target.NewTarget()
 	t.SetSlowness(slowness)
-	log.Printf("target stand-in serves at http://%s", listen)
+	log.Printf("target test double listening on http://%s", listen)
 	log.Fatal(http.ListenAndServe(listen, t))
 }
--- a/seats/standin/store/server.go
+++ b/seats/standin/store/server.go
@@ -14,15 +14,15 @@
 	mux   *http.ServeMux
 }
 
-// NewServer returns the handler of s. POST /control sets its faults, GET
-// /control tells the counted calls.
+// NewServer returns an HTTP handler for s. POST /control sets the faults, GET
+// /control returns the number of calls.
 func NewServer(s *Store) *Server {
 	v := &Server{store: s, mux: http.NewServeMux()}
 	v.mux.HandleFunc("GET /v1/kv/{key}", v.get)
 	v.mux.HandleFunc("PUT /v1/kv/{key}", v.put)
 	v.mux.HandleFunc("GET /v1/hosts", v.hosts)
-	v.mux.HandleFunc("POST /control", v.control)
-	v.mux.HandleFunc("GET /control", v.counts)
+	v.mux.HandleFunc("POST /control", v.setFaults)
+	v.mux.HandleFunc("GET /control", v.calls)
 	v.mux.HandleFunc("POST /control/hosts/{name}/{state}", v.setHost)
 	return v
 }
@@ -32,8 +32,8 @@
 	v.mux.ServeHTTP(w, r)
 }
 
-// begin applies the faults and counts the call. It returns false when the call
-// was refused.
+// begin counts the call and applies delay and outage. It returns false if it has
+// responded with an error.
 func (v *Server) begin(w http.ResponseWriter, count func(*Calls)) bool {
 	v.store.mu.Lock()
 	count(&v.store.calls)
@@ -58,7 +58,7 @@
 		return
 	}
 	if v.begin(w, func(c *Calls) { c.Reads++ }) {
-		v.answer(w, r.PathValue("key"))
+		v.writeValue(w, r.PathValue("key"))
 	}
 }
 
@@ -74,20 +74,20 @@
 	for {
 		v.store.mu.Lock()
 		changed, outage := v.store.changed, v.store.faults.Outage
-		revision := v.store.live(r.PathValue("key")).revision
+		revision := v.store.lookup(r.PathValue("key")).revision
 		v.store.mu.Unlock()
 		if outage {
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
 		if revision > since {
-			v.answer(w, r.PathValue("key"))
+			v.writeValue(w, r.PathValue("key"))
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			v.answer(w, r.PathValue("key"))
+			v.writeValue(w, r.PathValue("key"))
 			return
 		case <-r.Context().Done():
 			return
@@ -95,14 +95,14 @@
 	}
 }
 
-func (v *Server) answer(w http.ResponseWriter, key string) {
+func (v *Server) writeValue(w http.ResponseWriter, key string) {
 	data, revision := v.store.Get(key)
 	w.Header().Set("X-Revision", strconv.FormatUint(revision, 10))
 	if revision == 0 {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	_, _ = w.Write(data) // the caller sees a short body
+	_, _ = w.Write(data) // fails only if the client has gone
 }
 
 func (v *Server) put(w http.ResponseWriter, r *http.Request) {
@@ -121,7 +121,7 @@
 	}
 	ttl, _ := strconv.Atoi(r.URL.Query().Get("ttl_ms"))
 	revision, ok := v.store.Swap(r.PathValue("key"), base, data, time.Duration(ttl)*time.Millisecond)
-	if ok && v.loseAnswer() {
+	if ok && v.takeLostAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Revision", strconv.FormatUint(revision, 10))
@@ -130,7 +130,7 @@
 	}
 }
 
-func (v *Server) loseAnswer() bool {
+func (v *Server) takeLostAnswer() bool {
 	v.store.mu.Lock()
 	defer v.store.mu.Unlock()
 	if v.store.faults.LoseAnswers == 0 {
@@ -153,14 +153,14 @@
 	for name, state := range v.store.hostList() {
 		lines = append(lines, hostLine{name, state})
 	}
-	reply(w, lines)
+	writeJSON(w, lines)
 }
 
 func (v *Server) setHost(_ http.ResponseWriter, r *http.Request) {
 	v.store.SetHost(r.PathValue("name"), r.PathValue("state"))
 }
 
-func (v *Server) control(w http.ResponseWriter, r *http.Request) {
+func (v *Server) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -169,11 +169,11 @@
 	v.store.SetFaults(f)
 }
 
-func (v *Server) counts(w http.ResponseWriter, _ *http.Request) {
-	reply(w, v.store.Calls())
+func (v *Server) calls(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, v.store.Calls())
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller sees a short body
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has gone
 }
--- a/seats/standin/store/store.go
+++ b/seats/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is a stand-in for the platform: a key-value service with
-// compare-and-swap, leases and long-poll watches, and a host list that lags. It
-// can be made to fail, and it counts the calls.
+// Package store is a test double for the platform: a key-value service with
+// compare-and-swap, leases and long-poll watches, and a host list that shows
+// changes late. It injects faults and counts calls.
 package store
 
 import (
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Faults is how the stand-in misbehaves.
+// Faults are the faults to inject.
 type Faults struct {
-	// Outage refuses every call.
+	// Outage makes every call fail with status 503.
 	Outage bool `json:"outage"`
 	// SlowMS delays every call, in milliseconds.
 	SlowMS int `json:"slow_ms"`
-	// LoseAnswers is how many writes take effect with their answer lost.
+	// LoseAnswers is the number of writes that are applied but get no response.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// Calls counts the calls by kind; a waiting watch counts as one.
+// Calls counts the calls by kind. A long-poll watch counts once.
 type Calls struct {
 	Reads, Writes, Watches, Hosts uint64
 }
@@ -26,14 +26,14 @@
 type entry struct {
 	data     []byte
 	revision uint64
-	expires  time.Time // of a lease, or zero
+	expires  time.Time // end of the lease, zero without one
 }
 
-// Store holds the keys and the host list.
+// Store holds the keys, the host list and the faults.
 type Store struct {
 	mu      sync.Mutex
 	keys    map[string]entry
-	changed chan struct{} // closed at each write
+	changed chan struct{} // closed and replaced at each write
 	faults  Faults
 	calls   Calls
 	hosts   []hostChange
@@ -46,27 +46,27 @@
 	state string
 }
 
-// NewStore returns an empty store whose host list lags by lag.
+// NewStore returns an empty store. Its host list shows a change after lag.
 func NewStore(lag time.Duration) *Store {
 	return &Store{keys: make(map[string]entry), changed: make(chan struct{}), lag: lag}
 }
 
-// SetFaults changes how the store misbehaves. Waiting watches are woken.
+// SetFaults replaces the injected faults and wakes all waiting watches.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.wakeWatches()
 }
 
-// Calls returns the calls counted so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// SetHost changes a host's state; the list shows it after the lag.
+// SetHost changes the state of a host. The host list shows it after the lag.
 func (s *Store) SetHost(name, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,15 +77,16 @@
 func (s *Store) Get(key string) ([]byte, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.live(key)
+	e := s.lookup(key)
 	return e.data, e.revision
 }
 
-// Swap writes data if the key's revision is base.
+// Swap writes data if the key's revision equals base. With a positive ttl the
+// key expires after ttl. It returns the current revision and whether it wrote.
 func (s *Store) Swap(key string, base uint64, data []byte, ttl time.Duration) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.live(key)
+	e := s.lookup(key)
 	if e.revision != base {
 		return e.revision, false
 	}
@@ -94,12 +95,12 @@
 		next.expires = time.Now().Add(ttl)
 	}
 	s.keys[key] = next
-	s.wake()
+	s.wakeWatches()
 	return next.revision, true
 }
 
-// live returns the key's entry, an empty one after its lease has ended.
-func (s *Store) live(key string) entry {
+// lookup returns the entry of a key, or an empty entry if its lease has expired.
+func (s *Store) lookup(key string) entry {
 	e := s.keys[key]
 	if !e.expires.IsZero() && time.Now().After(e.expires) {
 		return entry{}
@@ -107,7 +108,7 @@
 	return e
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/seats/standin/target/clock.go
+++ b/seats/standin/target/clock.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Started is when a job's first task was started.
+// Started records the starts of one job.
 type Started struct {
+	// First is the time of the first start.
 	First time.Time
-	// Tasks is how often each task, by its id, was started.
+	// Tasks counts the starts by task ID.
 	Tasks map[string]int
 }
 
-// note remembers one start of a job's task.
-func (s *Started) note(task string, now time.Time) {
+// record records a start of a task.
+func (s *Started) record(task string, now time.Time) {
 	if s.Tasks == nil {
 		s.Tasks = make(map[string]int)
 		s.First = now
--- a/seats/standin/target/target.go
+++ b/seats/standin/target/target.go
@@ -1,5 +1,5 @@
-// Package target is a stand-in for a target: it runs a task for the time that
-// the payload asks for, and counts the starts of each task.
+// Package target is a test double for a target. A task sleeps for the duration
+// in its payload, and the starts of each task are counted.
 package target
 
 import (
@@ -10,46 +10,46 @@
 	"time"
 )
 
-// Work is the payload that the stand-in understands.
+// Work is the payload of a task.
 type Work struct {
-	// MS is how long the task runs, in milliseconds.
+	// MS is the run time of the task in milliseconds.
 	MS int `json:"ms"`
-	// Echo comes back in the output.
+	// Echo is copied to the output.
 	Echo string `json:"echo,omitempty"`
-	// Fail answers with a failure.
+	// Fail makes the target respond with status 500.
 	Fail bool `json:"fail,omitempty"`
-	// Drop closes the connection without an answer.
+	// Drop makes the target close the connection without a response.
 	Drop bool `json:"drop,omitempty"`
 }
 
-// Output is the stand-in's answer.
+// Output is the response to a task.
 type Output struct {
 	Task string `json:"task"`
 	Echo string `json:"echo,omitempty"`
 }
 
-// Target is the stand-in's handler.
+// Target is the HTTP handler of the test double.
 type Target struct {
-	mu      sync.Mutex
-	jobs    map[string]*Started
-	running int
-	peak    int
-	slow    float64
+	mu       sync.Mutex
+	jobs     map[string]*Started
+	running  int
+	peak     int
+	slowness float64
 }
 
-// NewTarget returns a target that has started nothing.
+// NewTarget returns a target without any starts.
 func NewTarget() *Target {
-	return &Target{jobs: make(map[string]*Started), slow: 1}
+	return &Target{jobs: make(map[string]*Started), slowness: 1}
 }
 
-// SetSlowness makes every task run for factor times what it asks for.
+// SetSlowness multiplies the run time of every task by factor.
 func (t *Target) SetSlowness(factor float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.slow = factor
+	t.slowness = factor
 }
 
-// Starts returns how often each task, by "job/task", was started.
+// Starts returns the number of starts of each task, keyed by "job/task".
 func (t *Target) Starts() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +62,7 @@
 	return all
 }
 
-// FirstStart returns when the job's first task was started here.
+// FirstStart returns the time of the job's first start at this target.
 func (t *Target) FirstStart(job string) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,21 +72,21 @@
 	return time.Time{}, false
 }
 
-// Peak returns the most tasks that ran at once.
+// Peak returns the largest number of tasks that ran concurrently.
 func (t *Target) Peak() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.peak
 }
 
-// ServeHTTP implements http.Handler: POST /tasks runs a task, GET /starts tells
-// the counts.
+// ServeHTTP implements http.Handler. POST /tasks runs a task, GET /starts returns
+// the number of starts of each task.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method == http.MethodPost && r.URL.Path == "/tasks":
 		t.run(w, r)
 	case r.Method == http.MethodGet && r.URL.Path == "/starts":
-		_ = json.NewEncoder(w).Encode(t.Starts()) // the caller sees a short body
+		_ = json.NewEncoder(w).Encode(t.Starts()) // fails only if the client has gone
 	default:
 		http.NotFound(w, r)
 	}
@@ -111,7 +111,7 @@
 	case work.Fail:
 		http.Error(w, "failed as asked", http.StatusInternalServerError)
 	default:
-		_ = json.NewEncoder(w).Encode(Output{Task: job + "/" + task, Echo: work.Echo}) // the caller sees a short body
+		_ = json.NewEncoder(w).Encode(Output{Task: job + "/" + task, Echo: work.Echo}) // fails only if the client has gone
 	}
 }
 
@@ -123,10 +123,10 @@
 		s = &Started{}
 		t.jobs[job] = s
 	}
-	s.note(task, time.Now())
+	s.record(task, time.Now())
 	t.running++
 	t.peak = max(t.peak, t.running)
-	return t.slow
+	return t.slowness
 }
 
 func (t *Target) end() {
