--- a/seats/testutil/policy/fleet.go
+++ b/seats/testutil/policy/fleet.go
@@ -17,75 +17,78 @@
 	"github.com/beaconpoint/beaconpoint/testutil/vtime"
 )
 
-// Times of a fleet.
+// Timing of a simulated fleet.
 const (
-	homeTick = 20 * time.Millisecond
-	warmUp   = 8 * time.Second
-	patience = 10 * time.Minute
-	lease    = 3 * time.Second
+	homeTick      = 20 * time.Millisecond
+	warmUp        = 8 * time.Second
+	longestExpiry = 10 * time.Minute
+	lease         = 3 * time.Second
 )
 
-// Fleet is entries and agents, run in virtual time by the real state machines.
+// Fleet simulates entries and agents in virtual time. It runs their production
+// state machines.
 type Fleet struct {
 	Name                  string
 	Homes, Targets, Slots int
-	// AgentQueue is how many accepted tasks may wait at an agent.
+	// AgentQueue is the maximum number of accepted tasks that wait at an agent.
 	AgentQueue int
-	// Delay is one way between two processes.
+	// Delay is the one-way network delay.
 	Delay  time.Duration
 	Policy dispatch.Policy
-	// Queue bounds the tasks that wait; zero for no bound.
+	// Queue limits the waiting tasks of the service; zero means no limit.
 	Queue int
-	// Expiry is each job's time to live; zero for none. Who is refused comes
-	// back until it is over: after FixedRetry or, without it, when told to.
+	// Expiry is the time to live of each job; zero means none. A refused job is
+	// submitted again until it expires, after FixedRetry or, if that is zero,
+	// after the delay in the answer.
 	Expiry     time.Duration
 	FixedRetry time.Duration
-	// Beside is another organisation's workload, which is not counted.
+	// Beside is a concurrent workload of another organisation. It is not part of
+	// the result.
 	Beside *Workload
-	// Slow is how many times longer tasks run on the first target; zero or
-	// one for the common pace.
+	// Slow multiplies the run time of tasks on the first target if it is above
+	// one.
 	Slow float64
-	// LoseAt is when the last target dies; zero for never.
+	// LoseAt is the time at which the last target fails; zero means never.
 	LoseAt time.Duration
 }
 
-// run is one run of a fleet.
+// run is the state of one simulation.
 type run struct {
-	fleet  Fleet
-	q      *vtime.Queue
-	base   time.Time
-	homes  []*home.Home
-	guards []*guard.Guard
-	ids    []roster.ID // of the homes, then of the guards
-	place  map[roster.ID]int
-	roster roster.Roster
-	jobs   map[string]*work
-	asked  map[uint64]*work
-	result *Result
-	tenth  int
-	left   int
-	// tickets counts the submissions.
+	fleet     Fleet
+	q         *vtime.Queue
+	base      time.Time
+	homes     []*home.Home
+	guards    []*guard.Guard
+	ids       []roster.ID // of the homes, then of the guards
+	index     map[roster.ID]int
+	roster    roster.Roster
+	jobs      map[string]*simJob
+	byTicket  map[uint64]*simJob
+	result    *Result
+	largeSize int
+	pending   int
+	// tickets is the number of submissions.
 	tickets uint64
-	lost    map[int]bool
+	failed  map[int]bool
 }
 
-// Run runs the workload through the fleet.
+// Run simulates the workload on the fleet and returns the measurements.
 func (f Fleet) Run(w Workload) *Result {
 	r := &run{
-		fleet:  f,
-		q:      vtime.NewQueue(time.Second),
-		base:   time.Unix(1_700_000_000, 0),
-		place:  make(map[roster.ID]int),
-		jobs:   make(map[string]*work),
-		asked:  make(map[uint64]*work),
-		result: newResult(f.Name),
-		tenth:  w.largestTenth(),
-		lost:   make(map[int]bool),
+		fleet:     f,
+		q:         vtime.NewQueue(time.Second),
+		base:      time.Unix(1_700_000_000, 0),
+		index:     make(map[roster.ID]int),
+		jobs:      make(map[string]*simJob),
+		byTicket:  make(map[uint64]*simJob),
+		result:    newResult(f.Name),
+		largeSize: w.largeJobSize(),
+		failed:    make(map[int]bool),
 	}
 	r.build()
 	r.q.Run(warmUp, r.never)
 	all := w.generate()
-	r.left = len(all)
+	r.pending = len(all)
 	r.result.span = all[len(all)-1].at
 	for _, j := range all {
 		r.jobs[j.id] = j
@@ -98,11 +101,11 @@
 		}
 	}
 	if f.LoseAt > 0 {
-		r.q.After(f.LoseAt, func() { r.lose(f.Homes + f.Targets - 1) })
+		r.q.After(f.LoseAt, func() { r.failTarget(f.Homes + f.Targets - 1) })
 	}
-	r.q.Run(warmUp+all[len(all)-1].at+patience, func() bool { return r.left == 0 })
-	r.result.Unanswered = r.left
-	r.count()
+	r.q.Run(warmUp+all[len(all)-1].at+longestExpiry, func() bool { return r.pending == 0 })
+	r.result.Unanswered = r.pending
+	r.sumWasted()
 	return r.result
 }
 
@@ -118,14 +121,14 @@
 		c := home.DefaultConfig(id, id.Name)
 		c.Lease = lease
 		r.homes = append(r.homes, home.NewHome(c, home.WithPolicy(r.fleet.Policy)))
-		r.add(id)
+		r.addProcess(id)
 	}
 	for k := range r.fleet.Targets {
 		id := roster.NewID(fmt.Sprintf("worker%02d", k), 1)
 		r.guards = append(r.guards, guard.NewGuard(guard.Config{
 			Self: id, Lease: lease, Queue: r.fleet.AgentQueue, OutputBytes: 1 << 20,
 		}))
-		r.add(id)
+		r.addProcess(id)
 	}
 	for k, h := range r.homes {
 		r.apply(k, h.Configure(r.moment(), r.document()))
@@ -141,8 +144,8 @@
 	}
 }
 
-func (r *run) add(id roster.ID) {
-	r.place[id] = len(r.ids)
+func (r *run) addProcess(id roster.ID) {
+	r.index[id] = len(r.ids)
 	r.ids = append(r.ids, id)
 }
 
@@ -154,7 +157,7 @@
 }
 
 func (r *run) document() config.Document {
-	s := config.Service{Name: service, Bounds: config.Bounds{Queue: 10_000_000, LongestExpiryMS: patience.Milliseconds()}}
+	s := config.Service{Name: service, Bounds: config.Bounds{Queue: 10_000_000, LongestExpiryMS: longestExpiry.Milliseconds()}}
 	if r.fleet.Queue > 0 {
 		s.Bounds.Queue = r.fleet.Queue
 	}
@@ -180,8 +183,8 @@
 	})
 }
 
-// submit hands a job in through the entries in turn.
-func (r *run) submit(j *work) {
+// submit submits a job. Submissions go to the entries in round-robin order.
+func (r *run) submit(j *simJob) {
 	if r.fleet.Expiry > 0 && j.sub.Job.ExpiresAt == nil {
 		at := r.base.Add(r.q.Now() + r.fleet.Expiry)
 		j.sub.Job.ExpiresAt = &at
@@ -189,22 +192,22 @@
 	r.tickets++
 	ticket := r.tickets
 	k := int(ticket) % r.fleet.Homes
-	r.asked[ticket] = j
+	r.byTicket[ticket] = j
 	r.apply(k, r.homes[k].Submit(r.moment(), ticket, j.sub))
 }
 
-// answered notes a final answer. Who is refused as not run comes back later,
-// while there is time.
-func (r *run) answered(j *work, a home.Answered) {
-	delete(r.asked, a.Ticket)
+// handleAnswer records the answer to a submission. A refused job is submitted again
+// after the retry delay, unless it expires before.
+func (r *run) handleAnswer(j *simJob, a home.Answered) {
+	delete(r.byTicket, a.Ticket)
 	if r.fleet.Beside != nil && j.sub.Job.Organisation == r.fleet.Beside.Organisation {
 		return
 	}
 	switch a.Answer.State {
 	case seats.Complete:
-		r.left--
-		r.result.note(j, r.q.Now()-warmUp-j.at, r.tenth)
-		r.result.finished(j, r.q.Now()-warmUp)
+		r.pending--
+		r.result.recordRatio(j, r.q.Now()-warmUp-j.at, r.largeSize)
+		r.result.addUsefulTime(j, r.q.Now()-warmUp)
 	case seats.Refused:
 		r.result.Refusals++
 		wait := time.Duration(a.Answer.RetryAfterMS) * time.Millisecond
@@ -212,24 +215,24 @@
 			wait = r.fleet.FixedRetry
 		}
 		if wait == 0 || r.base.Add(r.q.Now()+wait).After(*j.sub.Job.ExpiresAt) {
-			r.left--
+			r.pending--
 			r.result.Unserved++
 			return
 		}
 		r.q.After(wait, func() { r.submit(j) })
 	default:
-		r.left--
+		r.pending--
 		r.result.Failed++
 	}
 }
 
-// apply carries out a home's effects; the store answers at once.
+// apply performs the effects of a home. A store call takes one network delay.
 func (r *run) apply(k int, out home.Effects) {
 	for _, s := range out.Sends {
 		r.send(r.ids[k], s.To, s.Frame)
 	}
 	for _, a := range out.Answers {
-		r.answered(r.asked[a.Ticket], a)
+		r.handleAnswer(r.byTicket[a.Ticket], a)
 	}
 	if out.Swap != nil {
 		s := *out.Swap
@@ -250,9 +253,9 @@
 }
 
 func (r *run) send(from, to roster.ID, f wire.Frame) {
-	n := r.place[to]
+	n := r.index[to]
 	r.q.After(r.fleet.Delay, func() {
-		if r.lost[n] || r.lost[r.place[from]] {
+		if r.failed[n] || r.failed[r.index[from]] {
 			return
 		}
 		if n < r.fleet.Homes {
@@ -269,33 +272,34 @@
 		r.send(r.ids[r.fleet.Homes+k], s.To, s.Frame)
 	}
 	for _, s := range out.Runs {
-		r.perform(k, s.Start)
+		r.runTask(k, s.Start)
 	}
 }
 
-func (r *run) perform(k int, s wire.Start) {
+func (r *run) runTask(k int, s wire.Start) {
 	r.result.Starts++
 	took := r.jobs[job.IDOf(s.Key.Job)].tasks[s.Key.Index]
 	if k == 0 && r.fleet.Slow > 1 {
 		took = time.Duration(float64(took) * r.fleet.Slow)
 	}
 	r.q.After(took, func() {
-		if !r.lost[r.fleet.Homes+k] {
+		if !r.failed[r.fleet.Homes+k] {
 			r.applyGuard(k, r.guards[k].Ended(r.moment(), s.Key, wire.Done, code.OK, nil))
 		}
 	})
 }
 
-// lose lets a target die: its connections break and nothing more comes of it.
-func (r *run) lose(n int) {
-	r.lost[n] = true
+// failTarget makes an agent and its target fail: all homes failTarget the connection, and
+// frames from and to the agent are dropped.
+func (r *run) failTarget(n int) {
+	r.failed[n] = true
 	for k, h := range r.homes {
 		r.apply(k, h.LinkDown(r.moment(), r.ids[n]))
 	}
 }
 
-// count sums up the messages that led to nothing.
-func (r *run) count() {
+// sumWasted adds up the wasted messages of all homes.
+func (r *run) sumWasted() {
 	for _, h := range r.homes {
 		r.result.Wasted += int(h.Stats().Wasted())
 	}
--- a/seats/testutil/policy/suite.go
+++ b/seats/testutil/policy/suite.go
@@ -10,37 +10,38 @@
 	"github.com/beaconpoint/beaconpoint/seats/dispatch"
 )
 
-// Sizes of today, for each of the two users.
+// Sizes of the simulated fleets.
 const (
-	entries   = 3
-	targets   = 11
-	slots     = 8
-	oneWay    = 500 * time.Microsecond
-	largeJob  = 200
-	agentRoom = 0
+	entries     = 3
+	targets     = 11
+	slots       = 8
+	oneWayDelay = 500 * time.Microsecond
+	largeJob    = 200
+	agentQueue  = 0
 )
 
-// System is what a workload is run through.
+// System is a named configuration that runs a workload.
 type System struct {
 	Name string
 	Run  func(Workload) *Result
 }
 
-// Systems returns the system in service and the baselines.
+// Systems returns the default configuration and two baselines: a single entry
+// without network delay, with two orders of jobs.
 func Systems() []System {
-	ours := Fleet{Name: "beaconpoint", Homes: entries, Targets: targets, Slots: slots,
-		AgentQueue: agentRoom, Delay: oneWay, Policy: dispatch.DefaultPolicy()}
-	knowing := Fleet{Name: "all-knowing, fewest unstarted", Homes: 1, Targets: targets, Slots: slots,
+	standard := Fleet{Name: "beaconpoint", Homes: entries, Targets: targets, Slots: slots,
+		AgentQueue: agentQueue, Delay: oneWayDelay, Policy: dispatch.DefaultPolicy()}
+	central := Fleet{Name: "central queue, fewest unstarted", Homes: 1, Targets: targets, Slots: slots,
 		Policy: dispatch.Policy{Order: dispatch.FewestUnstarted, Choose: dispatch.LeastLoaded}}
-	firstCome := knowing
-	firstCome.Name, firstCome.Policy.Order = "all-knowing, first come", dispatch.FirstCome
+	firstCome := central
+	firstCome.Name, firstCome.Policy.Order = "central queue, first come first served", dispatch.FirstCome
 	return []System{
-		{ours.Name, ours.Run}, {knowing.Name, knowing.Run}, {firstCome.Name, firstCome.Run},
+		{standard.Name, standard.Run}, {central.Name, central.Run}, {firstCome.Name, firstCome.Run},
 	}
 }
 
-// Troubles returns the system in service under trouble, and the all-knowing
-// queue under the same.
+// Troubles returns the default configuration and the central queue, each with a
+// slow target and with a failed target.
 func Troubles(span time.Duration) []System {
 	var all []System
 	for _, s := range []struct {
@@ -48,40 +49,40 @@
 		with func(*Fleet)
 	}{
 		{"a target at half speed", func(f *Fleet) { f.Slow = 2 }},
-		{"a target lost", func(f *Fleet) { f.LoseAt = span / 2 }},
+		{"a failed target", func(f *Fleet) { f.LoseAt = span / 2 }},
 	} {
-		ours := Fleet{Name: "beaconpoint, " + s.name, Homes: entries, Targets: targets, Slots: slots,
-			AgentQueue: agentRoom, Delay: oneWay, Policy: dispatch.DefaultPolicy()}
-		knowing := Fleet{Name: "all-knowing, " + s.name, Homes: 1, Targets: targets, Slots: slots,
+		standard := Fleet{Name: "beaconpoint, " + s.name, Homes: entries, Targets: targets, Slots: slots,
+			AgentQueue: agentQueue, Delay: oneWayDelay, Policy: dispatch.DefaultPolicy()}
+		central := Fleet{Name: "central queue, " + s.name, Homes: 1, Targets: targets, Slots: slots,
 			Policy: dispatch.Policy{Order: dispatch.FewestUnstarted, Choose: dispatch.LeastLoaded}}
-		s.with(&ours)
-		s.with(&knowing)
-		all = append(all, System{ours.Name, ours.Run}, System{knowing.Name, knowing.Run})
+		s.with(&standard)
+		s.with(&central)
+		all = append(all, System{standard.Name, standard.Run}, System{central.Name, central.Run})
 	}
 	return all
 }
 
-// Bounds of the fleets under overload.
+// Limits of the fleets under overload.
 const (
 	overloadQueue  = 1000
 	overloadExpiry = 20 * time.Second
 	fixedRetry     = time.Second
 )
 
-// Overloads returns the system in service with a bounded queue and jobs that
-// expire, its callers obeying the time to come back or waiting a fixed time.
+// Overloads returns the default configuration with a bounded queue and expiring
+// jobs. Refused callers retry after the delay in the answer or a fixed delay.
 func Overloads() []System {
-	obeying := Fleet{Name: "come back when told", Homes: entries, Targets: targets, Slots: slots, Delay: oneWay,
+	advised := Fleet{Name: "retry after the advised delay", Homes: entries, Targets: targets, Slots: slots, Delay: oneWayDelay,
 		Policy: dispatch.DefaultPolicy(), Queue: overloadQueue, Expiry: overloadExpiry}
-	fixed := obeying
-	fixed.Name, fixed.FixedRetry = "come back after 1 s", fixedRetry
-	return []System{{obeying.Name, obeying.Run}, {fixed.Name, fixed.Run}}
+	fixed := advised
+	fixed.Name, fixed.FixedRetry = "retry after 1 s", fixedRetry
+	return []System{{advised.Name, advised.Run}, {fixed.Name, fixed.Run}}
 }
 
-// WriteOverload writes the rows of an overload as a Markdown table.
+// WriteOverload writes the results under overload as a Markdown table.
 func WriteOverload(out io.Writer, rows []Row) error {
 	var b strings.Builder
-	b.WriteString("| load | callers | goodput | refusals a job | jobs given up | jobs begun in vain | mean of complete | p99 |\n")
+	b.WriteString("| load | callers | goodput | refusals per job | jobs given up | jobs failed | mean of complete | p99 |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, r := range rows {
 		jobs := float64(r.Ratio.TotalCount()) + float64(r.Unserved+r.Failed)
@@ -93,38 +94,39 @@
 	return err
 }
 
-// floodOrganisation floods; floodLoad is what it offers, over the capacity, in jobs of
-// few tasks, which the order prefers.
+// The flood of one organisation. floodLoad is its offered work divided by the
+// capacity. Its jobs have at most floodJobSize tasks, so that the order favours them.
 const (
 	floodOrganisation = "flood"
 	floodLoad         = 1.5
-	floodJob          = 5
+	floodJobSize      = 5
 )
 
-// Floods returns a quiet organisation alone and beside a flooding one.
+// Floods returns a fleet that serves one organisation and a fleet that also
+// serves another one whose load exceeds the capacity.
 func Floods(w Workload) []System {
-	alone := Fleet{Name: "quiet organisation alone", Homes: entries, Targets: targets, Slots: slots, Delay: oneWay, Policy: dispatch.DefaultPolicy()}
+	alone := Fleet{Name: "quiet organisation alone", Homes: entries, Targets: targets, Slots: slots, Delay: oneWayDelay, Policy: dispatch.DefaultPolicy()}
 	beside := alone
 	beside.Name = "quiet organisation beside a flood of 150%"
-	flood := Workload{Load: floodLoad, Slots: w.Slots, Seed: w.Seed + 1, LargestJob: floodJob, Organisation: floodOrganisation}
+	flood := Workload{Load: floodLoad, Slots: w.Slots, Seed: w.Seed + 1, LargestJob: floodJobSize, Organisation: floodOrganisation}
 	return []System{{alone.Name, alone.Run}, {beside.Name, func(w Workload) *Result {
-		// As many jobs as come while the quiet organisation's do.
-		own := flood
-		own.Jobs = int(float64(w.Jobs) * floodLoad / w.Load * w.meanSize() / flood.meanSize())
+		// The flood lasts as long as the arrivals of w.
+		scaled := flood
+		scaled.Jobs = int(float64(w.Jobs) * floodLoad / w.Load * w.meanJobSize() / flood.meanJobSize())
 		f := beside
-		f.Beside = &own
+		f.Beside = &scaled
 		return f.Run(w)
 	}}}
 }
 
-// Row is a result at one load.
+// Row is the result of one system at one load.
 type Row struct {
 	Load float64
 	*Result
 }
 
-// Compare runs every system at every load, several at once, and returns the
-// rows in order.
+// Compare runs every system at every load concurrently. Rows are ordered by load,
+// then by system.
 func Compare(systems []System, loads []float64, w Workload) []Row {
 	rows := make([]Row, len(systems)*len(loads))
 	var all sync.WaitGroup
@@ -141,15 +143,16 @@
 	return rows
 }
 
-// DefaultWorkload returns the workload of today's sizes.
+// DefaultWorkload returns a workload for the default fleet. Compare sets its
+// load.
 func DefaultWorkload(jobs int, seed uint64) Workload {
 	return Workload{Slots: targets * slots, Jobs: jobs, Seed: seed, LargestJob: largeJob}
 }
 
-// WriteTable writes the rows as a Markdown table.
+// WriteTable writes the results as a Markdown table.
 func WriteTable(out io.Writer, rows []Row) error {
 	var b strings.Builder
-	b.WriteString("| load | system | mean | p50 | p99 | worst | largest tenth, mean | wasted messages a start | jobs without an answer |\n")
+	b.WriteString("| load | system | mean | p50 | p99 | worst | largest tenth, mean | wasted messages per start | jobs without an answer |\n")
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, r := range rows {
 		fmt.Fprintf(&b, "| %.0f%% | %s | %.2f | %.2f | %.2f | %.1f | %.2f | %.3f | %d |\n",
--- a/seats/testutil/policy/workload.go
+++ b/seats/testutil/policy/workload.go
@@ -1,6 +1,6 @@
-// Package policy measures the decisions about placement and waiting in
-// virtual time: the real state machines of entries and agents against small
-// fakes of targets, beside baselines.
+// Package policy simulates scheduling policies in virtual time. It runs the state
+// machines of entries and agents with fake targets and compares them with
+// baselines.
 package policy
 
 import (
@@ -15,68 +15,68 @@
 	"github.com/beaconpoint/beaconpoint/seats/job"
 )
 
-// Names of the one service and organisation.
+// Names of the service and of the default organisation.
 const (
 	service      = "trackd"
 	organisation = "port-gate"
 )
 
-// Workload is a stream of jobs, the same for the same seed.
+// Workload is a stream of jobs that its seed determines.
 type Workload struct {
-	// Load is the offered work over the capacity of Slots.
+	// Load is the offered work divided by the capacity of Slots.
 	Load  float64
 	Slots int
 	Jobs  int
 	Seed  uint64
-	// LargestJob bounds the sizes, which are log-uniform.
+	// LargestJob is the largest number of tasks. Job sizes are log-uniform.
 	LargestJob int
-	// Burst multiplies the rate of arrival for BurstFor, once, at a third of
+	// Burst multiplies the arrival rate for BurstFor, once, after a third of
 	// the jobs.
 	Burst    float64
 	BurstFor time.Duration
-	// Organisation is whose jobs they are; empty for the common one.
+	// Organisation submits the jobs; empty means the default organisation.
 	Organisation string
 }
 
-// Lengths of tasks: most between shortest and longest, longShare of several
-// seconds.
+// Task durations: a fraction longTaskShare lies between longTaskMin and longTaskMax, the
+// others between shortTaskMin and shortTaskMax.
 const (
-	shortest  = 50 * time.Millisecond
-	longest   = time.Second
-	longShare = 0.02
-	severalLo = 2 * time.Second
-	severalHi = 5 * time.Second
+	shortTaskMin  = 50 * time.Millisecond
+	shortTaskMax  = time.Second
+	longTaskShare = 0.02
+	longTaskMin   = 2 * time.Second
+	longTaskMax   = 5 * time.Second
 )
 
-// work is one job of a workload.
-type work struct {
+// simJob is a job of a workload.
+type simJob struct {
 	id    string
 	at    time.Duration
 	tasks []time.Duration
-	ideal time.Duration // its longest task
+	ideal time.Duration // duration of the longest task
 	sub   job.Submission
 }
 
-// meanTask is the mean length of a task.
-func meanTask() time.Duration {
-	common := float64(shortest+longest) / 2
-	several := float64(severalLo+severalHi) / 2
-	return time.Duration((1-longShare)*common + longShare*several)
+// meanTaskTime returns the mean duration of a task.
+func meanTaskTime() time.Duration {
+	short := float64(shortTaskMin+shortTaskMax) / 2
+	long := float64(longTaskMin+longTaskMax) / 2
+	return time.Duration((1-longTaskShare)*short + longTaskShare*long)
 }
 
-// meanSize is the mean size of a job.
-func (w Workload) meanSize() float64 {
+// meanJobSize returns the mean number of tasks in a job.
+func (w Workload) meanJobSize() float64 {
 	top := float64(w.LargestJob) + 1
 	return (top - 1) / math.Log(top)
 }
 
-// generate returns the jobs in the order of their arrival.
-func (w Workload) generate() []*work {
+// generate returns the jobs ordered by arrival.
+func (w Workload) generate() []*simJob {
 	rng := rand.New(rand.NewPCG(w.Seed, 7))
-	perSecond := w.Load * float64(w.Slots) / meanTask().Seconds() / w.meanSize()
+	perSecond := w.Load * float64(w.Slots) / meanTaskTime().Seconds() / w.meanJobSize()
 	var at time.Duration
 	burstAt := time.Duration(float64(w.Jobs) / 3 / perSecond * float64(time.Second))
-	all := make([]*work, w.Jobs)
+	all := make([]*simJob, w.Jobs)
 	for k := range all {
 		rate := perSecond
 		if w.Burst > 0 && at >= burstAt && at < burstAt+w.BurstFor {
@@ -88,18 +88,18 @@
 	return all
 }
 
-func (w Workload) job(rng *rand.Rand, k int, at time.Duration) *work {
+func (w Workload) job(rng *rand.Rand, k int, at time.Duration) *simJob {
 	size := int(math.Exp(rng.Float64() * math.Log(float64(w.LargestJob)+1)))
-	owner := w.Organisation
-	if owner == "" {
-		owner = organisation
+	org := w.Organisation
+	if org == "" {
+		org = organisation
 	}
-	j := &work{id: fmt.Sprintf("%s-%d", owner, k), at: at}
-	spec := seats.Job{ID: j.id, Organisation: owner}
+	j := &simJob{id: fmt.Sprintf("%s-%d", org, k), at: at}
+	spec := seats.Job{ID: j.id, Organisation: org}
 	for i := range size {
-		d := shortest + time.Duration(rng.Int64N(int64(longest-shortest)))
-		if rng.Float64() < longShare {
-			d = severalLo + time.Duration(rng.Int64N(int64(severalHi-severalLo)))
+		d := shortTaskMin + time.Duration(rng.Int64N(int64(shortTaskMax-shortTaskMin)))
+		if rng.Float64() < longTaskShare {
+			d = longTaskMin + time.Duration(rng.Int64N(int64(longTaskMax-longTaskMin)))
 		}
 		j.tasks = append(j.tasks, d)
 		j.ideal = max(j.ideal, d)
@@ -107,7 +107,7 @@
 	}
 	sub, err := job.New(service, spec)
 	if err != nil {
-		panic(err) // the jobs made here are well-formed
+		panic(err) // generated jobs are valid
 	}
 	j.sub = sub
 	return j
@@ -119,37 +119,38 @@
 	maxRatio   = 100_000 * ratioScale
 )
 
-// Result is what came of one run.
+// Result holds the measurements of a run.
 type Result struct {
 	Name string
-	// Ratio is response time over the ideal, times ratioScale; Largest that
-	// of the largest tenth of the jobs alone.
+	// Ratio is the response time divided by the ideal time, times ratioScale.
+	// Largest is the same for the largest tenth of the jobs.
 	Ratio, Largest *hdrhistogram.Histogram
 	Starts         int
-	// Wasted counts messages that led to no start or answer.
+	// Wasted counts messages that led to neither a start nor an answer.
 	Wasted     int
 	Unanswered int
-	// Refusals counts refused submissions, Unserved the jobs that were given
-	// up by their callers after them, Failed those that were begun in vain.
+	// Refusals counts refused submissions, Unserved the jobs that callers gave up
+	// after a refusal, and Failed the jobs that failed.
 	Refusals, Unserved, Failed int
-	good                       time.Duration // of slots, by jobs that ended in time
-	span                       time.Duration // of the arrivals
+	usefulTime                 time.Duration // slot time of jobs that completed before the last arrival
+	span                       time.Duration // time of the last arrival
 }
 
-// finished counts a complete job's work, if it ended while others still came.
-func (r *Result) finished(j *work, at time.Duration) {
+// addUsefulTime adds the work of a complete job to the goodput if it ended before the
+// last arrival.
+func (r *Result) addUsefulTime(j *simJob, at time.Duration) {
 	if at > r.span {
 		return
 	}
 	for _, t := range j.tasks {
-		r.good += t
+		r.usefulTime += t
 	}
 }
 
-// Goodput returns the share of the slots that went into complete jobs while
-// jobs came.
+// Goodput returns the fraction of the slot time until the last arrival that
+// complete jobs used.
 func (r *Result) Goodput(slots int) float64 {
-	return r.good.Seconds() / r.span.Seconds() / float64(slots)
+	return r.usefulTime.Seconds() / r.span.Seconds() / float64(slots)
 }
 
 func newResult(name string) *Result {
@@ -160,8 +161,8 @@
 	}
 }
 
-// note takes one answered job.
-func (r *Result) note(j *work, took time.Duration, largest int) {
+// recordRatio records the response time of a complete job.
+func (r *Result) recordRatio(j *simJob, took time.Duration, largest int) {
 	ratio := min(int64(float64(took)/float64(j.ideal)*ratioScale), maxRatio)
 	_ = r.Ratio.RecordValue(ratio) // within bounds
 	if len(j.tasks) >= largest {
@@ -169,26 +170,26 @@
 	}
 }
 
-// Mean returns the mean response over the ideal.
+// Mean returns the mean ratio of response time to ideal time.
 func (r *Result) Mean() float64 { return r.Ratio.Mean() / ratioScale }
 
-// Quantile returns a quantile, in percent, of response over the ideal.
+// Quantile returns the q-th percentile of the ratio.
 func (r *Result) Quantile(q float64) float64 {
 	return float64(r.Ratio.ValueAtQuantile(q)) / ratioScale
 }
 
-// Worst returns the worst response over the ideal.
+// Worst returns the largest ratio.
 func (r *Result) Worst() float64 { return float64(r.Ratio.Max()) / ratioScale }
 
-// LargestMean returns the mean of the largest tenth of the jobs.
+// LargestMean returns the mean ratio of the largest tenth of the jobs.
 func (r *Result) LargestMean() float64 { return r.Largest.Mean() / ratioScale }
 
-// WastedPerStart returns the wasted messages for each started task.
+// WastedPerStart returns the number of wasted messages per started task.
 func (r *Result) WastedPerStart() float64 {
 	return float64(r.Wasted) / float64(max(r.Starts, 1))
 }
 
-// largestTenth returns the size from which a job is among the largest tenth.
-func (w Workload) largestTenth() int {
+// largeJobSize returns the smallest size of the largest tenth of the jobs.
+func (w Workload) largeJobSize() int {
 	return int(math.Exp(0.9 * math.Log(float64(w.LargestJob)+1)))
 }
