--- a/seats/testutil/world/act.go
+++ b/seats/testutil/world/act.go
@@ -13,7 +13,7 @@
 // Act is a kind of step in a history.
 type Act int
 
-// Acts. Submissions come most often.
+// Kinds of steps.
 const (
 	Submit Act = iota
 	Resubmit
@@ -38,30 +38,30 @@
 	Leave
 	Reshard
 	Shorten
-	Acts // how many there are
+	Acts // number of kinds
 )
 
-// GoString returns the act's name, as counterexamples show it.
+// GoString returns the name of the act, which counterexamples print.
 func (a Act) GoString() string { return a.String() }
 
-// String returns the act's name, as counterexamples show it.
+// String returns the name of the act.
 func (a Act) String() string {
 	return [...]string{"submit", "resubmit", "resubmit-last", "wait", "kill", "kill-two", "restart", "pause", "resume", "cut",
 		"mend", "isolate", "split", "cut-entries", "isolate-entry", "pause-entry", "outage", "store-back", "store-slow", "lose-answers", "leave", "reshard", "shorten"}[a]
 }
 
-// Do performs an act; k chooses whom and what it is about.
+// Do performs an act. k selects the processes, job and parameters.
 func (w *World) Do(a Act, k int) {
 	p := w.procs[k%len(w.procs)]
 	o := w.procs[(k/len(w.procs))%len(w.procs)]
 	switch a {
 	case Submit:
-		w.submit(fmt.Sprintf("job%d", len(w.jobs)), k)
+		w.submitNew(fmt.Sprintf("job%d", len(w.jobs)), k)
 	case Resubmit:
 		w.resubmit(k)
 	case ResubmitLast:
 		if n := len(w.jobs); n > 0 {
-			w.ask(fmt.Sprintf("job%d", n-1), k)
+			w.submitAt(fmt.Sprintf("job%d", n-1), k)
 		}
 	case Wait:
 		w.Run(time.Duration(k%4000) * time.Millisecond)
@@ -72,7 +72,7 @@
 		w.kill(o)
 	case Restart:
 		if !p.alive {
-			w.begin(p)
+			w.start(p)
 		}
 	case Pause:
 		p.paused = p.alive
@@ -81,7 +81,7 @@
 	case Cut:
 		w.cut(p, o)
 	case Mend:
-		w.mendAll()
+		w.restoreLinks()
 	case Isolate:
 		for _, other := range w.procs {
 			w.cut(p, other)
@@ -94,13 +94,13 @@
 			w.cut(entries[k%n], entries[(k+1+k/n%(n-1))%n])
 		}
 	case IsolateEntry, PauseEntry:
-		w.disturbEntry(a, k)
+		w.disruptEntry(a, k)
 	default:
-		w.doStore(a, p)
+		w.doOther(a, p)
 	}
 }
 
-func (w *World) disturbEntry(a Act, k int) {
+func (w *World) disruptEntry(a Act, k int) {
 	entries := w.entries()
 	if len(entries) == 0 {
 		return
@@ -116,8 +116,8 @@
 	}
 }
 
-// split cuts those processes off from the others, and perhaps from the store,
-// whose bit is set in k.
+// split partitions the network: it cuts the links between processes whose bit is
+// set in k and the others. A further bit cuts the former from the store.
 func (w *World) split(k int) {
 	inside := func(n int) bool { return k>>n&1 == 1 }
 	for n, p := range w.procs {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (w *World) doStore(a Act, p *process) {
+func (w *World) doOther(a Act, p *process) {
 	switch a {
 	case Outage:
 		w.store.outage = true
@@ -141,14 +141,14 @@
 	case StoreSlow:
 		w.store.slow = 2 * time.Second
 	case LoseAnswers:
-		w.store.lose = true
+		w.store.loseAnswers = true
 	case Leave:
 		w.leave(p)
 	case Reshard:
 		w.shards = 1 + w.rng.IntN(4)
 		w.reconfigure()
 	case Shorten:
-		w.longest = []time.Duration{longest, shortLife}[w.rng.IntN(2)]
+		w.longestExpiry = []time.Duration{longestExpiry, shortLifetime}[w.rng.IntN(2)]
 		w.reconfigure()
 	}
 }
@@ -165,72 +165,73 @@
 	w.apply(p, p.home.Leave(w.moment(p)))
 }
 
-// Calm ends every failure and makes the network perfect.
+// Calm ends all failures: it restores store and links, resumes and restarts
+// processes, and makes the network lossless.
 func (w *World) Calm() {
-	w.calm = true
+	w.healthy = true
 	w.store = store{roster: w.store.roster}
-	w.mendAll()
+	w.restoreLinks()
 	for _, p := range w.procs {
 		w.resume(p)
 		switch {
 		case !p.alive:
-			w.begin(p)
+			w.start(p)
 		case p.leaving && p.guard != nil:
 			w.after(leaveTime, func() {
 				w.kill(p)
-				w.begin(p)
+				w.start(p)
 			})
 		}
 	}
 }
 
-// leaveTime is more than an agent needs to finish what it has accepted.
+// leaveTime is longer than an agent takes to finish its accepted tasks.
 const leaveTime = 5 * time.Second
 
-// CheckEnded checks, some time after Calm, that every caller has an answer and
-// that every entry speaks for its jobs again.
+// CheckEnded checks that every submission was answered and that every entry
+// holds its lease and has settled. Call it some time after Calm.
 func (w *World) CheckEnded() {
 	for t, a := range w.tickets {
 		if !a.done {
-			w.fail("the caller of %s (ticket %d at %s) has no answer", a.job, t, a.entry)
+			w.fail("job %s (ticket %d at %s) was not answered", a.job, t, a.entry)
 		}
 	}
 	for _, p := range w.procs {
 		if p.home != nil && !p.leaving && (!p.home.Standing(w.moment(p)) || !p.home.Settled()) {
-			w.fail("%s speaks for no jobs: standing %v, settled %v, roster %+v",
+			w.fail("%s did not recover: standing %v, settled %v, roster %+v",
 				p.id, p.home.Standing(w.moment(p)), p.home.Settled(), p.home.Roster())
 		}
 	}
 }
 
-func (w *World) submit(id string, k int) {
-	life := jobLife
+func (w *World) submitNew(id string, k int) {
+	lifetime := jobLifetime
 	if k%3 == 0 {
-		life = shortLife
+		lifetime = shortLifetime
 	}
-	expiry := w.base.Add(w.now() + life)
+	expiry := w.base.Add(w.now() + lifetime)
 	j := seats.Job{ID: id, Organisation: organisation, ExpiresAt: &expiry}
 	for i := range 1 + k%4 {
 		j.Tasks = append(j.Tasks, seats.Task{ID: fmt.Sprint(i)})
 	}
 	sub, err := job.New(service, j)
 	if err != nil {
-		panic(err) // the jobs made here are well-formed
+		panic(err) // generated jobs are valid
 	}
 	w.jobs[id] = &jobState{sub: sub, starts: make(map[int]int)}
-	w.ask(id, k)
+	w.submitAt(id, k)
 }
 
-// resubmit hands in a job again through any entry, while it has not expired.
+// resubmit submits an earlier job again through an entry that k selects.
 func (w *World) resubmit(k int) {
 	if len(w.jobs) == 0 {
 		return
 	}
 	id := fmt.Sprintf("job%d", k%len(w.jobs))
-	w.ask(id, k/len(w.jobs))
+	w.submitAt(id, k/len(w.jobs))
 }
 
-func (w *World) ask(id string, k int) {
+func (w *World) submitAt(id string, k int) {
 	entries := w.entries()
 	if len(entries) == 0 {
 		return
@@ -239,9 +240,9 @@
 	w.ticket++
 	t := w.ticket
 	sub := w.jobs[id].sub
-	w.tickets[t] = &asked{job: id, entry: p.name, sub: sub}
-	life := p.id
-	w.handle(p, life, func() { w.apply(p, p.home.Submit(w.moment(p), t, sub)) })
+	w.tickets[t] = &submission{job: id, entry: p.name, sub: sub}
+	incarnation := p.id
+	w.handle(p, incarnation, func() { w.apply(p, p.home.Submit(w.moment(p), t, sub)) })
 }
 
 // entries returns the live entries.
@@ -255,7 +256,7 @@
 	if !p.alive {
 		return
 	}
-	p.alive, p.paused, p.inbox = false, false, nil
+	p.alive, p.paused, p.deferred = false, false, nil
 	for _, o := range w.procs {
 		if o != p && o.alive {
 			w.disconnect(p, o)
@@ -263,7 +264,7 @@
 	}
 	for _, a := range w.tickets {
 		if a.entry == p.name && p.role == wire.RoleEntry {
-			a.done = true // its caller's connection is gone
+			a.done = true // the caller's connection is lost
 		}
 	}
 }
@@ -273,8 +274,8 @@
 		return
 	}
 	p.paused = false
-	waiting := p.inbox
-	p.inbox = nil
+	waiting := p.deferred
+	p.deferred = nil
 	id := p.id
 	for _, do := range waiting {
 		if p.id == id && p.alive {
@@ -294,7 +295,7 @@
 	}
 }
 
-func (w *World) mendAll() {
+func (w *World) restoreLinks() {
 	for _, a := range w.procs {
 		a.noStore = false
 		for _, b := range w.procs {
@@ -309,8 +310,8 @@
 	}
 }
 
-// reconfigure puts the next configuration in force at one entry, from where it
-// spreads.
+// reconfigure applies the next configuration revision at one entry, which
+// distributes it.
 func (w *World) reconfigure() {
 	entries := w.entries()
 	if len(entries) == 0 {
--- a/seats/testutil/world/network.go
+++ b/seats/testutil/world/network.go
@@ -12,7 +12,8 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// connect tells both processes of a connection, unless they are cut off.
+// connect reports a new connection to both processes, unless the link between
+// them is cut.
 func (w *World) connect(a, b *process) {
 	k := pairOf(a.name, b.name)
 	if w.cuts[k] {
@@ -21,12 +22,12 @@
 	w.epochs[k]++
 	epoch := w.epochs[k]
 	aID, bID := a.id, b.id
-	w.after(w.soon(), func() {
+	w.after(w.linkDelay(), func() {
 		if w.epochs[k] == epoch {
 			w.linkUp(a, aID, bID, b.role)
 		}
 	})
-	w.after(w.soon(), func() {
+	w.after(w.linkDelay(), func() {
 		if w.epochs[k] == epoch {
 			w.linkUp(b, bID, aID, a.role)
 		}
@@ -40,14 +41,14 @@
 	w.handle(p, id, func() { w.apply(p, p.home.LinkUp(w.moment(p), peer, role)) })
 }
 
-// disconnect tells both processes that their connection is gone.
+// disconnect reports the loss of the connection to both processes.
 func (w *World) disconnect(a, b *process) {
 	k := pairOf(a.name, b.name)
 	w.epochs[k]++
 	aID, bID := a.id, b.id
 	epoch := w.epochs[k]
 	down := func(p *process, id, peer roster.ID) {
-		w.after(w.soon(), func() {
+		w.after(w.linkDelay(), func() {
 			if w.epochs[k] == epoch {
 				w.linkDown(p, id, peer)
 			}
@@ -64,11 +65,11 @@
 	w.handle(p, id, func() { w.apply(p, p.home.LinkDown(w.moment(p), peer)) })
 }
 
-func (w *World) soon() time.Duration {
+func (w *World) linkDelay() time.Duration {
 	return time.Duration(w.rng.IntN(20)) * time.Millisecond
 }
 
-// send puts a frame on the network.
+// send delivers a frame, unless it is lost, and may duplicate or delay it.
 func (w *World) send(from, to roster.ID, f wire.Frame) {
 	p := w.byID[to]
 	if p == nil {
@@ -83,19 +84,19 @@
 	if f.Body.Kind() == wire.KindRoster {
 		loss = max(loss, w.cfg.RosterLoss)
 	}
-	if !w.calm && w.rng.Float64() < loss {
+	if !w.healthy && w.rng.Float64() < loss {
 		return
 	}
 	w.deliver(id, from, to, f)
-	if !w.calm && w.rng.Float64() < w.cfg.Double {
+	if !w.healthy && w.rng.Float64() < w.cfg.Double {
 		w.deliver(id, from, to, f)
 	}
 }
 
 func (w *World) deliver(id uint64, from, to roster.ID, f wire.Frame) {
 	p := w.byID[to]
-	delay := 500*time.Microsecond + time.Duration(w.rng.Int64N(int64(commonWait)))
-	if !w.calm && w.rng.Float64() < w.cfg.Late {
+	delay := 500*time.Microsecond + time.Duration(w.rng.Int64N(int64(delayJitter)))
+	if !w.healthy && w.rng.Float64() < w.cfg.Late {
 		delay += time.Duration(w.rng.Int64N(int64(w.cfg.LateBy)))
 	}
 	w.after(delay, func() {
@@ -115,44 +116,45 @@
 	if _, relayed := f.Body.(wire.Reply); !relayed {
 		w.checkNotRun(p, out)
 	}
-	w.carryOut(p, out)
+	w.perform(p, out)
 }
 
-// apply carries out a home's effects that no relayed answer has caused.
+// apply checks and performs the effects of a home. Effects of a relayed reply
+// are performed without the check.
 func (w *World) apply(p *process, out home.Effects) {
 	w.checkNotRun(p, out)
-	w.carryOut(p, out)
+	w.perform(p, out)
 }
 
-// checkNotRun checks every "not run" that a home gives as its own word.
+// checkNotRun checks all answers "not run" that a home has decided itself.
 func (w *World) checkNotRun(p *process, out home.Effects) {
 	for _, a := range out.Answers {
-		w.notRun(p, a.Answer)
+		w.checkNotRunAnswer(p, a.Answer)
 	}
 	for _, s := range out.Sends {
 		if r, ok := s.Frame.Body.(wire.Reply); ok {
-			w.notRun(p, r.Answer)
+			w.checkNotRunAnswer(p, r.Answer)
 		}
 	}
 }
 
-func (w *World) notRun(p *process, a seats.Answer) {
+func (w *World) checkNotRunAnswer(p *process, a seats.Answer) {
 	if a.Ran != seats.RanNo || a.State == seats.Running {
 		return
 	}
 	j := w.jobs[a.ID]
-	if j.total > 0 {
-		w.fail("%s said %s was not run (%s), but %d of its tasks were started", p.id, a.ID, a.Name, j.total)
+	if j.totalStarts > 0 {
+		w.fail("%s answered that job %s was not run (%s), but %d of its tasks were started", p.id, a.ID, a.Name, j.totalStarts)
 	}
-	j.noFrame = w.frames
+	j.notRunFrame = w.frames
 }
 
-func (w *World) carryOut(p *process, out home.Effects) {
+func (w *World) perform(p *process, out home.Effects) {
 	for _, s := range out.Sends {
 		w.send(p.id, s.To, s.Frame)
 	}
 	for _, a := range out.Answers {
-		w.answerOf(a.Ticket, a.Answer)
+		w.handleAnswer(a.Ticket, a.Answer)
 	}
 	if out.Swap != nil {
 		w.swap(p, *out.Swap)
@@ -161,12 +163,13 @@
 		w.read(p)
 	}
 	if out.Removed {
-		w.lostSeat(p)
+		w.handleRemoval(p)
 	}
 }
 
-// lostSeat begins a new life of an entry whose process goes on.
-func (w *World) lostSeat(p *process) {
+// handleRemoval drops the connections of an entry that was removed from the
+// roster and, unless the entry is leaving, starts a new incarnation.
+func (w *World) handleRemoval(p *process) {
 	for _, o := range w.procs {
 		if o != p && o.alive {
 			w.disconnect(p, o)
@@ -175,16 +178,16 @@
 	id := p.id
 	if p.leaving {
 		w.kill(p)
-		if w.calm {
-			w.begin(p)
+		if w.healthy {
+			w.start(p)
 		}
 		return
 	}
-	w.after(w.soon(), func() {
+	w.after(w.linkDelay(), func() {
 		if p.id == id && p.alive && !p.paused {
-			w.begin(p)
+			w.start(p)
 		} else if p.id == id && p.alive {
-			p.inbox = append(p.inbox, func() { w.begin(p) })
+			p.deferred = append(p.deferred, func() { w.start(p) })
 		}
 	})
 }
@@ -194,30 +197,30 @@
 		w.send(p.id, s.To, s.Frame)
 	}
 	for _, r := range out.Runs {
-		w.started(p, frame, r.Start)
+		w.startTask(p, frame, r.Start)
 	}
 }
 
-// started counts a start, and ends it after a while.
-func (w *World) started(p *process, frame uint64, s wire.Start) {
+// startTask checks and counts the start of a task and schedules its end.
+func (w *World) startTask(p *process, frame uint64, s wire.Start) {
 	id := job.IDOf(s.Key.Job)
 	j := w.jobs[id]
 	j.starts[s.Key.Index]++
-	j.total++
+	j.totalStarts++
 	w.counts.Starts++
 	if n := j.starts[s.Key.Index]; n > 1 {
-		w.fail("task %s was started %d times, now at %s", s.Key, n, p.id)
+		w.fail("task %s was started %d times, last at %s", s.Key, n, p.id)
 	}
-	if frame != 0 && frame <= j.noFrame {
-		w.fail("task %s was started at %s after the job was called not run", s.Key, p.id)
+	if frame != 0 && frame <= j.notRunFrame {
+		w.fail("task %s was started at %s by a frame sent before its job was answered as not run", s.Key, p.id)
 	}
 	status, c, out := wire.Done, code.OK, []byte(outputOf(id, s.Key.Index))
 	if w.rng.IntN(20) == 0 {
 		status, c, out = wire.Failed, code.TaskFailed, nil
 	}
 	took := time.Duration(50+w.rng.IntN(1500)) * time.Millisecond
-	life := p.id
+	incarnation := p.id
 	w.after(took, func() {
-		w.handle(p, life, func() { w.applyGuard(p, 0, p.guard.Ended(w.moment(p), s.Key, status, c, out)) })
+		w.handle(p, incarnation, func() { w.applyGuard(p, 0, p.guard.Ended(w.moment(p), s.Key, status, c, out)) })
 	})
 }
--- a/seats/testutil/world/store.go
+++ b/seats/testutil/world/store.go
@@ -10,41 +10,41 @@
 
 var errOutage = errors.New("world: outage")
 
-// store is the platform's store, as far as the roster goes.
+// store simulates the roster in the platform's key-value store.
 type store struct {
-	roster roster.Roster
-	outage bool
-	lose   bool // answers of writes are lost
-	slow   time.Duration
+	roster      roster.Roster
+	outage      bool
+	loseAnswers bool // writes are applied but get no response
+	slow        time.Duration
 }
 
-// swap performs a compare-and-swap: it may be refused, take effect with its
-// answer lost, or take effect late.
+// swap performs a compare-and-swap. With a store fault the outcome is unknown,
+// and the swap may be applied at once, later or not at all.
 func (w *World) swap(p *process, s home.Swap) {
 	id := p.id
-	w.after(w.storeTime(), func() {
+	w.after(w.storeDelay(), func() {
 		outcome := home.Conflicted
 		switch {
 		case w.store.outage, p.noStore:
 			outcome = home.Unknown
-			w.maybeLater(s)
+			w.maybeApplyLate(s)
 		case w.store.roster.Revision == s.Base:
 			w.store.roster = s.Next
 			w.notify()
 			outcome = home.Swapped
 		}
-		if w.store.lose || p.noStore {
+		if w.store.loseAnswers || p.noStore {
 			outcome = home.Unknown
 		}
-		w.after(w.storeTime(), func() {
+		w.after(w.storeDelay(), func() {
 			w.handle(p, id, func() { w.apply(p, p.home.SwapEnded(w.moment(p), s.Change, outcome)) })
 		})
 	})
 }
 
-// maybeLater lets a swap that met an outage take effect some time later, with
-// nobody told.
-func (w *World) maybeLater(s home.Swap) {
+// maybeApplyLate applies one in four of the swaps that met an outage, after a
+// delay of up to 5 s and without a response.
+func (w *World) maybeApplyLate(s home.Swap) {
 	if w.rng.IntN(4) > 0 {
 		return
 	}
@@ -58,18 +58,19 @@
 
 func (w *World) read(p *process) {
 	id := p.id
-	w.after(w.storeTime(), func() {
+	w.after(w.storeDelay(), func() {
 		r, err := w.store.roster, error(nil)
 		if w.store.outage || p.noStore {
 			r, err = roster.Roster{}, errOutage
 		}
-		w.after(w.storeTime(), func() {
+		w.after(w.storeDelay(), func() {
 			w.handle(p, id, func() { w.apply(p, p.home.RosterRead(w.moment(p), r, err)) })
 		})
 	})
 }
 
-// notify wakes the watches of the entries, most of the time.
+// notify delivers the roster to the watches of the entries. A watch misses it
+// with a probability of one third.
 func (w *World) notify() {
 	r := w.store.roster
 	for _, p := range w.procs {
@@ -77,13 +78,13 @@
 			continue
 		}
 		id := p.id
-		w.after(w.storeTime(), func() {
+		w.after(w.storeDelay(), func() {
 			w.handle(p, id, func() { w.apply(p, p.home.RosterRead(w.moment(p), r, nil)) })
 		})
 	}
 }
 
-func (w *World) storeTime() time.Duration {
+func (w *World) storeDelay() time.Duration {
 	t := time.Millisecond + time.Duration(w.rng.IntN(3))*time.Millisecond
 	if w.store.slow > 0 {
 		t += time.Duration(w.rng.Int64N(int64(w.store.slow)))
--- a/seats/testutil/world/world.go
+++ b/seats/testutil/world/world.go
@@ -1,7 +1,6 @@
-// Package world drives several homes and guards, the real state machines, in
-// virtual time through pauses, kills, cuts, late, lost and doubled messages and
-// a failing store. It watches every start and every answer, and tells which
-// promise was broken first.
+// Package world runs the state machines of entries and agents in virtual time
+// and injects process, network and store failures. It checks safety invariants
+// at every start and answer and reports the first violation.
 package world
 
 import (
@@ -22,71 +21,71 @@
 	"github.com/beaconpoint/beaconpoint/testutil/vtime"
 )
 
-// Bounds of a world.
+// Timing and limits of a world.
 const (
-	homeTick     = 150 * time.Millisecond
-	guardTick    = time.Second
-	lease        = 3 * time.Second
-	skew         = 500 * time.Millisecond
-	service      = "trackd"
-	organisation = "port-gate"
-	queue        = 4 // short, so that many jobs are refused as not run
-	jobLife      = 20 * time.Second
-	shortLife    = 3 * time.Second // about a lease
-	longest      = 30 * time.Second
-	commonWait   = 3 * time.Millisecond
+	homeTick      = 150 * time.Millisecond
+	guardTick     = time.Second
+	lease         = 3 * time.Second
+	skew          = 500 * time.Millisecond
+	service       = "trackd"
+	organisation  = "port-gate"
+	queue         = 4 // short, so that many jobs are refused as not run
+	jobLifetime   = 20 * time.Second
+	shortLifetime = 3 * time.Second // equal to the lease
+	longestExpiry = 30 * time.Second
+	delayJitter   = 3 * time.Millisecond
 )
 
-// Config is the shape of a world.
+// Config configures a World.
 type Config struct {
 	Entries, Agents int
-	// Shards is how many shares the service's jobs are split into at first.
+	// Shards is the initial number of shards of the service's jobs.
 	Shards int
 	Seed   uint64
-	// Loss, Double and Late are the shares of frames that are lost, arrive
-	// twice, or arrive up to LateBy later.
+	// Loss, Double and Late are the probabilities that a frame is lost,
+	// duplicated, or delayed by up to LateBy.
 	Loss, Double, Late float64
 	LateBy             time.Duration
-	// RosterLoss is the share of rosters that are lost, so that processes
-	// hear of revisions that they do not hold.
+	// RosterLoss is the probability that a roster frame is lost, so that
+	// processes receive frames of roster revisions that they do not have.
 	RosterLoss float64
 	HomeRules  home.Rules
 	GuardRules guard.Rules
 }
 
-// Counts is what a world has seen.
+// Counts holds the number of starts, of answers by state and of takeovers.
 type Counts struct {
 	Starts, Complete, Failed, Refused, NotRun, Takeovers int
 }
 
-// World is one history.
+// World is a simulated system.
 type World struct {
-	cfg     Config
-	rng     *rand.Rand
-	events  *vtime.Queue
-	base    time.Time
-	procs   []*process
-	byID    map[roster.ID]*process
-	cuts    map[pair]bool
-	epochs  map[pair]int
-	store   store
-	lives   uint64
-	jobs    map[string]*jobState
-	tickets map[uint64]*asked
-	ticket  uint64
-	frames  uint64
-	counts  Counts
-	broken  error
-	calm    bool
-	// revision and shards are the configuration's.
-	revision uint64
-	shards   int
-	longest  time.Duration
-	// Trace takes every frame, for looking into a counterexample.
+	cfg          Config
+	rng          *rand.Rand
+	events       *vtime.Queue
+	base         time.Time
+	procs        []*process
+	byID         map[roster.ID]*process
+	cuts         map[pair]bool
+	epochs       map[pair]int
+	store        store
+	incarnations uint64
+	jobs         map[string]*jobState
+	tickets      map[uint64]*submission
+	ticket       uint64
+	frames       uint64
+	counts       Counts
+	violation    error
+	healthy      bool
+	// revision, shards and longestExpiry belong to the current configuration.
+	revision      uint64
+	shards        int
+	longestExpiry time.Duration
+	// Trace, if set, is called for every frame that is sent.
 	Trace func(string, ...any)
 }
 
-// process is one entry or agent, through all of its lives.
+// process is an entry or agent with its current incarnation.
 type process struct {
 	name   string
 	role   wire.Role
@@ -95,31 +94,34 @@
 	guard  *guard.Guard
 	alive  bool
 	paused bool
-	// leaving says that a planned stop has begun.
+	// leaving is set once a graceful shutdown has begun.
 	leaving bool
-	noStore bool // cut off from the store
-	inbox   []func()
-	began   time.Duration
-	rev     uint64
+	noStore bool // the store is unreachable
+	// deferred holds the events that arrived during a pause.
+	deferred     []func()
+	began        time.Duration
+	lastRevision uint64
 }
 
-// asked is a caller that waits for an answer.
-type asked struct {
+// submission is a call of Submit at an entry and whether it was answered.
+type submission struct {
 	job   string
 	entry string
 	sub   job.Submission
 	done  bool
 }
 
-// jobState is what the world knows of a job.
+// jobState records the starts of a job.
 type jobState struct {
-	sub     job.Submission
-	starts  map[int]int
-	total   int
-	noFrame uint64 // frames up to this one must not start it any more
+	sub         job.Submission
+	starts      map[int]int
+	totalStarts int
+	// notRunFrame is the last frame sent before an answer "not run". No frame up to
+	// it may start a task any more.
+	notRunFrame uint64
 }
 
-// pair names two processes, in order of their names.
+// pair identifies two processes by their names in sorted order.
 type pair struct{ a, b string }
 
 func pairOf(a, b string) pair {
@@ -129,7 +131,7 @@
 	return pair{a, b}
 }
 
-// New returns a world whose processes have just begun.
+// New returns a world in which all processes have just started.
 func New(cfg Config) *World {
 	w := &World{
 		cfg:     cfg,
@@ -140,11 +142,11 @@
 		cuts:    make(map[pair]bool),
 		epochs:  make(map[pair]int),
 		jobs:    make(map[string]*jobState),
-		tickets: make(map[uint64]*asked),
+		tickets: make(map[uint64]*submission),
 
-		revision: 1,
-		shards:   cfg.Shards,
-		longest:  longest,
+		revision:      1,
+		shards:        cfg.Shards,
+		longestExpiry: longestExpiry,
 	}
 	for k := range cfg.Agents {
 		w.procs = append(w.procs, &process{name: fmt.Sprintf("agent%d", k), role: wire.RoleAgent})
@@ -153,12 +155,13 @@
 		w.procs = append(w.procs, &process{name: fmt.Sprintf("entry%d", k), role: wire.RoleEntry})
 	}
 	for _, p := range w.procs {
-		w.begin(p)
+		w.start(p)
 	}
 	return w
 }
 
-// Counts returns what the world has seen so far.
+// Counts returns the counts so far. Each call adds the takeovers again, so it is
+// called once, at the end.
 func (w *World) Counts() Counts {
 	for _, p := range w.procs {
 		if p.home != nil {
@@ -168,19 +171,19 @@
 	return w.counts
 }
 
-// Broken returns the first promise that was broken, or nil.
-func (w *World) Broken() error { return w.broken }
+// Broken returns the first violated invariant, or nil.
+func (w *World) Broken() error { return w.violation }
 
-// Run lets the world go on for d.
+// Run advances virtual time by d. It stops at the first violated invariant.
 func (w *World) Run(d time.Duration) {
-	w.events.Run(w.now()+d, func() bool { return w.broken != nil })
+	w.events.Run(w.now()+d, func() bool { return w.violation != nil })
 }
 
 func (w *World) now() time.Duration { return w.events.Now() }
 
 func (w *World) fail(format string, args ...any) {
-	if w.broken == nil {
-		w.broken = fmt.Errorf("at %v: "+format, append([]any{w.now()}, args...)...)
+	if w.violation == nil {
+		w.violation = fmt.Errorf("at %v: "+format, append([]any{w.now()}, args...)...)
 	}
 }
 
@@ -190,11 +193,11 @@
 	return clock.Moment{Mono: w.now() - p.began + time.Second, Wall: w.base.Add(w.now())}
 }
 
-// begin starts a new life of p.
-func (w *World) begin(p *process) {
-	w.lives++
-	p.id = roster.NewID(p.name, w.lives)
-	p.alive, p.paused, p.leaving, p.inbox, p.rev = true, false, false, nil, 0
+// start starts a new incarnation of p.
+func (w *World) start(p *process) {
+	w.incarnations++
+	p.id = roster.NewID(p.name, w.incarnations)
+	p.alive, p.paused, p.leaving, p.deferred, p.lastRevision = true, false, false, nil, 0
 	p.began = w.now() - time.Duration(w.rng.IntN(1000))*time.Second
 	w.byID[p.id] = p
 	if p.role == wire.RoleAgent {
@@ -202,7 +205,7 @@
 			guard.WithRules(w.cfg.GuardRules))
 		w.tickGuard(p, p.id)
 	} else {
-		w.beginHome(p)
+		w.startHome(p)
 	}
 	for _, o := range w.procs {
 		if o != p && o.alive && (p.home != nil || o.home != nil) {
@@ -211,7 +214,7 @@
 	}
 }
 
-func (w *World) beginHome(p *process) {
+func (w *World) startHome(p *process) {
 	c := home.DefaultConfig(p.id, p.name)
 	c.Lease, c.Skew = lease, skew
 	p.home = home.NewHome(c, home.WithRules(w.cfg.HomeRules))
@@ -226,7 +229,7 @@
 }
 
 func (w *World) document() config.Document {
-	s := config.Service{Name: service, Bounds: config.Bounds{LongestExpiryMS: w.longest.Milliseconds(), Queue: queue}}
+	s := config.Service{Name: service, Bounds: config.Bounds{LongestExpiryMS: w.longestExpiry.Milliseconds(), Queue: queue}}
 	for _, p := range w.procs {
 		if p.role == wire.RoleAgent {
 			s.Targets = append(s.Targets, config.Target{Name: p.name, Agent: p.name, Slots: 2, Connections: 8})
@@ -255,12 +258,13 @@
 	})
 }
 
-// handle lets a life of p handle something now, or when its pause ends.
+// handle calls do if the incarnation id of p is still alive. While p is paused,
+// the call is deferred.
 func (w *World) handle(p *process, id roster.ID, do func()) {
 	switch {
 	case p.id != id || !p.alive:
 	case p.paused:
-		p.inbox = append(p.inbox, do)
+		p.deferred = append(p.deferred, do)
 	default:
 		do()
 		w.checkRevision(p)
@@ -274,27 +278,27 @@
 	} else {
 		rev, _ = p.guard.Revisions()
 	}
-	if rev < p.rev {
-		w.fail("%s went back from revision %d to %d", p.id, p.rev, rev)
+	if rev < p.lastRevision {
+		w.fail("%s: roster revision went back from %d to %d", p.id, p.lastRevision, rev)
 	}
-	p.rev = rev
+	p.lastRevision = rev
 }
 
-// answerOf checks a final answer that reaches a caller.
-func (w *World) answerOf(t uint64, a seats.Answer) {
+// handleAnswer checks and counts the answer to a ticket.
+func (w *World) handleAnswer(t uint64, a seats.Answer) {
 	q := w.tickets[t]
 	if q == nil || q.done {
-		w.fail("an answer for ticket %d that nobody waits for", t)
+		w.fail("answer to ticket %d, which is unknown or already answered", t)
 		return
 	}
 	q.done = true
 	if a.ID != q.job {
-		w.fail("the caller of %s got the answer of %s", q.job, a.ID)
+		w.fail("the caller of job %s received the answer to job %s", q.job, a.ID)
 	}
 	switch a.State {
 	case seats.Complete:
 		w.counts.Complete++
-		w.checkWhole(w.jobs[q.job], a)
+		w.checkResults(w.jobs[q.job], a)
 	case seats.Refused:
 		w.counts.Refused++
 	default:
@@ -305,14 +309,14 @@
 	}
 }
 
-func (w *World) checkWhole(j *jobState, a seats.Answer) {
+func (w *World) checkResults(j *jobState, a seats.Answer) {
 	if len(a.Results) != len(j.sub.Job.Tasks) {
-		w.fail("job %s: %d of %d results", a.ID, len(a.Results), len(j.sub.Job.Tasks))
+		w.fail("job %s: complete answer has %d results for %d tasks", a.ID, len(a.Results), len(j.sub.Job.Tasks))
 		return
 	}
 	for k, r := range a.Results {
 		if string(r.Output) != outputOf(a.ID, k) {
-			w.fail("job %s: task %d got %s", a.ID, k, r.Output)
+			w.fail("job %s: wrong output of task %d: %s", a.ID, k, r.Output)
 		}
 	}
 }
