--- a/seats/testutil/cluster/cluster.go
+++ b/seats/testutil/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster starts the built binary's roles as separate processes on
-// loopback, with the stand-ins for platform and targets in the test's own
-// process, and lets a test kill, stop and cut them.
+// Package cluster runs entries and agents of the built binary as separate
+// processes on loopback, with test doubles for platform and targets in the test
+// process. Tests can kill, pause and disconnect the processes.
 package cluster
 
 import (
@@ -30,47 +30,47 @@
 	standtarget "github.com/beaconpoint/beaconpoint/seats/standin/target"
 )
 
-// Names of what a cluster serves.
+// Service, organisation and operator token of a cluster.
 const (
 	Service      = "trackd"
 	Organisation = "port-gate"
 	token        = "token-of-the-cluster-tests"
 )
 
-// patience is how long a cluster may take to get ready on a busy machine.
-const patience = 60 * time.Second
+// readyTimeout is the time limit for a process or the cluster to become ready.
+const readyTimeout = 60 * time.Second
 
-// Config is the shape of a cluster.
+// Config configures a cluster.
 type Config struct {
 	Entries, Agents, Slots int
-	// Lease is as in the settings.
+	// Lease is the lease in the settings of all processes.
 	Lease time.Duration
-	// Bounds are the service's.
+	// Bounds are the limits of the service.
 	Bounds config.Bounds
 }
 
-// Cluster is a set of processes.
+// Cluster is a running set of entries and agents with their test doubles.
 type Cluster struct {
-	tb      testing.TB
-	cfg     Config
-	dir     string
-	Store   *standplatform.Store
-	Targets []*standtarget.Target
-	Entries []*Process
-	Agents  []*Process
-	relays  []*relay
-	base    string
-	urls    []string
+	tb          testing.TB
+	cfg         Config
+	dir         string
+	Store       *standplatform.Store
+	Targets     []*standtarget.Target
+	Entries     []*Process
+	Agents      []*Process
+	relays      []*relay
+	platformURL string
+	callerURLs  []string
 }
 
-// Process is one role, through all of its lives.
+// Process is an entry or agent, which may be restarted.
 type Process struct {
 	name     string
 	role     string
 	settings string
 	mu       sync.Mutex
 	cmd      *exec.Cmd
-	served   map[string]string // the addresses of its last life
+	addrs    map[string]string // addresses by log key, from the last start
 	log      *os.File
 }
 
@@ -87,7 +87,7 @@
 	return path, nil
 })
 
-// Binary returns the path of the built binary.
+// Binary builds the binary on the first call and returns its path.
 func Binary(tb testing.TB) string {
 	tb.Helper()
 	path, err := binary()
@@ -95,13 +95,13 @@
 	return path
 }
 
-// Start starts a cluster, configures its service and waits until every entry
-// serves. It is stopped when the test ends.
+// Start starts and configures a cluster and waits until it is ready. The cluster
+// is stopped when the test ends.
 func Start(tb testing.TB, cfg Config) *Cluster {
 	tb.Helper()
 	c := &Cluster{tb: tb, cfg: cfg, dir: tb.TempDir(), Store: standplatform.NewStore(time.Second)}
 	server := httptest.NewServer(standplatform.NewServer(c.Store))
-	c.base = server.URL
+	c.platformURL = server.URL
 	tb.Cleanup(server.Close)
 	tokens := filepath.Join(c.dir, "tokens.yaml")
 	assert.NilError(tb, os.WriteFile(tokens, []byte("- {name: test, token: "+token+", change: true}\n"), 0o600))
@@ -122,24 +122,24 @@
 	c.tb.Cleanup(server.Close)
 	c.Targets = append(c.Targets, t)
 	name := fmt.Sprintf("worker%d", k+1)
-	p := c.process(name, "agent", fmt.Sprintf("agent: {target: %q}\n", server.URL))
+	p := c.startProcess(name, "agent", fmt.Sprintf("agent: {target: %q}\n", server.URL))
 	c.Agents = append(c.Agents, p)
 	c.relays = append(c.relays, newRelay(c.tb, p.addr("addr")))
 }
 
 func (c *Cluster) addEntry(k int, tokens string) {
 	name := fmt.Sprintf("entry%d", k+1)
-	callers, operators := ownHost(), ownHost()
-	p := c.process(name, "entry", fmt.Sprintf(
-		"entry: {callers: '%s', operators: '%s', platform: %q, tokens: %q}\n", callers, operators, c.base, tokens))
+	callers, operators := uniqueLoopbackAddr(), uniqueLoopbackAddr()
+	p := c.startProcess(name, "entry", fmt.Sprintf(
+		"entry: {callers: '%s', operators: '%s', platform: %q, tokens: %q}\n", callers, operators, c.platformURL, tokens))
 	c.Entries = append(c.Entries, p)
-	c.urls = append(c.urls, p.addr("callers"))
+	c.callerURLs = append(c.callerURLs, p.addr("callers"))
 }
 
-func (c *Cluster) process(name, role, part string) *Process {
+func (c *Cluster) startProcess(name, role, section string) *Process {
 	c.tb.Helper()
 	text := fmt.Sprintf("role: %s\nname: %s\nregion: test\nhall: hall1\npeers: '%s'\nlease: %s\nlog_level: info\n%s",
-		role, name, ownHost(), c.cfg.Lease, part)
+		role, name, uniqueLoopbackAddr(), c.cfg.Lease, section)
 	path := filepath.Join(c.dir, name+".yaml")
 	assert.NilError(c.tb, os.WriteFile(path, []byte(text), 0o600))
 	log, err := os.Create(filepath.Join(c.dir, name+".log"))
@@ -154,7 +154,7 @@
 	return p
 }
 
-// Begin starts a new life of p and waits until it serves.
+// Begin starts or restarts p and waits until it serves.
 func (c *Cluster) Begin(p *Process) {
 	c.tb.Helper()
 	cmd := exec.Command(Binary(c.tb), p.role, "--settings", p.settings)
@@ -164,21 +164,22 @@
 	p.mu.Lock()
 	p.cmd = cmd
 	p.mu.Unlock()
-	served := make(chan map[string]string, 1)
-	go p.follow(errs, served)
+	addrs := make(chan map[string]string, 1)
+	go p.copyLog(errs, addrs)
 	select {
-	case s := <-served:
+	case s := <-addrs:
 		p.mu.Lock()
-		p.served = s
+		p.addrs = s
 		p.mu.Unlock()
-	case <-time.After(patience):
-		c.tb.Fatalf("%s does not serve; its log: %s", p.name, c.logOf(p))
+	case <-time.After(readyTimeout):
+		c.tb.Fatalf("%s did not start serving in time; log: %s", p.name, c.logOf(p))
 	}
-	p.keepAddresses(c.tb)
+	p.pinAddresses(c.tb)
 }
 
-// follow copies the log and picks out the line that tells the addresses.
-func (p *Process) follow(r io.Reader, served chan<- map[string]string) {
+// copyLog copies stderr to the log file and sends the fields of the log line that
+// contains the addresses.
+func (p *Process) copyLog(r io.Reader, addrs chan<- map[string]string) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -193,19 +194,19 @@
 				found[key] = text
 			}
 		}
-		served <- found
+		addrs <- found
 	}
 }
 
-// keepAddresses writes the chosen ports into the settings, so that the next
-// life has the same.
-func (p *Process) keepAddresses(tb testing.TB) {
+// pinAddresses writes the assigned ports into the settings file, so that a
+// restarted process uses the same addresses.
+func (p *Process) pinAddresses(tb testing.TB) {
 	tb.Helper()
 	raw, err := os.ReadFile(p.settings)
 	assert.NilError(tb, err)
 	text := string(raw)
 	for _, key := range []string{"peers", "addr", "callers", "operators"} {
-		addr := strings.TrimPrefix(p.served[key], "http://")
+		addr := strings.TrimPrefix(p.addrs[key], "http://")
 		if host, _, err := net.SplitHostPort(addr); err == nil {
 			text = replaceOnce(text, "'"+host+":0'", "'"+addr+"'")
 		}
@@ -213,33 +214,33 @@
 	assert.NilError(tb, os.WriteFile(p.settings, []byte(text), 0o600))
 }
 
-// hosts counts the hosts that were given out.
-var hosts atomic.Uint32
+// assignedHosts is the number of assigned loopback assignedHosts.
+var assignedHosts atomic.Uint32
 
-// ownHost returns an address on loopback, with a free port, whose host nobody
-// else uses: a port that a killed process had is still free on it when the next
-// life wants it. On 127.0.0.1 any other socket may take it in between.
-func ownHost() string {
-	pid, n := os.Getpid(), hosts.Add(1)
+// uniqueLoopbackAddr returns an address with port 0 on a loopback host that no
+// other process uses. On a shared host, another socket could take the port of a
+// process while it restarts.
+func uniqueLoopbackAddr() string {
+	pid, n := os.Getpid(), assignedHosts.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:0", 64+(pid>>8)%64+64*int(n/250%2), pid%256, 1+n%250)
 }
 
 func (p *Process) addr(key string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.served[key]
+	return p.addrs[key]
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process if it runs.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(s) // it may have ended
+		_ = p.cmd.Process.Signal(s) // fails if the process has ended
 	}
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.Wait()
@@ -254,11 +255,11 @@
 	if cmd == nil {
 		return 0
 	}
-	_ = cmd.Wait() // the state tells
+	_ = cmd.Wait() // the exit code is in ProcessState
 	return cmd.ProcessState.ExitCode()
 }
 
-// Pid returns the process's id, zero when it has ended.
+// Pid returns the process ID, or zero after Wait or Kill.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -273,7 +274,7 @@
 	return string(raw)
 }
 
-// Intent returns the intent that the cluster starts with.
+// Intent returns the initial configuration intent of the cluster.
 func (c *Cluster) Intent() config.Intent {
 	in := config.Intent{
 		Organisations: []config.Organisation{{Name: Organisation}},
@@ -297,32 +298,33 @@
 	assert.NilError(c.tb, err)
 }
 
-// Operator returns an operators' client of the k-th entry.
+// Operator returns an operator client for the k-th entry.
 func (c *Cluster) Operator(k int) *operator.Client {
 	return operator.NewClient(c.Entries[k].addr("operators"), token)
 }
 
-// Client returns a callers' client of the k-th entry.
+// Client returns a caller's client for the k-th entry.
 func (c *Cluster) Client(k int) *seats.Client {
-	return seats.NewClient(c.urls[k])
+	return seats.NewClient(c.callerURLs[k])
 }
 
-// URL returns the k-th entry's base URL for callers.
-func (c *Cluster) URL(k int) string { return c.urls[k] }
+// URL returns the base URL of the callers' API of the k-th entry.
+func (c *Cluster) URL(k int) string { return c.callerURLs[k] }
 
-// Cut cuts the connections to the k-th agent, or lets them through again.
-func (c *Cluster) Cut(k int, cut bool) { c.relays[k].setCut(cut) }
+// Cut closes and blocks the connections to the k-th agent, or unblocks them.
+func (c *Cluster) Cut(k int, cut bool) { c.relays[k].setBlocked(cut) }
 
-// UntilReady waits until every entry stands, is settled and knows all agents.
+// UntilReady waits until every entry holds its lease, has settled and lists all
+// entries and agents.
 func (c *Cluster) UntilReady() {
 	c.tb.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(readyTimeout)
 	for !c.ready() {
 		if time.Now().After(deadline) {
 			for _, p := range append(c.Entries, c.Agents...) {
 				c.tb.Logf("%s: %s", p.name, c.logOf(p))
 			}
-			c.tb.Fatal("the cluster does not get ready")
+			c.tb.Fatal("cluster did not become ready in time")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -338,8 +340,8 @@
 	return true
 }
 
-// Doubled returns the tasks that were started more than once, and how many
-// starts there were in all.
+// Doubled returns the tasks that were started more than once and the total number
+// of starts.
 func (c *Cluster) Doubled() (doubled []string, starts int) {
 	seen := make(map[string]int)
 	for _, t := range c.Targets {
@@ -356,7 +358,7 @@
 	return doubled, starts
 }
 
-// FirstStart returns when the job's first task was started at any target.
+// FirstStart returns the time of the job's first start at any target.
 func (c *Cluster) FirstStart(job string) (time.Time, bool) {
 	var first time.Time
 	for _, t := range c.Targets {
--- a/seats/testutil/cluster/relay.go
+++ b/seats/testutil/cluster/relay.go
@@ -10,24 +10,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// relay passes connections on to one address, and can cut them all.
+// relay is a TCP proxy to one address that can close and block all connections.
 type relay struct {
 	listener net.Listener
-	to       string
+	dest     string
 	mu       sync.Mutex
-	cut      bool
+	blocked  bool
 	open     map[net.Conn]bool
 }
 
-func newRelay(tb testing.TB, to string) *relay {
+func newRelay(tb testing.TB, dest string) *relay {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(tb, err)
-	r := &relay{listener: l, to: to, open: make(map[net.Conn]bool)}
+	r := &relay{listener: l, dest: dest, open: make(map[net.Conn]bool)}
 	go r.serve()
 	tb.Cleanup(func() {
 		l.Close()
-		r.setCut(true)
+		r.setBlocked(true)
 	})
 	return r
 }
@@ -40,54 +40,54 @@
 		if err != nil {
 			return
 		}
-		go r.pass(in)
+		go r.forward(in)
 	}
 }
 
-func (r *relay) pass(in net.Conn) {
+func (r *relay) forward(in net.Conn) {
 	defer in.Close()
-	if !r.add(in) {
+	if !r.track(in) {
 		return
 	}
-	defer r.drop(in)
-	out, err := net.Dial("tcp", r.to)
+	defer r.untrack(in)
+	out, err := net.Dial("tcp", r.dest)
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	if !r.add(out) {
+	if !r.track(out) {
 		return
 	}
-	defer r.drop(out)
+	defer r.untrack(out)
 	go func() {
-		_, _ = io.Copy(out, in) // either end may cut it
+		_, _ = io.Copy(out, in) // ends when either connection is closed
 		out.Close()
 		in.Close()
 	}()
-	_, _ = io.Copy(in, out) // either end may cut it
+	_, _ = io.Copy(in, out) // ends when either connection is closed
 }
 
-func (r *relay) add(c net.Conn) bool {
+func (r *relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut {
+	if r.blocked {
 		return false
 	}
 	r.open[c] = true
 	return true
 }
 
-func (r *relay) drop(c net.Conn) {
+func (r *relay) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.open, c)
 }
 
-func (r *relay) setCut(cut bool) {
+func (r *relay) setBlocked(blocked bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = cut
-	if !cut {
+	r.blocked = blocked
+	if !blocked {
 		return
 	}
 	for c := range r.open {
@@ -95,7 +95,7 @@
 	}
 }
 
-// replaceOnce replaces the first occurrence.
-func replaceOnce(text, old, next string) string {
-	return strings.Replace(text, old, next, 1)
+// replaceOnce replaces the first occurrence of old in text.
+func replaceOnce(text, old, replacement string) string {
+	return strings.Replace(text, old, replacement, 1)
 }
