--- a/seats/target/client.go
+++ b/seats/target/client.go
@@ -97,7 +97,7 @@
 	return wire.Done, code.OK, out
 }
 
-// requestBody returns the request body. A raw requestBody is base64 in a JSON string.
+// requestBody returns the request body. A raw payload is base64 in a JSON string.
 func requestBody(s wire.Start) ([]byte, error) {
 	if !s.Raw {
 		return s.Payload, nil
