--- a/seats/trials/bench_test.go
+++ b/seats/trials/bench_test.go
@@ -25,11 +25,11 @@
 	"github.com/beaconpoint/beaconpoint/seats/wire"
 )
 
-// benchTasks is how many tasks a job of the benchmark has.
+// benchTasks is the number of tasks in a job of the benchmark.
 const benchTasks = 100
 
-// BenchmarkJob runs jobs of empty tasks through an entry and an agent in this
-// process, over loopback; all of caller, entry, agent and target counts.
+// BenchmarkJob submits jobs of empty tasks to an entry with one agent. Caller,
+// entry, agent and target run in this process and all count.
 func BenchmarkJob(b *testing.B) {
 	e := startPair(b)
 	c := seats.NewClient(e.CallersURL())
@@ -49,6 +49,8 @@
 	b.ReportMetric(float64(after.Bytes-before.Bytes)/starts, "wire-B/task")
 }
 
+// startPair starts an entry and an agent in this process and returns the entry
+// once it can place tasks.
 func startPair(b *testing.B) *entry.Entry {
 	b.Helper()
 	platform := httptest.NewServer(standplatform.NewServer(standplatform.NewStore(0)))
@@ -57,15 +59,15 @@
 	assert.NilError(b, os.WriteFile(tokens, []byte("- {name: bench, token: token-of-the-benchmark, change: true}\n"), 0o600))
 	log := slog.New(slog.NewJSONHandler(io.Discard, nil))
 
-	as := settings.Default()
-	as.Role, as.Name, as.Region, as.Hall, as.Peers = wire.RoleAgent, "worker1", "bench", "hall", "127.0.0.1:0"
-	as.Agent.Target = target.URL
-	a, err := agent.NewAgent(as, log)
+	agentSettings := settings.Default()
+	agentSettings.Role, agentSettings.Name, agentSettings.Region, agentSettings.Hall, agentSettings.Peers = wire.RoleAgent, "worker1", "bench", "hall", "127.0.0.1:0"
+	agentSettings.Agent.Target = target.URL
+	a, err := agent.NewAgent(agentSettings, log)
 	assert.NilError(b, err)
-	es := settings.Default()
-	es.Role, es.Name, es.Region, es.Hall, es.Peers = wire.RoleEntry, "entry1", "bench", "hall", "127.0.0.1:0"
-	es.Entry.Callers, es.Entry.Operators, es.Entry.Platform, es.Entry.Tokens = "127.0.0.1:0", "127.0.0.1:0", platform.URL, tokens
-	e, err := entry.NewEntry(es, log)
+	entrySettings := settings.Default()
+	entrySettings.Role, entrySettings.Name, entrySettings.Region, entrySettings.Hall, entrySettings.Peers = wire.RoleEntry, "entry1", "bench", "hall", "127.0.0.1:0"
+	entrySettings.Entry.Callers, entrySettings.Entry.Operators, entrySettings.Entry.Platform, entrySettings.Entry.Tokens = "127.0.0.1:0", "127.0.0.1:0", platform.URL, tokens
+	e, err := entry.NewEntry(entrySettings, log)
 	assert.NilError(b, err)
 
 	ctx, stop := context.WithCancel(context.Background())
--- a/seats/trials/capacity_test.go
+++ b/seats/trials/capacity_test.go
@@ -18,10 +18,10 @@
 
 var capacity = flag.Bool("capacity", false, "measure the slopes of seats/docs/capacity.md (some minutes) instead of one small size")
 
-// clockTick is the unit of processor time in /proc, in seconds.
+// clockTick is the unit of CPU time in /proc/PID/stat, in seconds.
 const clockTick = 0.01
 
-// usage is what a process has used.
+// usage is the resource usage of processes.
 type usage struct {
 	cpu float64 // seconds
 	rss float64 // MB
@@ -38,7 +38,7 @@
 	return usage{cpu: (user + system) * clockTick, rss: pages * float64(os.Getpagesize()) / (1 << 20)}
 }
 
-func sumOf(t *testing.T, all []*cluster.Process) (sum usage) {
+func totalUsage(t *testing.T, all []*cluster.Process) (sum usage) {
 	t.Helper()
 	for _, p := range all {
 		u := usageOf(t, p)
@@ -48,8 +48,8 @@
 	return sum
 }
 
-// counts sums up what the entries tell of themselves.
-func counts(t *testing.T, c *cluster.Cluster) (starts, wasted, frames, bytes, calls float64) {
+// totalCounts adds up the counters in the status of all entries.
+func totalCounts(t *testing.T, c *cluster.Cluster) (starts, wasted, frames, bytes, calls float64) {
 	t.Helper()
 	for k := range c.Entries {
 		s, err := c.Operator(k).Status(context.Background())
@@ -63,8 +63,8 @@
 	return starts, wasted, frames, bytes, calls
 }
 
-// TestCapacity measures what entries and agents use, idle and under load, at
-// several sizes. It states figures and asserts only that no job was lost.
+// Logs the CPU, memory and messages of entries and agents, idle and under load.
+// Fails when a job gets no answer or a wrong one.
 func TestCapacity(t *testing.T) {
 	sizes, rates, span := []int{3}, []float64{200}, 2*time.Second
 	if *capacity {
@@ -85,14 +85,14 @@
 
 func measureIdle(t *testing.T, c *cluster.Cluster, agents int, span time.Duration) {
 	t.Helper()
-	entries, all := sumOf(t, c.Entries), sumOf(t, c.Agents)
-	_, _, frames, bytes, calls := counts(t, c)
+	entries, agentUsage := totalUsage(t, c.Entries), totalUsage(t, c.Agents)
+	_, _, frames, bytes, calls := totalCounts(t, c)
 	time.Sleep(span)
-	entriesAfter, allAfter := sumOf(t, c.Entries), sumOf(t, c.Agents)
-	_, _, framesAfter, bytesAfter, callsAfter := counts(t, c)
+	entriesAfter, allAfter := totalUsage(t, c.Entries), totalUsage(t, c.Agents)
+	_, _, framesAfter, bytesAfter, callsAfter := totalCounts(t, c)
 	seconds := span.Seconds()
 	t.Logf("| %d | idle | entry %.2f%% of a core | agent %.3f%% of a core | | %.0f frames/s an entry | %.0f bytes/s an entry | %.1f | %.1f | %.2f | |",
-		agents, 100*(entriesAfter.cpu-entries.cpu)/seconds/3, 100*(allAfter.cpu-all.cpu)/seconds/float64(agents),
+		agents, 100*(entriesAfter.cpu-entries.cpu)/seconds/3, 100*(allAfter.cpu-agentUsage.cpu)/seconds/float64(agents),
 		(framesAfter-frames)/seconds/3, (bytesAfter-bytes)/seconds/3,
 		entriesAfter.rss/3, allAfter.rss/float64(agents), (callsAfter-calls)/seconds)
 }
@@ -102,15 +102,15 @@
 	cfg := load.DefaultConfig()
 	cfg.Entries = c.URL(0) + "," + c.URL(1) + "," + c.URL(2)
 	cfg.ShortMS, cfg.LongMS, cfg.LargestJob = 10, 30, 100
-	cfg.JobsPerSecond = rate / 21.5 // the mean size of a log-uniform job of up to 100
+	cfg.JobsPerSecond = rate / 21.5 // mean size of log-uniform jobs of up to 100 tasks
 	cfg.Jobs = int(cfg.JobsPerSecond * span.Seconds())
-	entries, all := sumOf(t, c.Entries), sumOf(t, c.Agents)
-	starts, wasted, frames, bytes, calls := counts(t, c)
+	entries, all := totalUsage(t, c.Entries), totalUsage(t, c.Agents)
+	starts, wasted, frames, bytes, calls := totalCounts(t, c)
 	r, err := load.Run(context.Background(), cfg)
 	assert.NilError(t, err)
 	assert.Equal(t, r.NoAnswer+r.Wrong, 0, r.Text())
-	entriesAfter, allAfter := sumOf(t, c.Entries), sumOf(t, c.Agents)
-	startsAfter, wastedAfter, framesAfter, bytesAfter, callsAfter := counts(t, c)
+	entriesAfter, allAfter := totalUsage(t, c.Entries), totalUsage(t, c.Agents)
+	startsAfter, wastedAfter, framesAfter, bytesAfter, callsAfter := totalCounts(t, c)
 	n := startsAfter - starts
 	t.Logf("| %d | %.0f | %.0f | %.0f | %.4f | %.2f | %.0f | %.1f | %.1f | %.2f | %.2f %.2f |",
 		agents, n/r.Took.Seconds(), 1e6*(entriesAfter.cpu-entries.cpu)/n, 1e6*(allAfter.cpu-all.cpu)/n,
--- a/seats/trials/config_test.go
+++ b/seats/trials/config_test.go
@@ -15,12 +15,12 @@
 	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
-// changes is how many configuration changes the spread is measured over.
-const changes = 20
+// changesPerRun is the number of configuration changes per measurement.
+const changesPerRun = 20
 
-// untilEverywhere waits until every process shows the revision, and returns how
-// long that took. A process that shows a lower one than before fails the test.
-func untilEverywhere(t *testing.T, c *cluster.Cluster, revision uint64) time.Duration {
+// waitRevision waits until all entries and agents run the revision and returns
+// the time that took. It fails the test if the revision of an entry decreases.
+func waitRevision(t *testing.T, c *cluster.Cluster, revision uint64) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for k := range c.Entries {
@@ -28,12 +28,12 @@
 		for {
 			s, err := c.Operator(k).Status(context.Background())
 			assert.NilError(t, err)
-			assert.Assert(t, s.Config >= last, "entry %d went back from %d to %d", k, last, s.Config)
+			assert.Assert(t, s.Config >= last, "entry %d: revision decreased from %d to %d", k, last, s.Config)
 			last = s.Config
 			if s.Config >= revision && s.AgentConfig >= revision {
 				break
 			}
-			assert.Assert(t, time.Since(began) < patience, "entry %d is at %d, its agents at %d", k, s.Config, s.AgentConfig)
+			assert.Assert(t, time.Since(began) < waitTimeout, "entry %d runs revision %d, its agents %d", k, s.Config, s.AgentConfig)
 			time.Sleep(2 * time.Millisecond)
 		}
 	}
@@ -44,23 +44,25 @@
 	return config.Intent{Organisations: []config.Organisation{{Name: cluster.Organisation, InFlight: inFlight}}}
 }
 
-func TestAcceptedConfigurationIsEverywhereWithinSeconds(t *testing.T) {
+// Fails when a confirmed configuration does not reach every process, also during
+// a store outage, or is lost when all processes restart.
+func TestConfirmedConfigurationReachesEveryProcess(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	ctx := context.Background()
 	for _, outage := range []bool{false, true} {
-		var spread []time.Duration
-		for k := range changes {
+		var delays []time.Duration
+		for k := range changesPerRun {
 			plan, err := c.Operator(k%3).Plan(ctx, organisationIntent(10_000+k))
 			assert.NilError(t, err)
 			done, err := c.Operator((k+1)%3).Confirm(ctx, plan)
 			assert.NilError(t, err)
 			c.Store.SetFaults(standplatform.Faults{Outage: outage})
-			spread = append(spread, untilEverywhere(t, c, done.Revision))
+			delays = append(delays, waitRevision(t, c, done.Revision))
 			c.Store.SetFaults(standplatform.Faults{})
 		}
-		slices.Sort(spread)
-		t.Logf("%d changes, store down right after: %v: median %d ms, worst %d ms in force in all 6 processes",
-			changes, outage, spread[changes/2].Milliseconds(), spread[changes-1].Milliseconds())
+		slices.Sort(delays)
+		t.Logf("%d changes, store outage after each: %v: active in all 6 processes after median %d ms, worst %d ms",
+			changesPerRun, outage, delays[changesPerRun/2].Milliseconds(), delays[changesPerRun-1].Milliseconds())
 	}
 	before, err := c.Operator(0).Config(ctx)
 	assert.NilError(t, err)
@@ -71,10 +73,11 @@
 		c.Begin(p)
 	}
 	c.UntilReady()
-	untilEverywhere(t, c, before.Revision)
+	waitRevision(t, c, before.Revision)
 }
 
-func TestOperatorsRace(t *testing.T) {
+// Fails when two plans that are confirmed concurrently are both applied.
+func TestConcurrentConfirmRejectsStalePlan(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	ctx := context.Background()
 	first, err := c.Operator(0).Plan(ctx, organisationIntent(100))
@@ -96,21 +99,23 @@
 	assert.ErrorContains(t, loser, "by test: ~ member port-gate")
 }
 
-func TestConfirmingTwiceIsOneChange(t *testing.T) {
+// Fails when a plan is applied twice after its first confirmation got no
+// response, or when a modified plan is accepted.
+func TestRepeatedConfirmAppliesPlanOnce(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	ctx := context.Background()
 	plan, err := c.Operator(0).Plan(ctx, organisationIntent(100))
 	assert.NilError(t, err)
 	c.Store.SetFaults(standplatform.Faults{LoseAnswers: 1})
 	once, err := c.Operator(1).Confirm(ctx, plan)
-	assert.NilError(t, err, "the swap took effect with its answer lost")
+	assert.NilError(t, err, "the swap was applied but got no response")
 	twice, err := c.Operator(2).Confirm(ctx, plan)
 	assert.NilError(t, err)
 	assert.Equal(t, once, twice)
 
 	plan.Base++
 	_, err = c.Operator(0).Confirm(ctx, plan)
-	assert.Equal(t, code.Of(err, code.OK), code.OK, "a known change is done, whatever its plan says now")
+	assert.Equal(t, code.Of(err, code.OK), code.OK, "a change that was applied is confirmed again without a check of its plan")
 	plan.Change = "another"
 	_, err = c.Operator(0).Confirm(ctx, plan)
 	assert.Equal(t, code.Of(err, code.OK), code.PlanTampered)
--- a/seats/trials/outage_test.go
+++ b/seats/trials/outage_test.go
@@ -16,10 +16,10 @@
 	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
-var takeovers = flag.Int("takeovers", 2, "how many takeovers to time")
+var takeovers = flag.Int("takeovers", 2, "number of takeovers to measure")
 
-// homeOf returns the entry that is home to the service's one share: the one
-// that has sent the starts since they were last counted.
+// homeOf returns the index of the entry that owns the service's only shard. It
+// submits a job and finds the entry whose count of starts has increased.
 func homeOf(t *testing.T, c *cluster.Cluster, job string) int {
 	t.Helper()
 	before := make([]uint64, len(c.Entries))
@@ -37,12 +37,12 @@
 			return k
 		}
 	}
-	t.Fatal("no entry sent the start")
+	t.Fatal("the count of starts did not increase at any entry")
 	return -1
 }
 
-// TestTakeoverTime kills the home of the service and times how long until a new
-// job, and one that ran meanwhile, are answered through another entry.
+// Fails when, after the home of a service is killed, another entry does not
+// complete a new job and a running one. Logs the time of the takeover.
 func TestTakeoverTime(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	var times []time.Duration
@@ -59,7 +59,7 @@
 			answered <- a
 		}()
 		time.Sleep(100 * time.Millisecond)
-		framesBefore, callsBefore := framesOf(t, c, h), callsOf(c)
+		framesBefore, callsBefore := framesExcept(t, c, h), storeCalls(c)
 		began := time.Now()
 		c.Entries[h].Kill()
 		j := jobOf(fmt.Sprintf("after-%d", k), 1, 0)
@@ -69,27 +69,27 @@
 			if a.State == seats.Complete {
 				break
 			}
-			assert.Assert(t, time.Since(began) < patience, "%+v", a)
+			assert.Assert(t, time.Since(began) < waitTimeout, "%+v", a)
 			time.Sleep(time.Duration(a.RetryAfterMS) * time.Millisecond)
 		}
 		times = append(times, time.Since(began))
-		frames += framesOf(t, c, h) - framesBefore
-		calls += callsOf(c) - callsBefore
-		assertWhole(t, running, <-answered)
+		frames += framesExcept(t, c, h) - framesBefore
+		calls += storeCalls(c) - callsBefore
+		assertComplete(t, running, <-answered)
 		c.Begin(c.Entries[h])
 		c.UntilReady()
 	}
 	slices.Sort(times)
 	doubled, _ := c.Doubled()
 	assert.Equal(t, len(doubled), 0)
-	t.Logf("%d takeovers at a lease of 3 s: median %d ms, worst %d ms; the running job of 30 tasks was finished each time; "+
-		"frames of both other entries %.0f, store calls %.1f each, heartbeats, the jobs' own and watches included",
+	t.Logf("%d takeovers at a lease of 3 s: median %d ms, worst %d ms; the running job of 30 tasks completed each time; "+
+		"per takeover %.0f frames of both other entries and %.1f store calls, including heartbeats, job traffic and watches",
 		len(times), times[len(times)/2].Milliseconds(), times[len(times)-1].Milliseconds(),
 		float64(frames)/float64(len(times)), float64(calls)/float64(len(times)))
 }
 
-// framesOf sums up the frames of all entries but one.
-func framesOf(t *testing.T, c *cluster.Cluster, but int) uint64 {
+// framesExcept returns the number of frames of all entries except one.
+func framesExcept(t *testing.T, c *cluster.Cluster, but int) uint64 {
 	t.Helper()
 	sum := uint64(0)
 	for k := range c.Entries {
@@ -103,15 +103,15 @@
 	return sum
 }
 
-// callsOf returns how many calls the store has had.
-func callsOf(c *cluster.Cluster) int {
+// storeCalls returns the number of calls to the store.
+func storeCalls(c *cluster.Cluster) int {
 	s := c.Store.Calls()
 	return int(s.Reads + s.Writes + s.Watches + s.Hosts)
 }
 
-// TestJobsRunOnInAStoreOutage takes the store away for the whole of a load, then
-// kills an entry that is home to nothing, and tells what is served.
-func TestJobsRunOnInAStoreOutage(t *testing.T) {
+// Fails when jobs fail during a store outage, or get no answer or a wrong one
+// when an entry without shards is also killed.
+func TestJobsCompleteDuringStoreOutage(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	h := homeOf(t, c, "find")
 	other := (h + 1) % len(c.Entries)
@@ -123,14 +123,14 @@
 		r, err := load.Run(context.Background(), cfg)
 		assert.NilError(t, err)
 		assert.Equal(t, r.States[seats.Complete], cfg.Jobs, r.Text())
-		t.Logf("store down: %v\n%s", outage, r.Text())
+		t.Logf("store outage: %v\n%s", outage, r.Text())
 	}
 	c.Entries[other].Kill()
 	cfg.Jobs, cfg.Expiry = 200, 5*time.Second
 	r, err := load.Run(context.Background(), cfg)
 	assert.NilError(t, err)
 	assert.Equal(t, r.NoAnswer+r.Wrong, 0, r.Text())
-	t.Logf("store down, entry killed\n%s", r.Text())
+	t.Logf("store outage, entry killed\n%s", r.Text())
 	c.Store.SetFaults(standplatform.Faults{})
 	c.Begin(c.Entries[other])
 	c.UntilReady()
--- a/seats/trials/path_test.go
+++ b/seats/trials/path_test.go
@@ -1,5 +1,5 @@
-// Package trials runs the built binary's roles as separate processes and shows
-// what callers and operators see of them, in order and under failure.
+// Package trials tests the built binary end to end: entries and agents run as
+// separate processes, with and without injected failures.
 package trials
 
 import (
@@ -37,8 +37,8 @@
 	return j
 }
 
-// assertWhole checks that a is the whole answer to j and to nothing else.
-func assertWhole(t testing.TB, j seats.Job, a seats.Answer) {
+// assertComplete checks that a is complete and holds the result of each task of j.
+func assertComplete(t testing.TB, j seats.Job, a seats.Answer) {
 	t.Helper()
 	assert.Equal(t, a.State, seats.Complete, "%+v", a)
 	assert.Equal(t, a.ID, j.ID)
@@ -50,13 +50,15 @@
 	}
 }
 
-func TestJobsThroughAllEntriesAtOnce(t *testing.T) {
+// Fails when a job that is submitted through three entries at once starts a task
+// twice or gets a wrong answer.
+func TestConcurrentSubmissionsStartTasksOnce(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	var all sync.WaitGroup
 	answers := make([]seats.Answer, 60)
 	for k := range answers {
 		all.Go(func() {
-			// Each job goes in three times, through every entry.
+			// Each job is submitted once through every entry.
 			j := jobOf(fmt.Sprintf("job-%d", k/3), 1+k/3, 20)
 			a, err := c.Client(k%3).Submit(context.Background(), cluster.Service, j)
 			assert.Check(t, err == nil, "%v", err)
@@ -66,7 +68,7 @@
 	all.Wait()
 	tasks := 0
 	for k, a := range answers {
-		assertWhole(t, jobOf(fmt.Sprintf("job-%d", k/3), 1+k/3, 20), a)
+		assertComplete(t, jobOf(fmt.Sprintf("job-%d", k/3), 1+k/3, 20), a)
 		if k%3 == 0 {
 			tasks += 1 + k/3
 		}
@@ -75,22 +77,23 @@
 	assert.Equal(t, len(doubled), 0, "%v", doubled)
 	assert.Equal(t, starts, tasks)
 	for _, target := range c.Targets {
-		assert.Assert(t, target.Peak() <= 8, "%d tasks at once", target.Peak())
+		assert.Assert(t, target.Peak() <= 8, "%d concurrent tasks on 8 slots", target.Peak())
 	}
 }
 
-// call is one line of a golden session.
-type call struct {
+// request is a request of the golden session.
+type request struct {
 	name, method, path, body string
 	header                   map[string]string
 }
 
+// Fails when status, headers or body of a response of the callers' API change.
 func TestGoldenSession(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	jobs, requests := "/v1/services/trackd/jobs", "/v1/services/trackd/requests"
 	many := strings.Repeat(`{"id":"a"},`, 1200) + `{"id":"a"}`
 	var out bytes.Buffer
-	for _, s := range []call{
+	for _, s := range []request{
 		{"a job of two tasks", "POST", jobs, `{"id":"fix-1","member":"port-gate","tasks":[{"id":"a","payload":{"ms":5,"echo":"x"}},{"id":"b","payload":{"ms":1}}]}`, nil},
 		{"the same job again, with other white space", "POST", jobs, `{"id":"fix-1", "member":"port-gate", "tasks":[ {"id":"a","payload":{"ms":5, "echo":"x"}},{"id":"b","payload":{"ms":1}}]}`, nil},
 		{"the same id with other content", "POST", jobs, `{"id":"fix-1","member":"port-gate","tasks":[{"id":"a"}]}`, nil},
@@ -112,7 +115,7 @@
 		{"a request that is perhaps repeatable", "POST", requests, "x", map[string]string{"X-Request-Id": "hold-2", "X-Member": "port-gate", "X-Repeatable": "perhaps"}},
 	} {
 		fmt.Fprintf(&out, "## %s\n%s %s\n%.200s\n", s.name, s.method, s.path, s.body)
-		out.WriteString(answerTo(t, c.URL(1), s))
+		out.WriteString(sendRequest(t, c.URL(1), s))
 	}
 	golden.Assert(t, out.String(), "session.golden")
 	doubled, starts := c.Doubled()
@@ -120,7 +123,7 @@
 	assert.Equal(t, starts, 4) // two of fix-1, one of fix-2, one of hold-1
 }
 
-func answerTo(t *testing.T, base string, s call) string {
+func sendRequest(t *testing.T, base string, s request) string {
 	t.Helper()
 	req, err := http.NewRequest(s.method, base+s.path, strings.NewReader(s.body))
 	assert.NilError(t, err)
@@ -138,7 +141,8 @@
 		strings.TrimSpace(string(body)))
 }
 
-func TestTargetThatDropsAConnectionGetsOneStart(t *testing.T) {
+// Fails when a task is sent again after the target dropped its connection.
+func TestDroppedConnectionIsNotRetried(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	j := seats.Job{ID: "drop", Organisation: cluster.Organisation, Tasks: []seats.Task{{ID: "a", Payload: json.RawMessage(`{"drop":true}`)}}}
 	a, err := c.Client(0).Submit(context.Background(), cluster.Service, j)
--- a/seats/trials/restart_test.go
+++ b/seats/trials/restart_test.go
@@ -10,27 +10,27 @@
 	"github.com/beaconpoint/beaconpoint/seats/testutil/cluster"
 )
 
-// TestAllEntriesRestartAtOnce kills every entry and begins them again: the old
-// lives can't hand over, so the new ones must hear every agent.
-func TestAllEntriesRestartAtOnce(t *testing.T) {
+// Fails when entries that were all killed at once do not restore their jobs from
+// the agents' records and run a resubmitted job again.
+func TestRestartOfAllEntriesKeepsAnswers(t *testing.T) {
 	c := cluster.Start(t, threeByThree())
 	j := jobOf("before", 20, 50)
 	a, err := c.Client(0).Submit(context.Background(), cluster.Service, j)
 	assert.NilError(t, err)
-	assertWhole(t, j, a)
+	assertComplete(t, j, a)
 	for _, p := range c.Entries {
 		p.Kill()
 	}
-	calls := callsOf(c)
+	calls := storeCalls(c)
 	began := time.Now()
 	for _, p := range c.Entries {
 		c.Begin(p)
 	}
 	c.UntilReady()
-	t.Logf("all 3 entries ready %d ms after their restart, with %d store calls", time.Since(began).Milliseconds(), callsOf(c)-calls)
+	t.Logf("all 3 entries ready %d ms after their restart, with %d store calls", time.Since(began).Milliseconds(), storeCalls(c)-calls)
 	a, err = c.Client(1).Submit(context.Background(), cluster.Service, j)
 	assert.NilError(t, err)
-	assertWhole(t, j, a)
+	assertComplete(t, j, a)
 	doubled, starts := c.Doubled()
 	assert.Equal(t, len(doubled), 0)
 	assert.Equal(t, starts, len(j.Tasks), "the resubmission is answered from the agents' records")
