--- a/seats/trials/failure_test.go
+++ b/seats/trials/failure_test.go
@@ -202,9 +202,7 @@
 	defer stop()
 	var all sync.WaitGroup
 	for k := range callers {
-		all.Go(func() {
-			w.submitJobs(ctx, t, c, rand.New(rand.NewPCG(seed, uint64(k))), fmt.Sprintf("s%d-c%d", seed, k))
-		})
+		all.Go(func() { w.run(ctx, t, c, rand.New(rand.NewPCG(seed, uint64(k))), fmt.Sprintf("s%d-c%d", seed, k)) })
 	}
 	time.Sleep(beforeFailure)
 	end := f.begin(c, rng)
@@ -219,9 +217,9 @@
 	return w.tally
 }
 
-// submitJobs submits jobs one after the other until ctx is done. It waits for the
+// run submits jobs one after the other until ctx is done. It waits for the
 // final answer to each.
-func (w *observer) submitJobs(ctx context.Context, t *testing.T, c *cluster.Cluster, rng *rand.Rand, name string) {
+func (w *observer) run(ctx context.Context, t *testing.T, c *cluster.Cluster, rng *rand.Rand, name string) {
 	for k := 0; ctx.Err() == nil; k++ {
 		j := jobOf(fmt.Sprintf("%s-%d", name, k), 1+rng.IntN(6), 20+rng.IntN(150))
 		at := time.Now().Add(jobLifetime)
--- a/seats/trials/stop_test.go
+++ b/seats/trials/stop_test.go
@@ -27,19 +27,19 @@
 	waitTimeout   = 60 * time.Second
 )
 
-// balancer chooses random entries other than excluded, which is -1 for none.
-type balancer struct {
+// entryBalancer chooses random entries other than excluded, which is -1 for none.
+type entryBalancer struct {
 	mu       sync.Mutex
 	excluded int
 }
 
-func (r *balancer) exclude(k int) {
+func (r *entryBalancer) exclude(k int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.excluded = k
 }
 
-func (r *balancer) choose(rng *rand.Rand, n int) int {
+func (r *entryBalancer) choose(rng *rand.Rand, n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := rng.IntN(n - 1)
@@ -64,7 +64,7 @@
 func TestPlannedStopsFailNoJob(t *testing.T) {
 	c := cluster.Start(t, cluster.Config{Entries: 3, Agents: 3, Slots: 16, Lease: 1500 * time.Millisecond})
 	var tasks, bad atomic.Int64
-	balancer := &balancer{excluded: -1}
+	balancer := &entryBalancer{excluded: -1}
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for k := range stopCallers {
