--- a/event/event.go
+++ b/event/event.go
@@ -60,7 +60,7 @@
 	EntryIsolated      Kind = "entry-isolated"
 	HallSuspected      Kind = "hall-suspected"
 	HallFound          Kind = "hall-found"
-	EntryStopped       Kind = "entry-stopped"
+	EntrySuspended     Kind = "entry-stopped"
 )
 
 // Events of an agent.
@@ -85,9 +85,9 @@
 	TargetHealth          Kind = "target-health"
 	TargetLosingReplies   Kind = "target-losing-replies"
 	RenewalFailed         Kind = "renewal-failed"
-	StartRefused          Kind = "start-refused"
+	OrderRejected         Kind = "start-refused"
 	StartUnanswered       Kind = "start-unanswered"
-	StartRejected         Kind = "start-rejected"
+	StartRejectedByTarget Kind = "start-rejected"
 	RunStopping           Kind = "run-stopping"
 	RunEnded              Kind = "run-ended"
 	StopFailed            Kind = "stop-failed"
@@ -159,7 +159,7 @@
 		"A caller cancelled a job that this entry does not have, and whether a home had a record of the job."},
 	{EntryIsolated, false,
 		"Most agents are silent or lost, so the entry is isolated and starts only jobs that it has claimed; or, if the attribute isolated is false, the isolation has ended."},
-	{EntryStopped, false,
+	{EntrySuspended, false,
 		"The process was suspended so long that its agents consider it lost; it reconnects and claims its jobs again."},
 	{HallSuspected, false,
 		"Several agents of a data hall are silent, none is reachable: the hall is considered lost and disconnected."},
@@ -194,10 +194,10 @@
 		"The target did not respond to a call but responds to others; a second renewal is kept in flight."},
 	{RenewalFailed, false,
 		"A renewal of the target's lease failed, first of consecutive failures, with the reason or the error."},
-	{StartRefused, true,
+	{OrderRejected, true,
 		"The agent rejected an order: its needs, the free capacity, and the age of the entry's lease."},
 	{StartUnanswered, false, "The target did not respond to a start, with the error; the start may still take effect."},
-	{StartRejected, false, "The target rejected a start."},
+	{StartRejectedByTarget, false, "The target rejected a start."},
 	{RunStopping, false, "A run is being stopped."},
 	{RunEnded, true, "A run has definitely ended, with its duration and estimate."},
 	{StopFailed, false,
--- a/owner/log.go
+++ b/owner/log.go
@@ -112,7 +112,7 @@
 
 // logSuspended logs how long the process was suspended.
 func (o *Owner) logSuspended(now time.Duration) {
-	o.log(event.EntryStopped, slog.Int64("stopped_ms", (now-o.lastTickAt).Milliseconds()),
+	o.log(event.EntrySuspended, slog.Int64("stopped_ms", (now-o.lastTickAt).Milliseconds()),
 		slog.Int("jobs", len(o.jobs)))
 }
 
--- a/supervisor/log.go
+++ b/supervisor/log.go
@@ -152,7 +152,7 @@
 
 // logOrderRejected logs the reason for the rejection of an order.
 func (s *Supervisor) logOrderRejected(now time.Duration, c *session, order task.Order, reason code.Code) {
-	s.log(event.StartRefused,
+	s.log(event.OrderRejected,
 		slog.String("task", order.Task.String()),
 		slog.Int("run", order.Run),
 		slog.String("entry", c.name),
@@ -173,7 +173,7 @@
 
 // logStartRejected logs that the target rejected a start.
 func (s *Supervisor) logStartRejected(r *run, reply Reply) {
-	s.log(event.StartRejected,
+	s.log(event.StartRejectedByTarget,
 		slog.String("task", r.name),
 		slog.Int("run", r.order.Run),
 		slog.String("why", reply.Outcome.Code().String()),
