--- a/claim/registry_test.go
+++ b/claim/registry_test.go
@@ -137,10 +137,11 @@
 func TestRefusalRetainedUntilRetryTime(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
-	g.Settle(g.now, a, Settlement{Job: "j", Outcome: Refused, Why: code.JobBehind, Retry: time.Second, Clear: true})
+	g.Settle(g.now, a,
+		Settlement{Job: "j", Outcome: Refused, Why: code.JobBacklogTooLong, Retry: time.Second, Clear: true})
 	g.advance(400 * ms)
 	assert.DeepEqual(t, g.claim(b, 2, "j"),
-		Reply{Job: "j", State: Answered, Outcome: Refused, Why: code.JobBehind, Retry: 600 * ms})
+		Reply{Job: "j", State: Answered, Outcome: Refused, Why: code.JobBacklogTooLong, Retry: 600 * ms})
 	g.advance(600 * ms)
 	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Granted})
 }
--- a/code/code.go
+++ b/code/code.go
@@ -17,7 +17,7 @@
 	UnknownField        Code = 102
 	NoTasks             Code = 103
 	TooManyTasks        Code = 104
-	DoubledTask         Code = 105
+	DuplicateTask       Code = 105
 	TooLarge            Code = 106
 	UnknownService      Code = 107
 	UnknownOrganisation Code = 108
@@ -37,7 +37,7 @@
 	RateLimited      Code = 203
 	CannotMeetExpiry Code = 204
 	NoTarget         Code = 205
-	Leaving          Code = 206
+	EntryStopping    Code = 206
 )
 
 // Codes for unavailable owners and stores (3xx).
@@ -75,7 +75,7 @@
 	NotASeat          Code = 602
 	StaleRevision     Code = 603
 	SlotsFull         Code = 604
-	AgentLeaving      Code = 605
+	AgentStopping     Code = 605
 	TargetUnreachable Code = 606
 	StartExpired      Code = 607
 	NoRecord          Code = 608
@@ -85,51 +85,51 @@
 
 // Reasons why a run was not started or has ended (7xx).
 const (
-	RunListed          Code = 700
-	RunNoRoom          Code = 701
-	RunStaleOwner      Code = 702
-	RunNotTaking       Code = 703
-	RunPresent         Code = 704
-	RunOld             Code = 705
-	RunLate            Code = 706
-	RunFenced          Code = 707
-	RunTargetUnhealthy Code = 708
-	RunBadCall         Code = 709
-	RunAbsent          Code = 710
-	RunTargetGone      Code = 711
-	RunTargetSilent    Code = 712
-	RunOwnerStops      Code = 713
-	RunOwnerGone       Code = 714
-	RunOwnerSilent     Code = 715
-	RunOverLimit       Code = 716
-	RunTargetRoom      Code = 717
-	RunSpecUnknown     Code = 718
-	RunHallEvacuated   Code = 719
-	RunTargetLeft      Code = 720
+	RunListed              Code = 700
+	RunNoRoom              Code = 701
+	RunStaleOwner          Code = 702
+	RunTargetNotAccepting  Code = 703
+	RunPresent             Code = 704
+	RunStaleNumber         Code = 705
+	RunStartDeadlinePassed Code = 706
+	RunFenced              Code = 707
+	RunTargetUnhealthy     Code = 708
+	RunBadCall             Code = 709
+	RunAbsent              Code = 710
+	RunTargetGone          Code = 711
+	RunTargetSilent        Code = 712
+	RunOwnerStops          Code = 713
+	RunOwnerGone           Code = 714
+	RunOwnerSilent         Code = 715
+	RunCallerTimeout       Code = 716
+	RunTargetNoRoom        Code = 717
+	RunSpecUnknown         Code = 718
+	RunHallEvacuated       Code = 719
+	RunTargetShutDown      Code = 720
 )
 
 // Reasons for decisions (8xx): of an entry on a job (801-810, 813-815) or on moving a run
 // (811, 812), and of an agent on the health of its target (821-824).
 const (
-	JobAllDone      Code = 801
-	JobAttempts     Code = 802
-	JobOutOfTime    Code = 803
-	JobTooLate      Code = 804
-	JobCallerLeaves Code = 805
-	JobCancelled    Code = 806
-	JobUnsupported  Code = 807
-	JobNoConfig     Code = 808
-	JobBehind       Code = 809
-	JobLinkFull     Code = 810
-	RunMovedEjected Code = 811
-	RunMovedOverdue Code = 812
-	JobEvacuated    Code = 813
-	JobHallLost     Code = 814
-	JobCrashes      Code = 815
-	TargetFails     Code = 821
-	TargetSlow      Code = 822
-	TargetOverdue   Code = 823
-	TargetRecovered Code = 824
+	JobAllDone        Code = 801
+	JobAttempts       Code = 802
+	JobOutOfTime      Code = 803
+	JobTooLate        Code = 804
+	JobCallerTimeout  Code = 805
+	JobCancelled      Code = 806
+	JobUnsupported    Code = 807
+	JobNoConfig       Code = 808
+	JobBacklogTooLong Code = 809
+	JobLinkFull       Code = 810
+	RunMovedEjected   Code = 811
+	RunMovedOverdue   Code = 812
+	JobEvacuated      Code = 813
+	JobHallLost       Code = 814
+	JobCrashes        Code = 815
+	TargetFails       Code = 821
+	TargetSlow        Code = 822
+	TargetOverdue     Code = 823
+	TargetRecovered   Code = 824
 )
 
 // Row describes one code. docs/result-codes.md is generated from the rows.
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -92,9 +92,9 @@
 
 // answerCodes are the result codes with which an entry answers requests for jobs.
 var answerCodes = []code.Code{
-	code.JobAllDone, code.JobAttempts, code.JobOutOfTime, code.JobTooLate, code.JobCallerLeaves, code.JobCancelled,
-	code.JobUnsupported, code.JobNoConfig, code.JobBehind, code.JobLinkFull, code.JobEvacuated, code.JobHallLost,
-	code.JobCrashes, code.QueueFull,
+	code.JobAllDone, code.JobAttempts, code.JobOutOfTime, code.JobTooLate, code.JobCallerTimeout, code.JobCancelled,
+	code.JobUnsupported, code.JobNoConfig, code.JobBacklogTooLong, code.JobLinkFull, code.JobEvacuated,
+	code.JobHallLost, code.JobCrashes, code.QueueFull,
 }
 
 // CountAnswer counts an answer by its result code, including answers to requests that were refused
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -196,7 +196,7 @@
 	b := newHarness(t, "a", "b")
 	b.reportState("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
-	b.reportEnd("a", b.starts("a")[0], task.EndRejected, code.RunOld)
+	b.reportEnd("a", b.starts("a")[0], task.EndRejected, code.RunStaleNumber)
 	assert.Equal(t, b.starts("b")[0].Run, 3)
 }
 
@@ -324,7 +324,7 @@
 	j.CallerTimeout = 50 * ms // its tasks take 100 ms
 	b.submit(j)
 	assert.Equal(t, b.answers["1"].Kind, Refused)
-	assert.Equal(t, b.answers["1"].Why, code.JobCallerLeaves)
+	assert.Equal(t, b.answers["1"].Why, code.JobCallerTimeout)
 	assert.Equal(t, len(b.starts("a")), 0)
 	j = jobOf("2", 2)
 	j.CallerTimeout = 150 * ms
@@ -335,8 +335,9 @@
 // A rejection by the agent itself means that nothing ran, so the job may still be refused.
 func TestJobWithOnlyRejectedOrdersIsRefused(t *testing.T) {
 	for why, kind := range map[code.Code]Kind{
-		code.RunNoRoom: Refused, code.RunNotTaking: Refused, code.RunStaleOwner: Refused,
-		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunOld: GivenUp, // the order may have reached a target
+		code.RunNoRoom: Refused, code.RunTargetNotAccepting: Refused, code.RunStaleOwner: Refused,
+		// the order may have reached a target
+		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunStaleNumber: GivenUp,
 	} {
 		b := newHarness(t, "a")
 		b.submit(jobOf("1", 1))
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -54,7 +54,7 @@
 func (p deadlineState) refusalCause() code.Code {
 	switch {
 	case p.callerDeadline > 0 && p.now >= p.callerDeadline-answerMargin:
-		return code.JobCallerLeaves
+		return code.JobCallerTimeout
 	case p.started:
 		if p.now > p.arrived+p.allowance() {
 			return code.JobTooLate
@@ -62,7 +62,7 @@
 	case p.now+p.minRemaining() > p.lateObjectiveAt:
 		return code.JobOutOfTime
 	case p.callerDeadline > 0 && p.now+p.minRemaining() > p.callerDeadline:
-		return code.JobCallerLeaves
+		return code.JobCallerTimeout
 	}
 	return code.OK
 }
@@ -168,7 +168,7 @@
 	for _, j := range order {
 		wait := time.Duration(ahead / q.workRate * float64(time.Second))
 		if !j.mayHaveRun() && o.claimed(j) && o.shouldRefuse(j.position(now, wait, earlierJobMeets)) {
-			o.giveUp(now, j, code.JobBehind)
+			o.giveUp(now, j, code.JobBacklogTooLong)
 			continue
 		}
 		earlierJobMeets = earlierJobMeets || !j.missesObjective()
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -54,7 +54,7 @@
 // forwarded to the target.
 func neverReachedTarget(why code.Code) bool {
 	switch why {
-	case code.RunNoRoom, code.RunNotTaking, code.RunStaleOwner, code.RunSpecUnknown, code.RunHallEvacuated:
+	case code.RunNoRoom, code.RunTargetNotAccepting, code.RunStaleOwner, code.RunSpecUnknown, code.RunHallEvacuated:
 		return true
 	}
 	return false
@@ -172,7 +172,7 @@
 		a.specs = peer.Specs{} // the next order includes the spec
 		j.specAgent = ""
 	}
-	if why == code.RunOld {
+	if why == code.RunStaleNumber {
 		t.run *= 2 // the target has seen this run number or a higher one
 	}
 }
--- a/owner/retry_test.go
+++ b/owner/retry_test.go
@@ -13,8 +13,8 @@
 // needs no backoff, as the agent reports its state in the same frame.
 func TestTargetRejectionBacksOffTask(t *testing.T) {
 	for why, backsOff := range map[code.Code]bool{
-		code.RunNoRoom: false, code.RunNotTaking: false, code.RunStaleOwner: false,
-		code.RunTargetUnhealthy: true, code.RunTargetRoom: true, code.RunPresent: true,
+		code.RunNoRoom: false, code.RunTargetNotAccepting: false, code.RunStaleOwner: false,
+		code.RunTargetUnhealthy: true, code.RunTargetNoRoom: true, code.RunPresent: true,
 	} {
 		o := newTestOwner(1)
 		j := newJob(0, task.Job{Steps: []task.Step{{Count: 1}}})
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -74,7 +74,7 @@
 		})},
 		{"entry: settles a job", frameWith(func(f *Frame) {
 			f.Settled = []claim.Settlement{
-				{Job: id.Job, Outcome: claim.Refused, Why: code.JobBehind, Retry: time.Second, Clear: true},
+				{Job: id.Job, Outcome: claim.Refused, Why: code.JobBacklogTooLong, Retry: time.Second, Clear: true},
 				{Job: id.Job, Clear: true, Ran: true},
 			}
 		})},
--- a/seats/guard/start.go
+++ b/seats/guard/start.go
@@ -85,7 +85,7 @@
 	case !g.view.HasAgent(g.cfg.Self):
 		return code.AgentNotConfirmed
 	case g.leaving:
-		return code.AgentLeaving
+		return code.AgentStopping
 	case !g.target.Known || g.target.Service != m.Service:
 		return code.WrongService
 	case g.target.Drained:
--- a/seats/home/judge.go
+++ b/seats/home/judge.go
@@ -114,7 +114,7 @@
 		return refusal{code.NoTarget, "no target of the service takes work now", h.cfg.Heartbeat * 2}, false
 	}
 	if h.leaving && len(h.view.Seats) == 1 {
-		return refusal{code.Leaving, "this entry is stopping", h.cfg.Heartbeat}, false
+		return refusal{code.EntryStopping, "this entry is stopping", h.cfg.Heartbeat}, false
 	}
 	if queued+n > bounds.Queue && queued > 0 {
 		return refusal{code.QueueFull, "the service's queue is full here", s.drain.turnFor(h.now.Mono, n)}, false
--- a/seats/home/place.go
+++ b/seats/home/place.go
@@ -269,7 +269,7 @@
 		l.restUntil = h.now.Mono + restFull
 	case code.TargetUnreachable:
 		l.restUntil = h.now.Mono + restFailing
-	case code.AgentLeaving, code.AgentDraining:
+	case code.AgentStopping, code.AgentDraining:
 		l.leaving = true
 	case code.StartExpired, code.NoRecord:
 	default:
--- a/seats/job/submission.go
+++ b/seats/job/submission.go
@@ -138,7 +138,7 @@
 		return code.Errorf(code.BadID, "the task's id %.40q is not an id", t.ID)
 	}
 	if seen[t.ID] {
-		return code.Errorf(code.DoubledTask, "two tasks have the id %q", t.ID)
+		return code.Errorf(code.DuplicateTask, "two tasks have the id %q", t.ID)
 	}
 	seen[t.ID] = true
 	if t.ExpectedMS < 0 {
--- a/supervisor/crash.go
+++ b/supervisor/crash.go
@@ -30,7 +30,7 @@
 func (t *target) lossReason(r *run) code.Code {
 	switch {
 	case t.shutdownAnnounced():
-		return code.RunTargetLeft
+		return code.RunTargetShutDown
 	case !r.started:
 		return code.RunAbsent
 	}
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -113,7 +113,7 @@
 	case s.evacuated():
 		return code.RunHallEvacuated
 	case !s.accepting(now):
-		return code.RunNotTaking
+		return code.RunTargetNotAccepting
 	case s.runs[name] != nil:
 		return code.RunPresent
 	case !order.Needs.Fits(s.freeRoom(now, c)):
@@ -133,7 +133,7 @@
 		s.stop(now, r, code.RunOwnerSilent)
 	}
 	if r.endBy > 0 && now >= r.endBy && !r.stopping {
-		s.stop(now, r, code.RunOverLimit)
+		s.stop(now, r, code.RunCallerTimeout)
 	}
 	if s.checkSpec(now, r) {
 		return
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -171,7 +171,7 @@
 	assert.Equal(t, b.sentEnds()[0].Reason, code.RunTargetGone)
 	assert.Equal(t, b.target.id(), "i-2")
 	b.sendOrders(order(1, 1000))
-	assert.Equal(t, b.sentEnds()[1].Reason, code.RunNotTaking) // until the target is cleared
+	assert.Equal(t, b.sentEnds()[1].Reason, code.RunTargetNotAccepting) // until the target is cleared
 }
 
 // TestNewAgentWaitsForClearedTarget guards against starts by a new agent before the orders of
