--- a/framing/framing.go
+++ b/framing/framing.go
@@ -18,27 +18,27 @@
 // ErrSize is returned for frames larger than the limit.
 var ErrSize = errors.New("framing: frame is larger than the limit")
 
-// Form is an encoding of structs.
-type Form bool
+// StructEncoding is an encoding of structs.
+type StructEncoding bool
 
 const (
-	// Arrays encodes a struct as an array of all fields in order. The encoding is compact, but
+	// EncodeArrays encodes a struct as an array of all fields in order. The encoding is compact, but
 	// does not allow fields to be added.
-	Arrays Form = false
-	// Maps encodes a struct as a map from field names to the values of non-empty fields.
-	Maps Form = true
+	EncodeArrays StructEncoding = false
+	// EncodeMaps encodes a struct as a map from field names to the values of non-empty fields.
+	EncodeMaps StructEncoding = true
 )
 
 // Append appends a frame with the values to buf. limit is the maximum size in bytes without the
 // prefix; for a larger frame Append returns ErrSize. On error it returns buf unchanged.
-func Append(buf []byte, limit int, form Form, values ...any) ([]byte, error) {
+func Append(buf []byte, limit int, encoding StructEncoding, values ...any) ([]byte, error) {
 	w := &sliceWriter{data: append(buf, make([]byte, PrefixSize)...)}
 	enc := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(enc)
 	enc.Reset(w)
 	enc.UseCompactInts(true)
-	enc.UseArrayEncodedStructs(form == Arrays)
-	enc.SetOmitEmpty(form == Maps)
+	enc.UseArrayEncodedStructs(encoding == EncodeArrays)
+	enc.SetOmitEmpty(encoding == EncodeMaps)
 	if err := enc.EncodeMulti(values...); err != nil {
 		return buf, fmt.Errorf("framing: encode frame: %w", err)
 	}
--- a/framing/framing_test.go
+++ b/framing/framing_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestAppendReadRoundTrip(t *testing.T) {
-	buf, err := Append([]byte("before"), 100, Arrays, "one", 2)
+	buf, err := Append([]byte("before"), 100, EncodeArrays, "one", 2)
 	assert.NilError(t, err)
 	assert.Equal(t, string(buf[:6]), "before")
 	body, err := Read(bytes.NewReader(buf[6:]), 100)
@@ -17,7 +17,7 @@
 }
 
 func TestFrameOverLimitIsRejected(t *testing.T) {
-	buf, err := Append([]byte("before"), 4, Arrays, "long text")
+	buf, err := Append([]byte("before"), 4, EncodeArrays, "long text")
 	assert.ErrorIs(t, err, ErrSize)
 	assert.Equal(t, string(buf), "before")
 	_, err = Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff}), 4)
--- a/peer/array_test.go
+++ b/peer/array_test.go
@@ -74,7 +74,7 @@
 		Hello *laterHello
 		Later []task.Needs
 	}
-	buf, err := framing.Append(nil, maxFrameBytes, framing.Maps,
+	buf, err := framing.Append(nil, maxFrameBytes, framing.EncodeMaps,
 		&laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Needs{{CPU: 1}}})
 	assert.NilError(t, err)
 	f, err := DecodeFrame(buf[framing.PrefixSize:])
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -238,7 +238,7 @@
 
 // AppendFrame appends f with its length prefix to buf.
 func AppendFrame(buf []byte, f *Frame) ([]byte, error) {
-	return framing.Append(buf, maxFrameBytes, framing.Maps, f)
+	return framing.Append(buf, maxFrameBytes, framing.EncodeMaps, f)
 }
 
 // ReadFrame reads one frame. It checks the size before allocating memory.
--- a/seats/wire/codec.go
+++ b/seats/wire/codec.go
@@ -24,7 +24,7 @@
 // AppendFrame writes f with its length prefix to buf.
 func AppendFrame(buf *bytes.Buffer, f Frame) error {
 	f.Header.Kind = f.Body.Kind()
-	raw, err := framing.Append(buf.AvailableBuffer(), MaxFrame, framing.Arrays, &f.Header, f.Body)
+	raw, err := framing.Append(buf.AvailableBuffer(), MaxFrame, framing.EncodeArrays, &f.Header, f.Body)
 	if err != nil {
 		return err
 	}
