--- a/node/agent.go
+++ b/node/agent.go
@@ -56,8 +56,8 @@
 
 // agentConn is a connection from an entry.
 type agentConn struct {
-	name  string     // of the entry
-	level peer.Level // protocol level of the entry
+	name  string             // of the entry
+	level peer.ProtocolLevel // protocol level of the entry
 	conn  *peer.Conn
 	echo  time.Duration // latest stamp received from the entry
 }
--- a/node/link.go
+++ b/node/link.go
@@ -30,11 +30,11 @@
 // link is an entry's connection to one agent. It is re-established after each failure.
 type link struct {
 	registration Registration
-	conn         *peer.Conn    // nil while disconnected
-	echo         peer.Echo     // tracks the agent's stamps
-	sentAt       time.Duration // when the last frame was sent
-	retryNow     chan struct{} // signals that the next attempt is due immediately
-	stop         func()        // closes the link permanently
+	conn         *peer.Conn     // nil while disconnected
+	agentClock   peer.PeerClock // tracks the agent's stamps
+	sentAt       time.Duration  // when the last frame was sent
+	retryNow     chan struct{}  // signals that the next attempt is due immediately
+	stop         func()         // closes the link permanently
 }
 
 // logAddressChange logs that an agent has a new address.
@@ -137,7 +137,7 @@
 	}
 	e.reach.set.SetLost(l.registration.Name, false)
 	l.conn = c
-	l.echo = peer.Echo{}
+	l.agentClock = peer.PeerClock{}
 	e.connectedAgents.Add(1)
 	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers,
 		Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.reach.set.Known()}
@@ -174,7 +174,7 @@
 		e.reach.set.SetFleet(f.Hello.Fleet)
 	}
 	now := e.clock.now()
-	l.echo.Observe(now, f.Stamp)
+	l.agentClock.Observe(now, f.Stamp)
 	e.exchangeDocument(now, l.registration.Name, f)
 	e.owner.Receive(now, l.registration.Name, f)
 }
@@ -191,7 +191,7 @@
 	}
 	l.sentAt = e.clock.now()
 	f.Stamp = l.sentAt
-	f.Echo = l.echo.At(e.pause.lastAt)
+	f.Echo = l.agentClock.At(e.pause.lastAt)
 	f.Config = e.version()
 	return l.conn.Send(f)
 }
@@ -201,7 +201,7 @@
 func (e *Entry) closeSilent(now time.Duration) {
 	for name, l := range e.links {
 		if l.conn != nil && e.owner.SilentTooLong(now, name) {
-			l.conn.CloseFor(errSilenceTimeout)
+			l.conn.CloseWithCause(errSilenceTimeout)
 		}
 	}
 }
--- a/node/pause.go
+++ b/node/pause.go
@@ -12,7 +12,7 @@
 // sent in the meantime.
 const (
 	// pauseThreshold is the time between two ticks above which the process counts as paused.
-	pauseThreshold = peer.Silence / 2
+	pauseThreshold = peer.SilenceTimeout / 2
 	// catchUpTime is how long after a pause the silence of peers is ignored, while the frames
 	// that arrived during the pause are read.
 	catchUpTime = 100 * time.Millisecond
--- a/node/session.go
+++ b/node/session.go
@@ -22,7 +22,7 @@
 	c := peer.NewConn(raw)
 	defer c.Close()
 	defer context.AfterFunc(ctx, c.Close)()
-	watchdog := time.AfterFunc(peer.Silence, func() { c.CloseFor(errSilenceTimeout) })
+	watchdog := time.AfterFunc(peer.SilenceTimeout, func() { c.CloseWithCause(errSilenceTimeout) })
 	f, err := c.Receive()
 	watchdog.Stop()
 	if err == nil && f.AskSpec != "" {
@@ -129,7 +129,7 @@
 func (a *Agent) closeSilent(now time.Duration) {
 	for id, c := range a.conns {
 		if a.supervisor.SilentTooLong(now, id) {
-			c.conn.CloseFor(errSilenceTimeout)
+			c.conn.CloseWithCause(errSilenceTimeout)
 		}
 	}
 }
--- a/node/zip.go
+++ b/node/zip.go
@@ -71,7 +71,7 @@
 }
 
 // frame returns a frame with the document, compressed if the peer's protocol level supports it.
-func (d *document) frame(level peer.Level) (*peer.Frame, error) {
+func (d *document) frame(level peer.ProtocolLevel) (*peer.Frame, error) {
 	if level >= peer.LevelRelay {
 		gzipped, err := d.compress()
 		return &peer.Frame{DocumentZip: gzipped}, err
--- a/node/zip_test.go
+++ b/node/zip_test.go
@@ -14,8 +14,8 @@
 // protocol levels forward, and against sending it uncompressed to peers that support compression.
 func TestForwardedDocumentIsUnchanged(t *testing.T) {
 	text := bytes.Repeat([]byte(`{"route":"nony24.example"}`), 4000)
-	for _, first := range []peer.Level{peer.LevelBase, peer.LevelNewest} {
-		for _, second := range []peer.Level{peer.LevelBase, peer.LevelNewest} {
+	for _, first := range []peer.ProtocolLevel{peer.LevelBase, peer.LevelNewest} {
+		for _, second := range []peer.ProtocolLevel{peer.LevelBase, peer.LevelNewest} {
 			own := document{plain: text}
 			f, err := own.frame(first)
 			assert.NilError(t, err)
--- a/owner/agent.go
+++ b/owner/agent.go
@@ -20,8 +20,8 @@
 type agent struct {
 	name        string
 	connected   bool
-	level       peer.Level    // protocol level of the agent
-	lastFrameAt time.Duration // when its last frame arrived
+	level       peer.ProtocolLevel // protocol level of the agent
+	lastFrameAt time.Duration      // when its last frame arrived
 	// connectedAt is when the connection was made.
 	connectedAt time.Duration
 	sentAt      time.Duration // when the last frame was sent to it
@@ -30,7 +30,7 @@
 	// when the watch began, or when an order or a room request was last sent.
 	watching             bool
 	watchedSince, usedAt time.Duration
-	specs                peer.Specs // specs that the agent has stored
+	specs                peer.SpecCache // specs that the agent has stored
 
 	// knownEvacuations is the latest revision of the evacuated halls that the agent has sent or
 	// received on this connection. evacuated reports whether its target's hall is one of them.
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -30,7 +30,7 @@
 	}
 	a.level = peer.LevelBase
 	a.lastFrameAt = now
-	a.specs = peer.Specs{}
+	a.specs = peer.SpecCache{}
 	a.knownEvacuations = 0
 	a.evacuated = false
 	a.profile = peer.Profile{}
--- a/owner/decision_bench_test.go
+++ b/owner/decision_bench_test.go
@@ -42,7 +42,7 @@
 				agent := asked[0]
 				o.Receive(now, agent, &peer.Frame{State: state,
 					Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 4000, MemoryMB: 100}}})
-				o.Receive(now, agent, &peer.Frame{Ended: []peer.Ended{{
+				o.Receive(now, agent, &peer.Frame{Ended: []peer.RunEnd{{
 					Ref: task.Ref{Task: orders[0].Task, Run: 1}, End: task.EndDone, Took: 100 * ms}}})
 				for _, other := range asked[1:] {
 					o.Receive(now, other, &peer.Frame{State: state, Reservation: &peer.Reservation{ID: 2}})
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -83,7 +83,7 @@
 	}
 	o := b.starts(name)[0]
 	set := evacuation.NewSet(7, []string{name})
-	b.Receive(b.now, name, &peer.Frame{Evacuations: &set, Ended: []peer.Ended{{
+	b.Receive(b.now, name, &peer.Frame{Evacuations: &set, Ended: []peer.RunEnd{{
 		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: task.EndRejected, Reason: code.RunHallEvacuated,
 		TargetFault: true}}})
 	assert.Equal(t, len(b.starts(other)), 1)
--- a/owner/log.go
+++ b/owner/log.go
@@ -66,7 +66,7 @@
 }
 
 // logWaits logs that a task waits again after the end of a run.
-func (o *Owner) logWaits(t *taskState, a *agent, e peer.Ended) {
+func (o *Owner) logWaits(t *taskState, a *agent, e peer.RunEnd) {
 	o.log(event.TaskWaits,
 		slog.String("task", e.Ref.Task.String()),
 		slog.Int("run", e.Ref.Run),
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -79,7 +79,7 @@
 
 // reportEnd has an agent report the end of a run.
 func (b *harness) reportEnd(agent string, o task.Order, end task.End, why code.Code) {
-	b.Receive(b.now, agent, &peer.Frame{Ended: []peer.Ended{{
+	b.Receive(b.now, agent, &peer.Frame{Ended: []peer.RunEnd{{
 		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: end, Reason: why, Took: 100 * ms}}})
 }
 
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -95,7 +95,7 @@
 // runEnded handles the reported end of a run: it answers the job or queues the task again.
 // Reports of unknown runs are ignored: the job was answered, or the run was ordered on an earlier
 // connection.
-func (o *Owner) runEnded(now time.Duration, a *agent, e peer.Ended) {
+func (o *Owner) runEnded(now time.Duration, a *agent, e peer.RunEnd) {
 	id := e.Ref.Task
 	j := a.tasks[id]
 	if j == nil {
@@ -169,7 +169,7 @@
 		t.avoidAgent(a, now+rejectionBackoff)
 	}
 	if why == code.RunSpecUnknown {
-		a.specs = peer.Specs{} // the next order includes the spec
+		a.specs = peer.SpecCache{} // the next order includes the spec
 		j.specAgent = ""
 	}
 	if why == code.RunStaleNumber {
--- a/owner/suspension.go
+++ b/owner/suspension.go
@@ -13,7 +13,7 @@
 const (
 	// minSuspensionTime is the minimum time between two ticks after which the process counts as
 	// suspended: by then the agents in use have closed its connections.
-	minSuspensionTime = peer.Silence
+	minSuspensionTime = peer.SilenceTimeout
 	// resumeIsolationTime is how long the process counts as isolated after it resumes, while
 	// it reconnects to all agents. Homes chosen before that could differ from those of other
 	// entries.
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -42,7 +42,7 @@
 		return
 	}
 	a.state.Free = task.Needs{}
-	a.out.Watch = peer.WatchBegins
+	a.out.Watch = peer.WatchStart
 	o.markDirty(a)
 }
 
@@ -58,7 +58,7 @@
 		a.reserved = nil
 	}
 	o.watched = deleteAgent(o.watched, a)
-	a.out.Watch = peer.WatchEnds
+	a.out.Watch = peer.WatchStop
 	o.markDirty(a)
 }
 
@@ -152,7 +152,7 @@
 }
 
 // Level returns the protocol level of an agent.
-func (o *Owner) Level(agent string) peer.Level {
+func (o *Owner) Level(agent string) peer.ProtocolLevel {
 	if a := o.agents[agent]; a != nil {
 		return a.level
 	}
--- a/peer/array.go
+++ b/peer/array.go
@@ -23,7 +23,7 @@
 	UsedReservation uint64
 	RoomRequest     *RoomRequest
 	State           *State
-	Ended           []Ended
+	Ended           []RunEnd
 	Reservation     *Reservation
 }
 
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -22,8 +22,8 @@
 )
 
 // Conn is a connection between two processes. Frames are sent in order. Send never blocks: frames
-// are queued, and a peer that reads too slowly is disconnected. Send, Close, CloseFor and Cause are
-// safe for concurrent use; Receive and Run must each be called from a single goroutine.
+// are queued, and a peer that reads too slowly is disconnected. Send, Close, CloseWithCause and
+// Cause are safe for concurrent use; Receive and Run must each be called from a single goroutine.
 type Conn struct {
 	raw       net.Conn
 	reader    *bufio.Reader
@@ -112,7 +112,7 @@
 		}
 		if len(buf) > 0 {
 			if _, err := c.raw.Write(buf); err != nil {
-				c.CloseFor(err)
+				c.CloseWithCause(err)
 				return
 			}
 		}
@@ -132,7 +132,7 @@
 
 // Close closes the connection.
 func (c *Conn) Close() {
-	c.CloseFor(nil)
+	c.CloseWithCause(nil)
 }
 
 // Cause returns why the connection ended: the local cause of its closing if there is one,
@@ -146,8 +146,8 @@
 	return receiveErr
 }
 
-// CloseFor closes the connection with a cause. Only the first cause is kept.
-func (c *Conn) CloseFor(cause error) {
+// CloseWithCause closes the connection with a cause. Only the first cause is kept.
+func (c *Conn) CloseWithCause(cause error) {
 	c.closeOnce.Do(func() {
 		c.mu.Lock()
 		c.closed = true
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -33,7 +33,7 @@
 	// Stamp is the sender's clock when the frame is sent, zero if the frame is not stamped.
 	Stamp time.Duration
 	// Echo is a lower bound of the receiver's clock when the frame is sent. An entry derives it
-	// from the latest stamp with type Echo; an agent returns the latest stamp unchanged. The
+	// from the latest stamp with type PeerClock; an agent returns the latest stamp unchanged. The
 	// agent measures the lease that it grants to the entry from Echo.
 	Echo time.Duration
 	// Seq is the sequence number of the frame in its direction of the connection, starting at
@@ -80,7 +80,7 @@
 	// State, Ended and Reservation are sent by agents: the state of the target, the ends of
 	// runs, and capacity reserved for the receiver.
 	State       *State
-	Ended       []Ended
+	Ended       []RunEnd
 	Reservation *Reservation
 	// Crashed holds runs that were reported as lapsed and later found to have been executing
 	// when the target crashed. It is sent by agents; peers of LevelBase ignore it.
@@ -112,7 +112,7 @@
 	Introduce bool
 	// Level is the newest protocol level that the sender supports, LevelBase if the sender sends
 	// none.
-	Level Level
+	Level ProtocolLevel
 	// Boot distinguishes restarts of the same entry.
 	Boot uint64
 	// Fleet is the number of agents known to an entry. An agent sends the highest number
@@ -121,14 +121,14 @@
 	Fleet int
 }
 
-// Level is a level of the protocol between entries and agents. A connection uses the lower level of
+// ProtocolLevel is a level of the protocol between entries and agents. A connection uses the lower level of
 // its two sides.
-type Level int
+type ProtocolLevel int
 
 const (
 	// LevelBase sends a heartbeat every HeartbeatInterval in both directions, all state
 	// updates, and the spec in each order.
-	LevelBase Level = iota
+	LevelBase ProtocolLevel = iota
 	// LevelWatch adds watches: entries watch the agents that they use, and other connections
 	// carry a heartbeat every IdleHeartbeatInterval. A spec is not sent again while it is cached.
 	LevelWatch
@@ -147,10 +147,10 @@
 const (
 	// WatchUnchanged is the value in frames that neither begin nor end a watch.
 	WatchUnchanged Watch = iota
-	// WatchBegins begins a watch.
-	WatchBegins
-	// WatchEnds ends a watch.
-	WatchEnds
+	// WatchStart begins a watch.
+	WatchStart
+	// WatchStop ends a watch.
+	WatchStop
 )
 
 // GivenSpec is an agent's answer to another agent's request for a spec.
@@ -223,8 +223,8 @@
 	Ejected
 )
 
-// Ended reports the end of a run.
-type Ended struct {
+// RunEnd reports the end of a run.
+type RunEnd struct {
 	Ref task.Ref
 	End task.End
 	// Reason is how the end was determined, or why the run did not start.
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -25,10 +25,10 @@
 		Starts: []task.Order{{Task: id, Run: 2, Spec: "text", Needs: task.Needs{CPU: 1, MemoryMB: 2, GPU: 3},
 			Estimate: 4, Guess: 5}},
 		Stops: []task.Ref{{Task: id, Run: 1}}, UsedReservation: 9, RoomRequest: &RoomRequest{Slack: -time.Second},
-		Watch: WatchBegins, AskSpec: "5c0e7a21d94b36f8", GiveSpec: &GivenSpec{Known: true, Spec: "text"},
+		Watch: WatchStart, AskSpec: "5c0e7a21d94b36f8", GiveSpec: &GivenSpec{Known: true, Spec: "text"},
 		State: &State{Profile: &Profile{Target: "i-1", Labels: []string{"a"}},
 			Speed: 1.25, Health: Ejected, Accepting: true, SeenSeq: 8},
-		Ended: []Ended{{Ref: task.Ref{Task: id, Run: 2}, End: task.EndDone,
+		Ended: []RunEnd{{Ref: task.Ref{Task: id, Run: 2}, End: task.EndDone,
 			Reason: code.RunListed, Took: time.Second}},
 		Reservation: &Reservation{ID: 1},
 	}
@@ -121,8 +121,8 @@
 	_, err := c.Receive()
 	assert.ErrorIs(t, c.Cause(err), io.EOF)
 	silent := errors.New("silent")
-	c.CloseFor(silent)
-	c.CloseFor(errors.New("later"))
+	c.CloseWithCause(silent)
+	c.CloseWithCause(errors.New("later"))
 	assert.ErrorIs(t, c.Cause(err), silent)
 
 	one, _ = net.Pipe()
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -61,7 +61,7 @@
 			f.RoomRequest = &RoomRequest{Slack: -30 * time.Millisecond, Needs: task.Needs{CPU: 1600},
 				Total: task.Needs{CPU: 12800, MemoryMB: 512, GPU: 2}}
 		})},
-		{"entry: begins to watch", frameWith(func(f *Frame) { f.Watch = WatchBegins })},
+		{"entry: begins to watch", frameWith(func(f *Frame) { f.Watch = WatchStart })},
 		{"entry: starts, the spec is kept there", frameWith(func(f *Frame) {
 			f.Starts = []task.Order{{Task: id, Run: 1, SpecKept: true, Needs: task.Needs{CPU: 1600, MemoryMB: 64}}}
 		})},
@@ -102,7 +102,7 @@
 		{"agent: ends of runs", frameWith(func(f *Frame) {
 			for _, e := range []task.End{task.EndNone, task.EndDone, task.EndFailed, task.EndStopped,
 				task.EndLapsed, task.EndLost, task.EndRejected} {
-				f.Ended = append(f.Ended, Ended{Ref: task.Ref{Task: id, Run: 2}, End: e,
+				f.Ended = append(f.Ended, RunEnd{Ref: task.Ref{Task: id, Run: 2}, End: e,
 					Reason: code.RunListed, Took: 59 * time.Millisecond, TargetFault: true})
 			}
 		})},
--- a/peer/heartbeat.go
+++ b/peer/heartbeat.go
@@ -10,12 +10,12 @@
 	HeartbeatInterval = 110 * time.Millisecond
 	// IdleHeartbeatInterval is the same for a connection that is not in use.
 	IdleHeartbeatInterval = 2 * time.Second
-	// Silence is how long the peer of a connection in use may be silent before the connection
-	// is closed. It is longer than the entry's lease.
-	Silence = 800 * time.Millisecond
-	// IdleSilence is the same for a connection that is not in use, which has no runs. It
-	// tolerates one missing heartbeat. From the beginning of its use Silence applies.
-	IdleSilence = 2*IdleHeartbeatInterval + Silence
+	// SilenceTimeout is how long the peer of a connection in use may be silent before the
+	// connection is closed. It is longer than the entry's lease.
+	SilenceTimeout = 800 * time.Millisecond
+	// IdleSilenceTimeout is the same for a connection that is not in use, which has no runs. It
+	// tolerates one missing heartbeat. From the beginning of its use SilenceTimeout applies.
+	IdleSilenceTimeout = 2*IdleHeartbeatInterval + SilenceTimeout
 )
 
 // ClearTime is how long after an entry's last frame a run that the entry started may still execute.
@@ -36,7 +36,7 @@
 // the use of the connection began; it is ignored if used is false.
 func SilentTooLong(now, receivedAt time.Duration, used bool, usedSince time.Duration) bool {
 	if !used {
-		return now-receivedAt > IdleSilence
+		return now-receivedAt > IdleSilenceTimeout
 	}
-	return now-max(receivedAt, usedSince) > Silence
+	return now-max(receivedAt, usedSince) > SilenceTimeout
 }
--- a/peer/spec.go
+++ b/peer/spec.go
@@ -5,10 +5,10 @@
 // maxCachedSpecs is the number of specs cached per connection. It must be the same on both sides.
 const maxCachedSpecs = 16
 
-// Specs caches the specs sent most recently on a connection, so that a spec is not sent again with
+// SpecCache caches the specs sent most recently on a connection, so that a spec is not sent again with
 // further orders of its job while it is cached. Sender and receiver add the same jobs in the same
 // order, so both caches hold the same jobs. The sender may leave out the text of the specs.
-type Specs struct {
+type SpecCache struct {
 	entries []jobSpec
 	next    int // where the next spec is stored once the cache is full
 }
@@ -18,7 +18,7 @@
 }
 
 // Add caches the spec of a job. If the cache is full, the spec replaces the oldest one.
-func (s *Specs) Add(job, spec string) {
+func (s *SpecCache) Add(job, spec string) {
 	if len(s.entries) < maxCachedSpecs {
 		s.entries = append(s.entries, jobSpec{job, spec})
 		return
@@ -28,7 +28,7 @@
 }
 
 // Find returns the spec of a job if it is cached.
-func (s *Specs) Find(job string) (string, bool) {
+func (s *SpecCache) Find(job string) (string, bool) {
 	k := slices.IndexFunc(s.entries, func(js jobSpec) bool { return js.job == job })
 	if k < 0 {
 		return "", false
--- a/peer/spec_test.go
+++ b/peer/spec_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSpecsEvictOldestFirst guards against sender and receiver caching different specs.
-func TestSpecsEvictOldestFirst(t *testing.T) {
-	var s Specs
+// TestSpecCacheEvictsOldestFirst guards against sender and receiver caching different specs.
+func TestSpecCacheEvictsOldestFirst(t *testing.T) {
+	var s SpecCache
 	const jobs = 3 * maxCachedSpecs
 	for k := range jobs {
 		s.Add(fmt.Sprint(k), fmt.Sprint("spec ", k))
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -81,7 +81,7 @@
 	spec := s.completeSpec(c, &order)
 	if reason := s.rejection(now, c, order, name, spec); reason != code.OK {
 		s.logOrderRejected(now, c, order, reason)
-		c.reportEnd(order, peer.Ended{End: task.EndRejected, Reason: reason, TargetFault: true})
+		c.reportEnd(order, peer.RunEnd{End: task.EndRejected, Reason: reason, TargetFault: true})
 		return
 	}
 	r := &run{order: order, name: name, session: c, startedAt: now}
@@ -168,7 +168,7 @@
 	targetFault := s.recordHealth(now, r, end)
 	if s.sessions[r.session.id] == r.session {
 		r.session.reportEnd(r.order,
-			peer.Ended{End: end, Reason: reason, Took: now - r.startedAt, TargetFault: targetFault})
+			peer.RunEnd{End: end, Reason: reason, Took: now - r.startedAt, TargetFault: targetFault})
 	} else if s.orphanRuns[r.session.name]--; s.orphanRuns[r.session.name] <= 0 {
 		delete(s.orphanRuns, r.session.name)
 	}
--- a/supervisor/session.go
+++ b/supervisor/session.go
@@ -23,15 +23,15 @@
 // session is one connection of an entry.
 type session struct {
 	id    ConnID
-	name  string     // entry name
-	boot  uint64     // identifies the entry's process
-	level peer.Level // protocol level of the entry
+	name  string             // entry name
+	boot  uint64             // identifies the entry's process
+	level peer.ProtocolLevel // protocol level of the entry
 	// watching is set while the entry watches this agent, since watchedSince.
 	watching     bool
 	watchedSince time.Duration
-	lastFrameAt  time.Duration // arrival of the last frame
-	runs         int           // runs of this connection that have not certainly ended
-	specs        peer.Specs    // specs received, by job
+	lastFrameAt  time.Duration  // arrival of the last frame
+	runs         int            // runs of this connection that have not certainly ended
+	specs        peer.SpecCache // specs received, by job
 	// leaseStart is the start of the entry's lease: the latest agent timestamp echoed by
 	// the entry, a lower bound of the agent's clock when the entry sent its last frame.
 	leaseStart time.Duration
@@ -53,7 +53,7 @@
 }
 
 // reportEnd adds the end of a run to the next frame.
-func (c *session) reportEnd(order task.Order, e peer.Ended) {
+func (c *session) reportEnd(order task.Order, e peer.RunEnd) {
 	e.Ref = task.Ref{Task: order.Task, Run: order.Run}
 	c.out.Ended = append(c.out.Ended, e)
 	c.dirty = true
@@ -167,12 +167,12 @@
 // sent at once; at the end the entry's request for resources is dropped.
 func (c *session) setWatch(now time.Duration, w peer.Watch) {
 	switch w {
-	case peer.WatchBegins:
+	case peer.WatchStart:
 		c.watching = true
 		c.watchedSince = now
 		c.stateChanged = true
 		c.stateSentAt = now - time.Hour
-	case peer.WatchEnds:
+	case peer.WatchStop:
 		c.watching = false
 		c.roomRequest = nil
 	}
--- a/supervisor/state_test.go
+++ b/supervisor/state_test.go
@@ -28,11 +28,11 @@
 	b.advance(300 * ms)
 	assert.Equal(t, count, 0)
 
-	b.Receive(b.now, 1, &peer.Frame{Seq: 2, Echo: b.now, Watch: peer.WatchBegins})
+	b.Receive(b.now, 1, &peer.Frame{Seq: 2, Echo: b.now, Watch: peer.WatchStart})
 	assert.Equal(t, count, 1, "the state was not sent at once")
 	assert.Equal(t, last.Free.CPU, 3000)
 
-	b.Receive(b.now, 1, &peer.Frame{Seq: 3, Echo: b.now, Watch: peer.WatchEnds})
+	b.Receive(b.now, 1, &peer.Frame{Seq: 3, Echo: b.now, Watch: peer.WatchStop})
 	r := b.report("i-1", 9)
 	r.Draining = true
 	b.Heartbeat(b.now, r)
@@ -44,7 +44,7 @@
 // TestFewHeartbeatsOnIdleConnections guards against frequent heartbeats on a connection that
 // is not in use; entries below LevelWatch always count as using it.
 func TestFewHeartbeatsOnIdleConnections(t *testing.T) {
-	for level, most := range map[peer.Level]int{peer.LevelNewest: 7, peer.LevelBase: 100} {
+	for level, most := range map[peer.ProtocolLevel]int{peer.LevelNewest: 7, peer.LevelBase: 100} {
 		b := newHarness(t)
 		b.Connected(b.now, 1, peer.Hello{Name: "edge", Level: level})
 		b.frames = nil // the limits are for the ten seconds that follow
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -81,8 +81,8 @@
 }
 
 // sentEnds returns the ends of runs sent to entries.
-func (b *harness) sentEnds() []peer.Ended {
-	var list []peer.Ended
+func (b *harness) sentEnds() []peer.RunEnd {
+	var list []peer.RunEnd
 	for _, f := range b.frames {
 		list = append(list, f.Ended...)
 	}
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -24,7 +24,7 @@
 	cutUntil           time.Duration // no traffic passes before this time
 	lastArrivalAtEntry time.Duration // of the last frame
 	lastArrivalAtAgent time.Duration
-	echoAtEntry        peer.Echo // the agent's latest stamp, as received by the entry
+	echoAtEntry        peer.PeerClock // the agent's latest stamp, as received by the entry
 	echoAtAgent        time.Duration
 	sentAt             time.Duration
 	lastSeq            uint64
@@ -37,7 +37,7 @@
 type linkKey struct{ entry, agent string }
 
 // commonLevel returns the highest protocol level that both sides support.
-func (l *link) commonLevel() peer.Level {
+func (l *link) commonLevel() peer.ProtocolLevel {
 	if l.e.previousVersion() || l.a.previousVersion() {
 		return peer.LevelBase
 	}
@@ -127,7 +127,7 @@
 	id := supervisor.ConnID(w.lastConn)
 	entryIncarnation, agentIncarnation := l.e.incarnation, l.a.incarnation
 	l.openAtEntry = true
-	l.echoAtEntry, l.echoAtAgent, l.lastSeq = peer.Echo{}, 0, 0
+	l.echoAtEntry, l.echoAtAgent, l.lastSeq = peer.PeerClock{}, 0, 0
 	l.silentToAgent, l.silentToEntry = false, false
 	l.e.execute(entryIncarnation, func() {
 		if !l.openAtEntry {
