--- a/node/submit_test.go
+++ b/node/submit_test.go
@@ -18,7 +18,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	j := task.Job{ID: "5c0e7a21d94b36f8", Service: "trackd", Attempts: 1, ObjectiveFactor: 1,
-		Steps: []task.Step{{Count: 1, Needs: task.Needs{CPU: 1000}}}}
+		Steps: []task.Step{{Count: 1, Needs: task.Resources{CPU: 1000}}}}
 	_, err := e.Submit(ctx, j)
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Equal(t, e.Stats().Submitted, uint64(0))
--- a/owner/agent.go
+++ b/owner/agent.go
@@ -83,7 +83,7 @@
 // pendingOrder is room taken by an order that the agent's state may not include yet.
 type pendingOrder struct {
 	seq   uint64 // sequence number of the frame with the order; zero until sent
-	needs task.Needs
+	needs task.Resources
 }
 
 // speed returns the target's speed relative to the reference speed 1, at least minSpeed.
@@ -92,7 +92,7 @@
 }
 
 // freeRoom returns the target's reported free room less pending orders.
-func (a *agent) freeRoom() task.Needs {
+func (a *agent) freeRoom() task.Resources {
 	free := a.state.Free
 	for _, p := range a.pending {
 		free = free.Minus(p.needs)
--- a/owner/callers.go
+++ b/owner/callers.go
@@ -64,7 +64,7 @@
 	j.queue = q
 	o.jobs[desc.ID] = j
 	o.stats.Submitted++
-	o.logAccepted(j, desc.Chain())
+	o.logAccepted(j, desc.CriticalPath())
 	o.recordMissingLabels(j)
 	j.earlierRun = o.dropped[desc.ID] != nil
 	j.homeCount = o.newJobHomeCount(now)
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -337,7 +337,7 @@
 	for _, a := range b.byName {
 		b.beginWatch(b.now, a)
 		b.Receive(b.now, a.name, &peer.Frame{State: &peer.State{
-			Free: task.Needs{CPU: 2000, MemoryMB: 50}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+			Free: task.Resources{CPU: 2000, MemoryMB: 50}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 	}
 	b.submit(jobOf("1", 1))
 	var from *agent
@@ -346,7 +346,7 @@
 			from = a
 		}
 	}
-	room := &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1000, MemoryMB: 50}}
+	room := &peer.Reservation{ID: 7, Room: task.Resources{CPU: 1000, MemoryMB: 50}}
 	b.Receive(b.now, from.name, &peer.Frame{Reservation: room})
 	assert.Equal(t, len(b.allStarts()), 0)
 	b.grantAll("1")
--- a/owner/crash.go
+++ b/owner/crash.go
@@ -187,7 +187,7 @@
 }
 
 // needs returns the room that a run of t takes at a: all of it if t needs an empty target.
-func (t *taskState) needs(now time.Duration, s task.Step, a *agent) task.Needs {
+func (t *taskState) needs(now time.Duration, s task.Step, a *agent) task.Resources {
 	if t.needsEmptyTarget(now) {
 		return a.profile.Capacity
 	}
--- a/owner/decision_bench_test.go
+++ b/owner/decision_bench_test.go
@@ -41,7 +41,7 @@
 				o.Submit(now, jobOf(fmt.Sprint(n), 1), func(Answer) {})
 				agent := asked[0]
 				o.Receive(now, agent, &peer.Frame{State: state,
-					Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 4000, MemoryMB: 100}}})
+					Reservation: &peer.Reservation{ID: 1, Room: task.Resources{CPU: 4000, MemoryMB: 100}}})
 				o.Receive(now, agent, &peer.Frame{Ended: []peer.RunEnd{{
 					Ref: task.Ref{Task: orders[0].Task, Run: 1}, End: task.EndDone, Took: 100 * ms}}})
 				for _, other := range asked[1:] {
@@ -55,8 +55,8 @@
 // halfFull returns the state of a target in a hall with half of its room free.
 func halfFull(hall string) *peer.State {
 	return &peer.State{Profile: &peer.Profile{Service: "trackd", Hall: hall,
-		Capacity: task.Needs{CPU: 16000, MemoryMB: 100}},
-		Free: task.Needs{CPU: 8000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: 1}
+		Capacity: task.Resources{CPU: 16000, MemoryMB: 100}},
+		Free: task.Resources{CPU: 8000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: 1}
 }
 
 // newFleet returns an owner connected to the given number of agents in three halls, at one hour
--- a/owner/estimates_test.go
+++ b/owner/estimates_test.go
@@ -18,7 +18,7 @@
 		name := string(rune('a' + k))
 		o.Connected(0, name)
 		o.Receive(0, name, &peer.Frame{State: &peer.State{
-			Profile: &peer.Profile{Service: "s", Capacity: task.Needs{CPU: 16000}},
+			Profile: &peer.Profile{Service: "s", Capacity: task.Resources{CPU: 16000}},
 			Speed:   speed,
 		}})
 	}
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -17,8 +17,8 @@
 func (b *harness) reportStateIn(agent, hall string, labels ...string) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Hall: hall, Labels: labels,
-			Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free: task.Needs{CPU: 4000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+			Capacity: task.Resources{CPU: 4000, MemoryMB: 100}},
+		Free: task.Resources{CPU: 4000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
 // newHallHarness returns an owner with one agent in each hall, named after the hall.
--- a/owner/job.go
+++ b/owner/job.go
@@ -222,10 +222,10 @@
 	return task.Job{Steps: []task.Step{{Count: tasks, Needs: s.Needs, Estimate: s.Estimate}}}.Work()
 }
 
-// remaining returns the estimate of the longest chain of unfinished steps, on a target of the
+// remaining returns the estimate of the critical path of the unfinished steps, on a target of the
 // usual speed.
 func (j *job) remaining() time.Duration {
-	return j.desc.ChainOf(func(step int) bool { return j.steps[step].unfinished > 0 })
+	return j.desc.CriticalPathOf(func(step int) bool { return j.steps[step].unfinished > 0 })
 }
 
 // spread returns the spread of the first unfinished step.
--- a/owner/log.go
+++ b/owner/log.go
@@ -28,7 +28,7 @@
 		slog.String("why", why.String()))
 }
 
-// logAccepted logs that a job was accepted. guess is the caller's guess for its longest chain.
+// logAccepted logs that a job was accepted. guess is the caller's estimate of its critical path.
 func (o *Owner) logAccepted(j *job, guess time.Duration) {
 	o.log(event.JobAccepted,
 		slog.String("job", j.desc.ID),
@@ -36,7 +36,7 @@
 		slog.String("queue", j.desc.Queue),
 		slog.Int("tasks", j.desc.Tasks()),
 		event.Milliseconds("objective_ms", j.desc.Objective()),
-		event.Milliseconds("chain_ms", j.desc.Chain()),
+		event.Milliseconds("chain_ms", j.desc.CriticalPath()),
 		event.Milliseconds("guess_ms", guess),
 		event.Milliseconds("patience_ms", j.desc.CallerTimeout),
 		slog.Int("waiting", len(j.queue.waiting)))
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -46,15 +46,15 @@
 // reportState has an agent report its target's state, which includes all orders sent so far.
 func (b *harness) reportState(agent string, cpu int, speed float64, health peer.Health) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
-		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true,
+		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Resources{CPU: 4000, MemoryMB: 100}},
+		Free:    task.Resources{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true,
 		SeenSeq: b.seq}})
 }
 
 // jobOf returns a job of one step with the given number of tasks of one core and 100 ms each.
 func jobOf(id string, tasks int) task.Job {
 	return task.Job{ID: id, Queue: "q", Service: "trackd", Attempts: 2, ObjectiveFactor: 1.6, ObjectiveSlack: 60 * ms,
-		Steps: []task.Step{{Count: tasks, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}}}
+		Steps: []task.Step{{Count: tasks, Needs: task.Resources{CPU: 1000}, Estimate: 100 * ms}}}
 }
 
 // submit submits a job and records its answer.
@@ -131,7 +131,7 @@
 	assert.Assert(t, last.RoomRequest != nil)
 	assert.Equal(t, last.RoomRequest.Total.CPU, 2000)
 	b.Receive(b.now, "a",
-		&peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
+		&peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Resources{CPU: 1500, MemoryMB: 100}}})
 	last = b.frames["a"][len(b.frames["a"])-1]
 	assert.Equal(t, last.UsedReservation, uint64(7))
 	assert.Equal(t, len(last.Starts), 1)      // the second task does not fit
@@ -147,7 +147,7 @@
 	b.submit(long)
 	b.submit(jobOf("short", 1))
 	b.Receive(b.now, "a",
-		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 1000, MemoryMB: 100}}})
+		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Resources{CPU: 1000, MemoryMB: 100}}})
 	orders := b.starts("a")
 	assert.Equal(t, orders[len(orders)-1].Task.Job, "short")
 }
@@ -156,7 +156,7 @@
 	b := newHarness(t, "a")
 	j := jobOf("1", 2)
 	j.Steps = append(j.Steps,
-		task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
+		task.Step{Count: 1, Needs: task.Resources{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
 	b.submit(j)
 	assert.Equal(t, len(b.starts("a")), 2)
 	b.reportEnd("a", b.starts("a")[0], task.EndDone, code.RunListed)
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -22,9 +22,9 @@
 
 // candidate is a target that may run a task and has room for it.
 type candidate struct {
-	speed          float64    // relative to the reference speed 1
-	capacity, free task.Needs // as last reported; pending orders are subtracted from free
-	far            bool       // the task's data is elsewhere
+	speed          float64        // relative to the reference speed 1
+	capacity, free task.Resources // as last reported; pending orders are subtracted from free
+	far            bool           // the task's data is elsewhere
 	ejected        bool
 }
 
@@ -48,7 +48,7 @@
 
 // lastRoomShare returns 1 if the task would take the last room, and a smaller share the more
 // such tasks fit.
-func lastRoomShare(needs, room task.Needs) float64 {
+func lastRoomShare(needs, room task.Resources) float64 {
 	if needs.CPU <= 0 {
 		return 0
 	}
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -131,8 +131,8 @@
 
 // demand returns the room that the waiting tasks need. It stops counting once every resource
 // has reached the bound.
-func (q *serviceQueue) demand(bound task.Needs) task.Needs {
-	var sum task.Needs
+func (q *serviceQueue) demand(bound task.Resources) task.Resources {
+	var sum task.Resources
 	for _, j := range q.waiting {
 		for k := range j.steps {
 			s := &j.steps[k]
--- a/owner/rank.go
+++ b/owner/rank.go
@@ -29,7 +29,7 @@
 type rankInputs struct {
 	now                          time.Duration
 	objectiveAt, lateObjectiveAt time.Duration
-	// remaining is the estimate of the longest chain of unfinished steps.
+	// remaining is the estimate of the critical path of the unfinished steps.
 	remaining time.Duration
 	// spread is the standard deviation of the logarithm of task duration over estimate.
 	spread float64
--- a/owner/rate_test.go
+++ b/owner/rate_test.go
@@ -15,8 +15,8 @@
 func TestWorkRateExcludesRoomOfOthers(t *testing.T) {
 	state := func(o *Owner, agent string, freeCPU int, health peer.Health) {
 		o.Receive(0, agent, &peer.Frame{State: &peer.State{
-			Profile: &peer.Profile{Service: "s", Capacity: task.Needs{CPU: 16000}},
-			Free:    task.Needs{CPU: freeCPU}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: 1, Health: health,
+			Profile: &peer.Profile{Service: "s", Capacity: task.Resources{CPU: 16000}},
+			Free:    task.Resources{CPU: freeCPU}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: 1, Health: health,
 		}})
 	}
 	o := newTestOwner(1, 1)
@@ -26,7 +26,7 @@
 
 	// This entry and other entries use 8 cores each.
 	o.Submit(0, task.Job{ID: "j", Queue: "q", Service: "s", ObjectiveFactor: 2, Steps: []task.Step{
-		{Count: 4, Estimate: 100 * ms, Needs: task.Needs{CPU: 2000}},
+		{Count: 4, Estimate: 100 * ms, Needs: task.Resources{CPU: 2000}},
 	}}, func(Answer) {})
 	state(o, "a", 8000, peer.Healthy)
 	state(o, "b", 8000, peer.Healthy)
@@ -46,11 +46,11 @@
 func TestWorkRateCountsFirstWaitingJob(t *testing.T) {
 	o := newTestOwner(1)
 	o.Receive(0, "a", &peer.Frame{State: &peer.State{
-		Profile: &peer.Profile{Service: "s", Capacity: task.Needs{CPU: 16000}},
+		Profile: &peer.Profile{Service: "s", Capacity: task.Resources{CPU: 16000}},
 		Speed:   1, Accepting: true, Cleared: true,
 	}})
 	o.Submit(0, task.Job{ID: "j", Queue: "q", Service: "s", ObjectiveFactor: 2, Steps: []task.Step{
-		{Count: 2, Estimate: 100 * ms, Needs: task.Needs{CPU: 2000}},
+		{Count: 2, Estimate: 100 * ms, Needs: task.Resources{CPU: 2000}},
 	}}, func(Answer) {})
 	assert.Equal(t, o.workRate(0, o.queue("s")), 16*4.0/20)
 }
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -42,7 +42,7 @@
 	lateObjectiveAt time.Duration // completion is worthless after this time
 	callerDeadline  time.Duration // when the caller stops waiting; zero for never
 	started         bool          // one of its orders may have reached a target
-	// remaining is the estimate of the longest chain of unfinished steps. It is used for jobs
+	// remaining is the estimate of the critical path of the unfinished steps. It is used for jobs
 	// that are not started.
 	remaining time.Duration
 	// hasStartable reports whether the job has startable tasks. It is used for started jobs.
--- a/owner/retry_after_test.go
+++ b/owner/retry_after_test.go
@@ -38,8 +38,8 @@
 	assert.Equal(t, q.lastWorkRate, 0.0)
 	o.Connected(0, "a")
 	o.Receive(0, "a", &peer.Frame{State: &peer.State{
-		Profile: &peer.Profile{Service: "s", Capacity: task.Needs{CPU: 16000}},
-		Free:    task.Needs{CPU: 16000}, Speed: 1, Accepting: true, Cleared: true,
+		Profile: &peer.Profile{Service: "s", Capacity: task.Resources{CPU: 16000}},
+		Free:    task.Resources{CPU: 16000}, Speed: 1, Accepting: true, Cleared: true,
 	}})
 	assert.Equal(t, q.lastWorkRate, 16.0)
 	o.Tick(2 * maxStateAge)
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -82,8 +82,8 @@
 
 // Guards against placing a task on a worse target while a better one has room.
 func TestBetterTargetCostsLess(t *testing.T) {
-	s := task.Step{Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}
-	usual := candidate{speed: 1, capacity: task.Needs{CPU: 16000}, free: task.Needs{CPU: 16000}}
+	s := task.Step{Needs: task.Resources{CPU: 1000}, Estimate: 100 * ms}
+	usual := candidate{speed: 1, capacity: task.Resources{CPU: 16000}, free: task.Resources{CPU: 16000}}
 	with := func(change func(*candidate)) candidate {
 		c := usual
 		change(&c)
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -41,7 +41,7 @@
 	if a.level < peer.LevelWatch {
 		return
 	}
-	a.state.Free = task.Needs{}
+	a.state.Free = task.Resources{}
 	a.out.Watch = peer.WatchStart
 	o.markDirty(a)
 }
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -43,7 +43,7 @@
 // reserve has an agent send a reservation.
 func (b *harness) reserve(agent string, cpu int) {
 	b.Receive(b.now, agent,
-		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: cpu, MemoryMB: 100}}})
+		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Resources{CPU: cpu, MemoryMB: 100}}})
 }
 
 // Guards against requests to all agents: two at first, and one more per requestInterval.
@@ -177,8 +177,8 @@
 func (b *harness) reportLabel(agent, label string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Labels: []string{label},
-			Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free: task.Needs{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+			Capacity: task.Resources{CPU: 4000, MemoryMB: 100}},
+		Free: task.Resources{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
 // Guards against requests to watched agents far from the data while others hold it.
--- a/peer/array.go
+++ b/peer/array.go
@@ -40,7 +40,7 @@
 	Task            task.ID
 	Run             int
 	Spec            string
-	Needs           task.Needs
+	Needs           task.Resources
 	Estimate, Guess time.Duration
 	FailedElsewhere bool
 	TimeLeft        time.Duration
--- a/peer/array_test.go
+++ b/peer/array_test.go
@@ -72,10 +72,10 @@
 	type laterFrame struct {
 		Seq   uint64
 		Hello *laterHello
-		Later []task.Needs
+		Later []task.Resources
 	}
 	buf, err := framing.Append(nil, maxFrameBytes, framing.EncodeMaps,
-		&laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Needs{{CPU: 1}}})
+		&laterFrame{Seq: 7, Hello: &laterHello{"edge-1", "x"}, Later: []task.Resources{{CPU: 1}}})
 	assert.NilError(t, err)
 	f, err := DecodeFrame(buf[framing.PrefixSize:])
 	assert.NilError(t, err)
@@ -86,12 +86,12 @@
 // fields.
 func TestDecodeFrameRejectsArrayOfWrongLength(t *testing.T) {
 	for _, body := range [][]byte{{0x92, 1, 2}, {0x94, 1, 2, 3, 4}} {
-		var needs task.Needs
+		var needs task.Resources
 		assert.ErrorContains(t, msgpack.Unmarshal(body, &needs), "number of fields")
 		_, err := DecodeFrame(body)
 		assert.ErrorContains(t, err, "number of fields")
 	}
-	var needs task.Needs
+	var needs task.Resources
 	assert.NilError(t, msgpack.Unmarshal([]byte{0x93, 1, 2, 3}, &needs))
-	assert.Equal(t, needs, task.Needs{CPU: 1, MemoryMB: 2, GPU: 3})
+	assert.Equal(t, needs, task.Resources{CPU: 1, MemoryMB: 2, GPU: 3})
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -166,15 +166,15 @@
 	// least slack first.
 	Slack time.Duration
 	// Needs is the resource demand of that task.
-	Needs task.Needs
+	Needs task.Resources
 	// Total is the demand of all waiting tasks, limited to the target's capacity.
-	Total task.Needs
+	Total task.Resources
 }
 
 // Reservation is capacity that an agent reserves for the receiver for a short time.
 type Reservation struct {
 	ID   uint64 // increases from 1
-	Room task.Needs
+	Room task.Resources
 }
 
 // Profile is the part of a target's state that rarely changes.
@@ -185,7 +185,7 @@
 	Hall    string
 	Labels  []string
 	// Capacity is the target's total capacity.
-	Capacity task.Needs
+	Capacity task.Resources
 }
 
 // Equal reports whether p and o are equal.
@@ -199,7 +199,7 @@
 	// Profile is nil if it has not changed since the last state on the connection.
 	Profile *Profile
 	// Free is the capacity that the receiver may use.
-	Free task.Needs
+	Free task.Resources
 	// Speed is the target's estimated relative speed; 1 is normal.
 	Speed float64
 	// Health reports whether the target is ejected.
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -22,7 +22,7 @@
 		Stamp: time.Second, Echo: 2 * time.Second, Seq: 3, Config: 4,
 		Hello:    &Hello{Role: RoleEntry, Name: "edge-1", Addr: "127.0.0.1:1", Level: LevelWatch},
 		Document: []byte("{}"), DocumentZip: []byte{1}, AskDocument: true,
-		Starts: []task.Order{{Task: id, Run: 2, Spec: "text", Needs: task.Needs{CPU: 1, MemoryMB: 2, GPU: 3},
+		Starts: []task.Order{{Task: id, Run: 2, Spec: "text", Needs: task.Resources{CPU: 1, MemoryMB: 2, GPU: 3},
 			Estimate: 4, Guess: 5}},
 		Stops: []task.Ref{{Task: id, Run: 1}}, UsedReservation: 9, RoomRequest: &RoomRequest{Slack: -time.Second},
 		Watch: WatchStart, AskSpec: "5c0e7a21d94b36f8", GiveSpec: &GivenSpec{Known: true, Spec: "text"},
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -49,7 +49,7 @@
 			func(f *Frame) { f.Evacuations = &evacuation.Set{Revision: 90} })},
 		{"entry: starts", frameWith(func(f *Frame) {
 			f.Starts = []task.Order{
-				{Task: id, Run: 2, Spec: "60ms", Needs: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1},
+				{Task: id, Run: 2, Spec: "60ms", Needs: task.Resources{CPU: 1600, MemoryMB: 64, GPU: 1},
 					Estimate: 61 * time.Millisecond, Guess: 60 * time.Millisecond,
 					FailedElsewhere: true, TimeLeft: 1480 * time.Millisecond},
 				{Task: task.ID{Job: "5c0e7a21d94b36f8"}, Run: 1},
@@ -58,16 +58,16 @@
 		{"entry: stops", frameWith(func(f *Frame) { f.Stops = []task.Ref{{Task: id, Run: 2}} })},
 		{"entry: answers an offer and wants more", frameWith(func(f *Frame) {
 			f.UsedReservation = 9
-			f.RoomRequest = &RoomRequest{Slack: -30 * time.Millisecond, Needs: task.Needs{CPU: 1600},
-				Total: task.Needs{CPU: 12800, MemoryMB: 512, GPU: 2}}
+			f.RoomRequest = &RoomRequest{Slack: -30 * time.Millisecond, Needs: task.Resources{CPU: 1600},
+				Total: task.Resources{CPU: 12800, MemoryMB: 512, GPU: 2}}
 		})},
 		{"entry: begins to watch", frameWith(func(f *Frame) { f.Watch = WatchStart })},
 		{"entry: starts, the spec is kept there", frameWith(func(f *Frame) {
-			f.Starts = []task.Order{{Task: id, Run: 1, SpecKept: true, Needs: task.Needs{CPU: 1600, MemoryMB: 64}}}
+			f.Starts = []task.Order{{Task: id, Run: 1, SpecKept: true, Needs: task.Resources{CPU: 1600, MemoryMB: 64}}}
 		})},
 		{"entry: starts, another agent has the spec", frameWith(func(f *Frame) {
 			f.Starts = []task.Order{{Task: id, Run: 1, SpecAt: "10.1.0.30:7720",
-				Needs: task.Needs{CPU: 1600, MemoryMB: 64}}}
+				Needs: task.Resources{CPU: 1600, MemoryMB: 64}}}
 		})},
 		{"entry: claims jobs, and passes a cancellation on", frameWith(func(f *Frame) {
 			f.Claims = []claim.Claim{{Job: id.Job, Lasts: 9 * time.Second, Begun: true}, {Job: id.Job, Cancel: true}}
@@ -92,12 +92,12 @@
 		{"agent: hello", frameWith(
 			func(f *Frame) { f.Hello = &Hello{Role: RoleAgent, Name: "side-mtm-1", Level: LevelWatch} })},
 		{"agent: state", frameWith(func(f *Frame) {
-			f.State = &State{Free: task.Needs{CPU: 3200, MemoryMB: 1024}, Speed: 0.75,
+			f.State = &State{Free: task.Resources{CPU: 3200, MemoryMB: 1024}, Speed: 0.75,
 				Accepting: true, Cleared: true, SeenSeq: 69999}
 		})},
 		{"agent: state of an ejected target, with its profile", frameWith(func(f *Frame) {
 			f.State = &State{Speed: 1, Health: Ejected, Profile: &Profile{Target: "i-7", Service: "trackd", Hall: "mtm",
-				Labels: []string{"rack-1", "gpu"}, Capacity: task.Needs{CPU: 16000, MemoryMB: 65536, GPU: 8}}}
+				Labels: []string{"rack-1", "gpu"}, Capacity: task.Resources{CPU: 16000, MemoryMB: 65536, GPU: 8}}}
 		})},
 		{"agent: ends of runs", frameWith(func(f *Frame) {
 			for _, e := range []task.End{task.EndNone, task.EndDone, task.EndFailed, task.EndStopped,
@@ -107,7 +107,9 @@
 			}
 		})},
 		{"agent: an offer", frameWith(
-			func(f *Frame) { f.Reservation = &Reservation{ID: 9, Room: task.Needs{CPU: 1600, MemoryMB: 64, GPU: 1}} })},
+			func(f *Frame) {
+				f.Reservation = &Reservation{ID: 9, Room: task.Resources{CPU: 1600, MemoryMB: 64, GPU: 1}}
+			})},
 	}
 }
 
--- a/supervisor/call.go
+++ b/supervisor/call.go
@@ -135,7 +135,7 @@
 	Service  string
 	Hall     string
 	Labels   []string
-	Capacity task.Needs
+	Capacity task.Resources
 	Draining bool
 	Cold     time.Duration // remaining warm-up time
 	Clock    time.Duration // reading of the target's clock, valid if HasClock
--- a/supervisor/evacuation_test.go
+++ b/supervisor/evacuation_test.go
@@ -69,12 +69,12 @@
 	b := newHarness(t)
 	b.reportHall("mtm")
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now,
-		RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 1000}, Total: task.Needs{CPU: 1000}}})
+		RoomRequest: &peer.RoomRequest{Needs: task.Resources{CPU: 1000}, Total: task.Resources{CPU: 1000}}})
 	assert.Equal(t, len(b.room.reservations), 1)
 	b.sendEvacuations(7, "mtm")
 	assert.Equal(t, len(b.room.reservations), 0)
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, UsedReservation: 1, Starts: []task.Order{order(0, 1000)},
-		RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 1000}, Total: task.Needs{CPU: 1000}}})
+		RoomRequest: &peer.RoomRequest{Needs: task.Resources{CPU: 1000}, Total: task.Resources{CPU: 1000}}})
 	assert.Equal(t, len(b.starts), 0)
 	assert.Equal(t, len(b.room.reservations), 0)
 	b.sendEvacuations(8)
--- a/supervisor/reservation.go
+++ b/supervisor/reservation.go
@@ -16,7 +16,7 @@
 // session's own reservations do not limit its orders, and remain until they expire unless the
 // frame names them as used; use plus all reservations may therefore exceed the capacity.
 type room struct {
-	used         task.Needs
+	used         task.Resources
 	reservations map[uint64]*reservation
 	lastID       uint64 // id of the latest reservation
 }
@@ -25,7 +25,7 @@
 type reservation struct {
 	id        uint64
 	session   *session
-	resources task.Needs
+	resources task.Resources
 	until     time.Duration
 }
 
@@ -33,12 +33,12 @@
 type roomRequest struct {
 	// deadline is the latest start of the most urgent waiting task, on the agent's clock.
 	deadline time.Duration
-	needs    task.Needs // of the most urgent task
-	total    task.Needs // of all waiting tasks
+	needs    task.Resources // of the most urgent task
+	total    task.Resources // of all waiting tasks
 }
 
 // reserve adds a reservation.
-func (r *room) reserve(c *session, needs task.Needs, until time.Duration) *reservation {
+func (r *room) reserve(c *session, needs task.Resources, until time.Duration) *reservation {
 	r.lastID++
 	v := &reservation{id: r.lastID, session: c, resources: needs, until: until}
 	r.reservations[v.id] = v
@@ -56,21 +56,21 @@
 
 // freeFor returns the part of the capacity that c may use: neither in use nor reserved for
 // another session. A nil c stands for any session.
-func (r *room) freeFor(c *session, capacity task.Needs) task.Needs {
+func (r *room) freeFor(c *session, capacity task.Resources) task.Resources {
 	free := capacity.Minus(r.used)
 	for _, v := range r.reservations {
 		if v.session != c {
 			free = free.Minus(v.resources)
 		}
 	}
-	return task.Needs{CPU: max(0, free.CPU), MemoryMB: max(0, free.MemoryMB), GPU: max(0, free.GPU)}
+	return task.Resources{CPU: max(0, free.CPU), MemoryMB: max(0, free.MemoryMB), GPU: max(0, free.GPU)}
 }
 
 // freeRoom returns the resources that c may use now; a nil c stands for any session. A
 // target that accepts no work has none, and an ejected one has some only for its probes.
-func (s *Supervisor) freeRoom(now time.Duration, c *session) task.Needs {
+func (s *Supervisor) freeRoom(now time.Duration, c *session) task.Resources {
 	if !s.accepting(now) || !s.health.admits(now, s.probes()) {
-		return task.Needs{}
+		return task.Resources{}
 	}
 	return s.room.freeFor(c, s.target.report.Capacity)
 }
@@ -92,7 +92,7 @@
 		if c == nil {
 			return
 		}
-		v := s.room.reserve(c, minNeeds(s.freeRoom(now, nil), c.roomRequest.total), now+reservationTTL)
+		v := s.room.reserve(c, minResources(s.freeRoom(now, nil), c.roomRequest.total), now+reservationTTL)
 		c.roomRequest = nil
 		c.out.Reservation = &peer.Reservation{ID: v.id, Room: v.resources}
 		c.dirty = true
@@ -125,7 +125,7 @@
 	}
 }
 
-// minNeeds returns the element-wise minimum.
-func minNeeds(a, b task.Needs) task.Needs {
-	return task.Needs{CPU: min(a.CPU, b.CPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), GPU: min(a.GPU, b.GPU)}
+// minResources returns the element-wise minimum.
+func minResources(a, b task.Resources) task.Resources {
+	return task.Resources{CPU: min(a.CPU, b.CPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), GPU: min(a.GPU, b.GPU)}
 }
--- a/supervisor/spec_test.go
+++ b/supervisor/spec_test.go
@@ -93,7 +93,7 @@
 		assert.Equal(t, len(b.starts), 0)
 		assert.Equal(t, b.sentEnds()[0].End, task.EndRejected)
 		assert.Equal(t, b.sentEnds()[0].Reason, code.RunSpecUnknown)
-		assert.Equal(t, b.room.used, task.Needs{})
+		assert.Equal(t, b.room.used, task.Resources{})
 		b.SpecFetched(b.now, "0123456789abcdef", "text", true)
 		assert.Equal(t, len(b.starts), 0, "a late answer started the run")
 	}
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -41,7 +41,7 @@
 
 func (b *harness) report(id string, seq uint64) Report {
 	return Report{
-		ID: id, Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 1000},
+		ID: id, Service: "trackd", Capacity: task.Resources{CPU: 4000, MemoryMB: 1000},
 		Clock: b.targetClock(), HasClock: true, Seq: seq,
 	}
 }
@@ -62,7 +62,7 @@
 }
 
 func order(index, cpu int) task.Order {
-	return task.Order{Task: task.ID{Job: "0123456789abcdef", Index: index}, Run: 1, Needs: task.Needs{CPU: cpu},
+	return task.Order{Task: task.ID{Job: "0123456789abcdef", Index: index}, Run: 1, Needs: task.Resources{CPU: cpu},
 		Estimate: 100 * ms, Guess: 100 * ms}
 }
 
@@ -213,7 +213,7 @@
 	b.Connected(b.now, 2, peer.Hello{Name: "other", Level: peer.LevelBase})
 	b.sendOrders(order(0, 4000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
-	need := task.Needs{CPU: 3000}
+	need := task.Resources{CPU: 3000}
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now,
 		RoomRequest: &peer.RoomRequest{Slack: 80 * ms, Needs: need, Total: need}})
 	b.Receive(b.now, 2, &peer.Frame{Echo: b.now,
@@ -328,7 +328,7 @@
 	b.sendOrders(order(0, 1500))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	b.Receive(b.now, 1, &peer.Frame{Seq: 2, Echo: b.now,
-		RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 2000}, Total: task.Needs{CPU: 2000}}})
+		RoomRequest: &peer.RoomRequest{Needs: task.Resources{CPU: 2000}, Total: task.Resources{CPU: 2000}}})
 	reserved := b.frames[len(b.frames)-1].Reservation
 	assert.Equal(t, reserved.Room.CPU, 2000)
 	shrunk := b.report("i-1", 2)
--- a/task/job.go
+++ b/task/job.go
@@ -18,8 +18,8 @@
 // unitsPerCore is the number of CPU units in a core.
 const unitsPerCore = 1000
 
-// Needs is an amount of resources: what a task needs, or what a target has.
-type Needs struct {
+// Resources is an amount of resources: what a task needs, or what a target has.
+type Resources struct {
 	// CPU is in thousandths of a core.
 	CPU int
 	// MemoryMB is in megabytes.
@@ -29,30 +29,30 @@
 }
 
 // Cores returns the CPU in cores.
-func (n Needs) Cores() float64 {
-	return float64(n.CPU) / unitsPerCore
+func (r Resources) Cores() float64 {
+	return float64(r.CPU) / unitsPerCore
 }
 
-// Fits reports whether n fits into room.
-func (n Needs) Fits(room Needs) bool {
-	return n.CPU <= room.CPU && n.MemoryMB <= room.MemoryMB && n.GPU <= room.GPU
+// Fits reports whether r fits into room.
+func (r Resources) Fits(room Resources) bool {
+	return r.CPU <= room.CPU && r.MemoryMB <= room.MemoryMB && r.GPU <= room.GPU
 }
 
-// Plus returns the sum of n and o.
-func (n Needs) Plus(o Needs) Needs {
-	return Needs{CPU: n.CPU + o.CPU, MemoryMB: n.MemoryMB + o.MemoryMB, GPU: n.GPU + o.GPU}
+// Plus returns the sum of r and o.
+func (r Resources) Plus(o Resources) Resources {
+	return Resources{CPU: r.CPU + o.CPU, MemoryMB: r.MemoryMB + o.MemoryMB, GPU: r.GPU + o.GPU}
 }
 
-// Minus returns the difference of n and o.
-func (n Needs) Minus(o Needs) Needs {
-	return Needs{CPU: n.CPU - o.CPU, MemoryMB: n.MemoryMB - o.MemoryMB, GPU: n.GPU - o.GPU}
+// Minus returns the difference of r and o.
+func (r Resources) Minus(o Resources) Resources {
+	return Resources{CPU: r.CPU - o.CPU, MemoryMB: r.MemoryMB - o.MemoryMB, GPU: r.GPU - o.GPU}
 }
 
 // Step is a part of a job that consists of identical tasks.
 type Step struct {
 	Count int
 	// Needs is the resources of each task.
-	Needs Needs
+	Needs Resources
 	// Guess is the caller's estimate of the time of one task on a target of nominal speed;
 	// Estimate is the entry's estimate derived from it.
 	Estimate time.Duration
@@ -104,14 +104,14 @@
 	CallerTimeout time.Duration
 }
 
-// Chain returns the estimated length of the job's critical path on a target of nominal
+// CriticalPath returns the estimated length of the job's critical path on a target of nominal
 // speed.
-func (j Job) Chain() time.Duration {
-	return j.ChainOf(func(int) bool { return true })
+func (j Job) CriticalPath() time.Duration {
+	return j.CriticalPathOf(func(int) bool { return true })
 }
 
-// ChainOf is like Chain, but only counts the steps for which counts returns true.
-func (j Job) ChainOf(counts func(step int) bool) time.Duration {
+// CriticalPathOf is like CriticalPath, but only counts the steps for which counts returns true.
+func (j Job) CriticalPathOf(counts func(step int) bool) time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for k, s := range j.Steps {
@@ -131,7 +131,7 @@
 // Objective returns the time from the arrival of the job within which its completion has its
 // full value.
 func (j Job) Objective() time.Duration {
-	return time.Duration(j.ObjectiveFactor*float64(j.Chain())) + j.ObjectiveSlack
+	return time.Duration(j.ObjectiveFactor*float64(j.CriticalPath())) + j.ObjectiveSlack
 }
 
 // LateObjective returns the time from the arrival of the job after which its completion has no
@@ -226,7 +226,7 @@
 	// may not have it; otherwise empty.
 	SpecAt string
 	// Needs is the resources of the run.
-	Needs Needs
+	Needs Resources
 	// Estimate is the expected time of the run on a target of nominal speed; Guess is the
 	// caller's estimate, relative to which the speed of targets is learned.
 	Estimate time.Duration
--- a/task/job_test.go
+++ b/task/job_test.go
@@ -18,18 +18,18 @@
 			{Count: 1, Estimate: 10 * time.Millisecond, DependsOn: []int{1, 2}},
 		},
 	}
-	assert.Equal(t, j.Chain(), 310*time.Millisecond)
+	assert.Equal(t, j.CriticalPath(), 310*time.Millisecond)
 	assert.Equal(t, j.Objective(), 525*time.Millisecond)
 	assert.Equal(t, j.LateObjective(), 1575*time.Millisecond)
 	assert.Equal(t, j.Tasks(), 8)
 }
 
 func TestFitsChecksEveryResource(t *testing.T) {
-	room := Needs{CPU: 1000, MemoryMB: 64, GPU: 1}
-	assert.Assert(t, Needs{CPU: 1000, MemoryMB: 64, GPU: 1}.Fits(room))
-	assert.Assert(t, !Needs{CPU: 1001}.Fits(room))
-	assert.Assert(t, !Needs{MemoryMB: 65}.Fits(room))
-	assert.Assert(t, !Needs{GPU: 2}.Fits(room))
+	room := Resources{CPU: 1000, MemoryMB: 64, GPU: 1}
+	assert.Assert(t, Resources{CPU: 1000, MemoryMB: 64, GPU: 1}.Fits(room))
+	assert.Assert(t, !Resources{CPU: 1001}.Fits(room))
+	assert.Assert(t, !Resources{MemoryMB: 65}.Fits(room))
+	assert.Assert(t, !Resources{GPU: 2}.Fits(room))
 	assert.Equal(t, room.Plus(room).Minus(room), room)
 }
 
--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -83,10 +83,13 @@
 	c.spec = task.Job{
 		ID: id, Queue: "q", Service: service, Spec: w.specOf(id), Attempts: attempts,
 		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.Patience, Priority: w.rng.IntN(3),
-		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64}, Estimate: guess}},
+		Steps: []task.Step{{
+			Count: count, Needs: task.Resources{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64}, Estimate: guess,
+		}},
 	}
 	if w.rng.IntN(4) == 0 {
-		c.spec.Steps = append(c.spec.Steps, task.Step{Count: 1, Needs: task.Needs{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
+		c.spec.Steps = append(c.spec.Steps,
+			task.Step{Count: 1, Needs: task.Resources{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
 	}
 	w.alwaysFails[id] = w.rng.IntN(30) == 0 && !afterFaults
 	w.jobs[id] = c
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -197,7 +197,7 @@
 // newAgent returns agent k in its first incarnation.
 func (w *World) newAgent(k int) *agentProcess {
 	a := &agentProcess{process: process{w: w, name: agentName(k)}}
-	a.target = newEmulatedTarget(w, task.Needs{CPU: w.cfg.CPU, MemoryMB: 4096})
+	a.target = newEmulatedTarget(w, task.Resources{CPU: w.cfg.CPU, MemoryMB: 4096})
 	if w.cfg.Halls > 0 {
 		a.target.hall = hallName(k % w.cfg.Halls)
 	}
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -54,7 +54,7 @@
 	up              bool
 	clockRate       float64       // relative to virtual time
 	startedAt       time.Duration // start of the incarnation
-	capacity        task.Needs
+	capacity        task.Resources
 	startCount      int           // runs started by all incarnations
 	shrunkAt        time.Duration // last reduction of the capacity
 	speed           float64       // 1 is normal
@@ -81,7 +81,7 @@
 }
 
 // newEmulatedTarget returns a target in its first incarnation.
-func newEmulatedTarget(w *World, capacity task.Needs) *emulatedTarget {
+func newEmulatedTarget(w *World, capacity task.Resources) *emulatedTarget {
 	e := &emulatedTarget{w: w, capacity: capacity, speed: 1, clockRate: 0.98 + 0.02*w.rng.Float64()}
 	e.startIncarnation()
 	return e
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -178,7 +178,7 @@
 		ID: id, Queue: class.Name, Service: service, Spec: w.specOf(id), Attempts: class.Attempts,
 		ObjectiveFactor: shape.Stretch, ObjectiveSlack: shape.Slack, Priority: class.Priority,
 		CallerTimeout: 3*c.objective() + 1500*time.Millisecond,
-		Steps:         []task.Step{{Count: count, Needs: task.Needs{CPU: taskCPU, MemoryMB: 64}, Estimate: guess}},
+		Steps:         []task.Step{{Count: count, Needs: task.Resources{CPU: taskCPU, MemoryMB: 64}, Estimate: guess}},
 	}
 	if c.crashesTargets = w.crashRand.Float64() < w.cfg.Crashing; c.crashesTargets {
 		w.Crashes.Jobs++
