--- a/claim/claim.go
+++ b/claim/claim.go
@@ -23,9 +23,9 @@
 // Settlement, its fields have short names on the wire: every job sends several of both.
 type Claim struct {
 	Job string `msgpack:"j"`
-	// Lasts is the longest time for which the entry holds the job. After that time no run of
+	// MaxDuration is the longest time for which the entry holds the job. After that time no run of
 	// the entry is left, even if the entry has been lost meanwhile. Zero means unknown.
-	Lasts time.Duration `msgpack:"l"`
+	MaxDuration time.Duration `msgpack:"l"`
 	// Begun is set if tasks of the job have been started. An entry that has started none
 	// yields the job to one that has.
 	Begun bool `msgpack:"b"`
@@ -64,8 +64,8 @@
 	GivenUp
 	Cancelled
 	// Refused means that the entry has refused the job. It is retained until the caller may
-	// retry, so that delayed copies of the request do not run, or for AnswerTime if that is
-	// shorter.
+	// retry, so that delayed copies of the request do not run, or for AnswerRetention if that
+	// is shorter.
 	Refused
 )
 
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// AnswerTime is how long an answer is retained, for callers that retry after a broken
+	// AnswerRetention is how long an answer is retained, for callers that retry after a broken
 	// connection and for delayed copies of a request.
-	AnswerTime = 10 * time.Second
+	AnswerRetention = 10 * time.Second
 	// maxRecords is the number of records of a home beyond which the oldest answers are
 	// evicted.
 	maxRecords = 8192
@@ -131,7 +131,7 @@
 		g.cancel(now, conn, c.Job, r)
 		return
 	}
-	w := waiter{holder: from, conn: conn, maxDuration: c.Lasts, begun: c.Begun}
+	w := waiter{holder: from, conn: conn, maxDuration: c.MaxDuration, begun: c.Begun}
 	switch {
 	case r == nil:
 		r = g.add(c.Job)
@@ -349,9 +349,9 @@
 	}
 }
 
-// Lost handles the end of a connection. Runs of its entry may continue for ClearTime; an
+// Disconnected handles the end of a connection. Runs of its entry may continue for ClearTime; an
 // entry that reconnects claims its jobs again.
-func (g *Registry) Lost(now time.Duration, conn ConnID) {
+func (g *Registry) Disconnected(now time.Duration, conn ConnID) {
 	for _, r := range g.held {
 		if r.conn == conn {
 			r.conn, r.interestSentAt = 0, 0
@@ -378,7 +378,7 @@
 			g.runsEnded(now, r)
 		}
 	}
-	for len(g.retained) > 0 && now-g.retained[0].retainedAt >= AnswerTime {
+	for len(g.retained) > 0 && now-g.retained[0].retainedAt >= AnswerRetention {
 		g.evictOldest()
 	}
 }
--- a/claim/registry_test.go
+++ b/claim/registry_test.go
@@ -44,7 +44,7 @@
 
 func (g *harness) claim(h Holder, conn ConnID, job string) Reply {
 	before := len(g.replies[conn])
-	g.Claim(g.now, h, conn, Claim{Job: job, Lasts: 10 * time.Second})
+	g.Claim(g.now, h, conn, Claim{Job: job, MaxDuration: 10 * time.Second})
 	if len(g.replies[conn]) == before {
 		return Reply{}
 	}
@@ -73,7 +73,7 @@
 	assert.DeepEqual(t, g.interests[1], []Interest{{Job: "j", Waits: true}})
 	g.Settle(g.now, a, Settlement{Job: "j", Outcome: Completed, Why: code.JobAllDone, Clear: true})
 	assert.DeepEqual(t, g.lastReply(2), Reply{Job: "j", State: Answered, Outcome: Completed, Why: code.JobAllDone})
-	g.advance(AnswerTime - 20*ms)
+	g.advance(AnswerRetention - 20*ms)
 	assert.Equal(t, g.claim(c, 3, "j").Outcome, Completed)
 	g.advance(20 * ms)
 	assert.Equal(t, g.claim(c, 3, "j").State, Granted)
@@ -95,7 +95,7 @@
 func TestJobOfLostEntryTakenOverAfterClearTime(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
-	g.Lost(g.now, 1)
+	g.Disconnected(g.now, 1)
 	assert.Equal(t, g.claim(b, 2, "j").State, Held)
 	g.advance(clearTime - 10*ms)
 	assert.Equal(t, g.lastReply(2).State, Held)
@@ -108,7 +108,7 @@
 func TestReconnectedEntryKeepsJob(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
-	g.Lost(g.now, 1)
+	g.Disconnected(g.now, 1)
 	g.claim(b, 2, "j")
 	assert.Equal(t, g.claim(Holder{"a", 2}, 4, "j").State, Held)
 	assert.Equal(t, g.claim(a, 5, "j").State, Granted)
@@ -176,7 +176,7 @@
 func TestLateAnswerReachesNewHolder(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
-	g.Lost(g.now, 1)
+	g.Disconnected(g.now, 1)
 	g.claim(b, 2, "j")
 	g.advance(clearTime)
 	assert.Equal(t, g.lastReply(2).State, Granted)
@@ -198,7 +198,7 @@
 	assert.Equal(t, s.Records, maxRecords)
 	assert.Equal(t, s.Forgotten, uint64(maxRecords+1))
 	assert.Equal(t, g.claim(b, 2, "held").State, Held)
-	g.advance(AnswerTime)
+	g.advance(AnswerRetention)
 	assert.Equal(t, g.Stats().Records, 1)
 }
 
@@ -240,7 +240,7 @@
 				delete(heldUntil, k)
 				g.Settle(g.now, entries[k], Settlement{Job: "j", Clear: true, Ran: true})
 			case 3: // the entry is lost and restarts
-				g.Lost(g.now, conns[k])
+				g.Disconnected(g.now, conns[k])
 				if heldUntil[k] == unbounded { // a key apart from those of entries; reused only with a later time
 					heldUntil[len(heldUntil)+10] = g.now + clearTime
 				}
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -17,7 +17,7 @@
 	// release the claim before it stops its own runs.
 	contestTimeout = 30 * time.Millisecond
 	// reservationKeepTime is how long a reservation is kept for jobs whose claims are pending.
-	// It is half the time for which the agent reserves the room (reservationTime in package
+	// It is half the time for which the agent reserves the room (reservationTTL in package
 	// supervisor).
 	reservationKeepTime = 20 * time.Millisecond
 )
--- a/owner/home.go
+++ b/owner/home.go
@@ -114,7 +114,7 @@
 	if j.callerDeadline > 0 {
 		lifetime = max(time.Millisecond, j.callerDeadline-now)
 	}
-	a.out.Claims = append(a.out.Claims, claim.Claim{Job: j.desc.ID, Lasts: lifetime, Begun: j.started()})
+	a.out.Claims = append(a.out.Claims, claim.Claim{Job: j.desc.ID, MaxDuration: lifetime, Begun: j.started()})
 	o.markDirty(a)
 }
 
--- a/supervisor/session.go
+++ b/supervisor/session.go
@@ -126,7 +126,7 @@
 		s.stop(now, r, code.RunOwnerGone)
 	}
 	s.room.dropSession(c)
-	s.claims.Lost(now, claim.ConnID(c.id))
+	s.claims.Disconnected(now, claim.ConnID(c.id))
 	s.logEntryLost(c, stopped)
 	s.markChanged()
 }
