--- a/estimate/estimator.go
+++ b/estimate/estimator.go
@@ -72,7 +72,7 @@
 		return
 	}
 	level, variance := levelOf(took)
-	predicted := logarithm(e.Likely(guess))
+	predicted := logarithm(e.Predict(guess))
 	e.steps = min(e.steps+1, maxSteps)
 	errorWeight := 1 / (e.steps + fullWeightSteps)
 	e.errorVariance += errorWeight * ((level-predicted)*(level-predicted) + variance - e.errorVariance)
@@ -101,10 +101,10 @@
 	return mean, variance
 }
 
-// Likely returns the expected time of a task: the caller's estimate, corrected by its mean
+// Predict returns the expected time of a task: the caller's estimate, corrected by its mean
 // error, averaged with the queue's usual time, each weighted by the inverse of its
 // variance.
-func (e *Estimator) Likely(guess time.Duration) time.Duration {
+func (e *Estimator) Predict(guess time.Duration) time.Duration {
 	corrected := logarithm(guess) - e.guessError.mean
 	byGuess := 1 / max(e.guessError.variance, minVariance)
 	byQueue := min(1, e.steps/fullWeightSteps) / max(e.work.variance, minVariance)
@@ -117,15 +117,15 @@
 	return scale(one, e.TaskSpread()*normalScore(tasks, tasks))
 }
 
-// FromFirst returns the estimate for a task of a step from the time of the first of the
+// PredictFromFirst returns the estimate for a task of a step from the time of the first of the
 // given number of tasks to end.
-func (e *Estimator) FromFirst(took time.Duration, tasks int) time.Duration {
+func (e *Estimator) PredictFromFirst(took time.Duration, tasks int) time.Duration {
 	return scale(took, -e.TaskSpread()*normalScore(1, tasks))
 }
 
-// Spread returns the standard deviation of the logarithm of the ratio of run time to
+// ErrorSpread returns the standard deviation of the logarithm of the ratio of run time to
 // prediction.
-func (e *Estimator) Spread() float64 {
+func (e *Estimator) ErrorSpread() float64 {
 	return math.Sqrt(max(e.errorVariance, minVariance))
 }
 
--- a/estimate/estimator_test.go
+++ b/estimate/estimator_test.go
@@ -12,7 +12,7 @@
 
 func TestCallerEstimateUsedBeforeLearning(t *testing.T) {
 	e := NewEstimator()
-	assert.Equal(t, e.Likely(80*time.Millisecond).Round(time.Millisecond), 80*time.Millisecond)
+	assert.Equal(t, e.Predict(80*time.Millisecond).Round(time.Millisecond), 80*time.Millisecond)
 }
 
 func TestBiasOfCallerEstimatesCorrected(t *testing.T) {
@@ -22,7 +22,7 @@
 		work := time.Duration(math.Exp(r.NormFloat64()*0.4) * float64(100*time.Millisecond))
 		e.Learn(3*work, work)
 	}
-	got := e.Likely(300 * time.Millisecond)
+	got := e.Predict(300 * time.Millisecond)
 	assert.Assert(t, got > 90*time.Millisecond && got < 110*time.Millisecond, got)
 }
 
@@ -38,7 +38,7 @@
 		g := time.Duration(guess * float64(time.Millisecond))
 		if k >= 100 {
 			guessed += math.Pow(math.Log(guess/work), 2)
-			learned += math.Pow(math.Log(e.Likely(g).Seconds()*1000/work), 2)
+			learned += math.Pow(math.Log(e.Predict(g).Seconds()*1000/work), 2)
 		}
 		e.Learn(g, time.Duration(work*float64(time.Millisecond)))
 	}
@@ -60,10 +60,10 @@
 			took = append(took, time.Duration(float64(guess)*math.Exp(spread*r.NormFloat64())))
 		}
 		if k >= warm {
-			likely := e.Likely(guess)
-			one += math.Log(float64(likely) / float64(guess))
-			longest += math.Log(float64(e.Longest(likely, tasks)) / float64(slices.Max(took)))
-			fromFirst += math.Log(float64(e.FromFirst(slices.Min(took), tasks)) / float64(guess))
+			predicted := e.Predict(guess)
+			one += math.Log(float64(predicted) / float64(guess))
+			longest += math.Log(float64(e.Longest(predicted, tasks)) / float64(slices.Max(took)))
+			fromFirst += math.Log(float64(e.PredictFromFirst(slices.Min(took), tasks)) / float64(guess))
 		}
 		e.Learn(guess, took...)
 	}
@@ -71,17 +71,17 @@
 		mean := sum / (jobs - warm)
 		assert.Assert(t, math.Abs(mean) < 0.05, mean)
 	}
-	assert.Assert(t, e.Spread() > 0.35 && e.Spread() < 0.5, e.Spread())
+	assert.Assert(t, e.ErrorSpread() > 0.35 && e.ErrorSpread() < 0.5, e.ErrorSpread())
 }
 
 // TestSpreadStartsAtPriorAndConverges guards against estimates that count as accurate before
 // any job, or as inaccurate after many accurate ones.
 func TestSpreadStartsAtPriorAndConverges(t *testing.T) {
 	e := NewEstimator()
-	assert.Equal(t, e.Spread(), 0.5)
+	assert.Equal(t, e.ErrorSpread(), 0.5)
 	for range 100 {
 		e.Learn(100*time.Millisecond, 100*time.Millisecond)
 	}
-	assert.Assert(t, e.Spread() < 0.2, e.Spread())
+	assert.Assert(t, e.ErrorSpread() < 0.2, e.ErrorSpread())
 	assert.Equal(t, e.Longest(100*time.Millisecond, 1), 100*time.Millisecond)
 }
--- a/owner/estimates.go
+++ b/owner/estimates.go
@@ -19,7 +19,7 @@
 	for k := range steps {
 		s := &steps[k]
 		s.Guess = s.Estimate
-		setEstimate(s, e, e.Likely(s.Guess), usualSpeed)
+		setEstimate(s, e, e.Predict(s.Guess), usualSpeed)
 	}
 	desc.Steps = steps
 	return desc
@@ -27,7 +27,7 @@
 
 // setSpreads sets the expected estimation error of the steps of a new job.
 func (o *Owner) setSpreads(j *job) {
-	spread := o.estimator(j.desc.Queue).Spread()
+	spread := o.estimator(j.desc.Queue).ErrorSpread()
 	for k := range j.steps {
 		j.steps[k].spread = spread
 	}
@@ -57,7 +57,7 @@
 	e := o.estimator(j.desc.Queue)
 	s.durations = append(s.durations, time.Duration(float64(took)*a.speed()))
 	if len(s.durations) == 1 {
-		setEstimate(&j.desc.Steps[step], e, e.FromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
+		setEstimate(&j.desc.Steps[step], e, e.PredictFromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
 		j.setObjectives()
 		s.spread = e.TaskSpread()
 	}
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -31,15 +31,15 @@
 // cost returns the weighted duration of a task of the step on the target, in seconds. farFactor
 // is the factor by which the task takes longer away from its data.
 func (c candidate) cost(s task.Step, farFactor float64) float64 {
-	likely := s.Estimate.Seconds() / c.speed
+	expected := s.Estimate.Seconds() / c.speed
 	if c.far {
-		likely *= farFactor
+		expected *= farFactor
 	}
 	load := 0.0
 	if c.capacity.CPU > 0 {
 		load = 1 - float64(c.free.CPU)/float64(c.capacity.CPU)
 	}
-	cost := likely * (1 + loadWeight*load + lastRoomWeight*lastRoomShare(s.Needs, c.free))
+	cost := expected * (1 + loadWeight*load + lastRoomWeight*lastRoomShare(s.Needs, c.free))
 	if c.ejected {
 		cost += ejectedPenalty
 	}
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -38,9 +38,9 @@
 // estimate, and overdueStops is the number of earlier runs of the task that were stopped as
 // overdue.
 func runOverdue(age, estimate time.Duration, speed, spread float64, overdueStops int) bool {
-	likely := float64(estimate) / speed
+	expected := float64(estimate) / speed
 	factor := math.Ldexp(max(overdueFactor, math.Exp(overdueDeviations*spread)), overdueStops)
-	return age > time.Duration(factor*likely)+overdueSlack
+	return age > time.Duration(factor*expected)+overdueSlack
 }
 
 // attemptsUsedUp reports whether a task has failed too often to run again. failures counts all
