--- a/doc.go
+++ b/doc.go
@@ -6,7 +6,7 @@
 //	task, routing    data model: jobs, tasks and runs; queues
 //	evacuation       data halls that get no new work
 //	claim            which entry owns a job that was submitted to several
-//	reach            which agents an entry connects to
+//	subset           which agents an entry connects to
 //	owner            state machine of an entry: admission, ordering, placement, retries
 //	supervisor       state machine of an agent: capacity, leases, health, starts
 //	peer, framing    messages between entries and agents
--- a/node/configure.go
+++ b/node/configure.go
@@ -65,7 +65,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	wait := time.Duration(len(e.reach.entries)) * time.Second / watchesPerSecond
+	wait := time.Duration(len(e.subset.entries)) * time.Second / watchesPerSecond
 	longest := min(max(wait, minWatchWait), maxWatchWait)
 	return longest - rand.N(min(longest/2, longest-minWatchWait)+1)
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -67,7 +67,7 @@
 	mu              sync.Mutex // guards the fields below
 	owner           *owner.Owner
 	links           map[string]*link // by agent
-	reach           *reachView
+	subset          *subsetView
 	pause           pauseDetector
 	document        document // of the configuration in force
 	documentRequest documentRequest
@@ -87,7 +87,7 @@
 		bootID:      rand.Uint64(),
 		owner:       owner.NewOwner(log),
 		links:       make(map[string]*link),
-		reach:       newReachView(s.Name),
+		subset:      newSubsetView(s.Name),
 		relist:      make(chan struct{}, 1),
 	}
 	e.startedAt = e.clock.now()
@@ -98,8 +98,8 @@
 	e.owner.FarFactor = s.Far
 	e.owner.Addr = e.addr
 	e.owner.SetLink(s.LinkMbps)
-	e.owner.IsHome = e.reach.set.Home
-	e.owner.IsOwn = e.reach.set.Own
+	e.owner.IsHome = e.subset.set.Home
+	e.owner.IsOwn = e.subset.set.Preferred
 	return e
 }
 
@@ -281,7 +281,7 @@
 func (e *Entry) tick(ctx context.Context) {
 	runTicks(ctx, owner.TickInterval, e.clock, &e.pause, &e.mu, func(now time.Duration, checkSilence bool) {
 		e.owner.Tick(now)
-		e.adjustReach(ctx, now)
+		e.adjustSubset(ctx, now)
 		e.owner.Heartbeats(now)
 		if checkSilence || e.owner.Rejoining(now) {
 			e.closeSilent(now)
--- a/node/link.go
+++ b/node/link.go
@@ -77,7 +77,7 @@
 // consecutive failures.
 func (e *Entry) recordUnreachable(ctx context.Context, l *link, failures int, err error) {
 	e.mu.Lock()
-	e.reach.set.SetLost(l.registration.Name, true)
+	e.subset.set.SetLost(l.registration.Name, true)
 	e.mu.Unlock()
 	if failures == 1 && ctx.Err() == nil {
 		e.log.Info(event.AgentUnreachable, "agent", l.registration.Name, "error", err.Error())
@@ -100,8 +100,8 @@
 		return false
 	}
 	delete(e.links, r.Name)
-	delete(e.reach.addrs, r.Name)
-	e.reach.set.Remove(r.Name)
+	delete(e.subset.addrs, r.Name)
+	e.subset.set.Remove(r.Name)
 	e.log.Info(event.AgentForgotten, "agent", r.Name, "addr", r.Addr)
 	return true
 }
@@ -135,12 +135,12 @@
 	if e.links[l.registration.Name] != l {
 		return false
 	}
-	e.reach.set.SetLost(l.registration.Name, false)
+	e.subset.set.SetLost(l.registration.Name, false)
 	l.conn = c
 	l.agentClock = peer.PeerClock{}
 	e.connectedAgents.Add(1)
 	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers,
-		Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.reach.set.Known()}
+		Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.subset.set.Known()}
 	l.sentAt = e.clock.now()
 	c.Send(&peer.Frame{Hello: hello, Stamp: l.sentAt})
 	e.owner.Connected(l.sentAt, l.registration.Name)
@@ -156,7 +156,7 @@
 	}
 	l.conn = nil
 	e.connectedAgents.Add(-1)
-	e.reach.set.SetLost(l.registration.Name, true)
+	e.subset.set.SetLost(l.registration.Name, true)
 	e.owner.Disconnected(e.clock.now(), l.sentAt, l.registration.Name)
 }
 
@@ -171,7 +171,7 @@
 		return
 	}
 	if f.Hello != nil {
-		e.reach.set.SetFleet(f.Hello.Fleet)
+		e.subset.set.RaiseFleetSize(f.Hello.Fleet)
 	}
 	now := e.clock.now()
 	l.agentClock.Observe(now, f.Stamp)
--- a/node/outside.go
+++ b/node/outside.go
@@ -10,7 +10,7 @@
 //	outside.go           access to external systems
 //	entry.go, agent.go   the processes: components, startup and shutdown
 //	clock.go, pause.go   the clock of a process, and detection of its pauses
-//	reach.go             the set of agents that an entry connects to
+//	subset.go            the set of agents that an entry connects to
 //	link.go, session.go  connections, on the entry's and on the agent's side
 //	introduce.go         introduction of an agent to entries
 //	renewal.go           renewal of the target's lease, and other calls to the target
--- a/node/reach.go
+++ b/node/subset.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/peer"
-	"github.com/beaconpoint/beaconpoint/reach"
+	"github.com/beaconpoint/beaconpoint/subset"
 )
 
-// reachView is an entry's view of the directory and of the agents that it should be connected
+// subsetView is an entry's view of the directory and of the agents that it should be connected
 // to. It is guarded by the entry's lock.
-type reachView struct {
-	set     *reach.Set
+type subsetView struct {
+	set     *subset.Set
 	addrs   map[string]string   // of all known agents, by name
 	entries map[string]struct{} // names of all known entries
 	// surplus holds the agents with a link that are no longer wanted. Each link is closed once it
@@ -19,10 +19,10 @@
 	surplus map[string]struct{}
 }
 
-// newReachView returns an empty view.
-func newReachView(entry string) *reachView {
-	return &reachView{
-		set:     reach.NewSet(entry),
+// newSubsetView returns an empty view.
+func newSubsetView(entry string) *subsetView {
+	return &subsetView{
+		set:     subset.NewSet(entry),
 		addrs:   make(map[string]string),
 		entries: make(map[string]struct{}),
 		surplus: make(map[string]struct{}),
@@ -34,8 +34,8 @@
 func (e *Entry) addAgent(r Registration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reach.addrs[r.Name] = r.Addr
-	e.reach.set.Add(r.Name)
+	e.subset.addrs[r.Name] = r.Addr
+	e.subset.set.Add(r.Name)
 	l := e.links[r.Name]
 	if l == nil {
 		return
@@ -51,9 +51,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range list {
-		e.reach.entries[r.Name] = struct{}{}
+		e.subset.entries[r.Name] = struct{}{}
 	}
-	e.reach.set.SetEntries(len(e.reach.entries))
+	e.subset.set.SetEntries(len(e.subset.entries))
 }
 
 // applyProcess applies a single change of the directory.
@@ -68,8 +68,8 @@
 	default:
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.reach.entries, r.Name)
-		e.reach.set.SetEntries(len(e.reach.entries))
+		delete(e.subset.entries, r.Name)
+		e.subset.set.SetEntries(len(e.subset.entries))
 	}
 }
 
@@ -81,8 +81,8 @@
 	if l := e.links[name]; l != nil && l.conn != nil {
 		return
 	}
-	delete(e.reach.addrs, name)
-	e.reach.set.Remove(name)
+	delete(e.subset.addrs, name)
+	e.subset.set.Remove(name)
 }
 
 // agentCounts holds the number of known agents and of links to agents, including surplus ones.
@@ -91,18 +91,18 @@
 func (e *Entry) countAgents() agentCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return agentCounts{known: e.reach.set.Known(), links: len(e.links)}
+	return agentCounts{known: e.subset.set.Known(), links: len(e.links)}
 }
 
-// adjustReach connects to the wanted agents and closes surplus links that are no longer in use. It
+// adjustSubset connects to the wanted agents and closes surplus links that are no longer in use. It
 // is called at each tick. The caller must hold e.mu.
-func (e *Entry) adjustReach(ctx context.Context, now time.Duration) {
-	v := e.reach
+func (e *Entry) adjustSubset(ctx context.Context, now time.Duration) {
+	v := e.subset
 	if e.owner.TakeMissingLabel() {
-		v.set.Widen(now)
+		v.set.WantAll(now)
 	}
 	if e.owner.Short(now) {
-		v.set.Short(now, e.owner.Busy)
+		v.set.RecordShortage(now, e.owner.Busy)
 	}
 	if v.set.Update(now) {
 		e.owner.Partial = v.set.Partial()
@@ -116,7 +116,7 @@
 
 // connectWanted opens links to the wanted agents and marks all other links as surplus.
 func (e *Entry) connectWanted(ctx context.Context) {
-	v := e.reach
+	v := e.subset
 	for name, addr := range v.addrs {
 		if v.set.Wanted(name) && e.links[name] == nil {
 			e.openLink(ctx, Registration{Name: name, Addr: addr})
@@ -144,7 +144,7 @@
 	if l != nil && !e.owner.Releasable(name) {
 		return
 	}
-	delete(e.reach.surplus, name)
+	delete(e.subset.surplus, name)
 	if l == nil {
 		return
 	}
--- a/node/reach_test.go
+++ b/node/subset_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/beaconpoint/beaconpoint/peer"
-	"github.com/beaconpoint/beaconpoint/reach"
 	"github.com/beaconpoint/beaconpoint/settings"
+	"github.com/beaconpoint/beaconpoint/subset"
 )
 
 // newEntryWithAgents returns an entry whose directory has the given number of agents, none of
@@ -24,24 +24,25 @@
 	return e
 }
 
-// tickReach calls adjustReach as a tick does.
-func (e *Entry) tickReach(t *testing.T) {
+// tickSubset calls adjustSubset as a tick does.
+func (e *Entry) tickSubset(t *testing.T) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.adjustReach(t.Context(), e.clock.now())
+	e.adjustSubset(t.Context(), e.clock.now())
 }
 
-// TestEntryLimitsLinks guards against connecting to more than reach.FullMesh agents of a large fleet,
+// TestEntryLimitsLinks guards against connecting to more than subset.FullMesh agents of a large fleet,
 // or to fewer than all of a small one.
 func TestEntryLimitsLinks(t *testing.T) {
-	for _, agents := range []int{11, reach.FullMesh, 800} {
+	for _, agents := range []int{11, subset.FullMesh, 800} {
 		e := newEntryWithAgents(t, agents)
-		e.tickReach(t)
+		e.tickSubset(t)
 		e.mu.Lock()
 		links := len(e.links)
 		e.mu.Unlock()
-		assert.Assert(t, links <= reach.FullMesh)
-		assert.Assert(t, links >= min(agents, reach.FullMesh-reach.FullMesh/8), "%d links to %d agents", links, agents)
+		assert.Assert(t, links <= subset.FullMesh)
+		assert.Assert(t, links >= min(agents, subset.FullMesh-subset.FullMesh/8),
+			"%d links to %d agents", links, agents)
 	}
 }
 
@@ -49,14 +50,14 @@
 // removed from the directory, since that entry may have been cut off itself.
 func TestOnlyDisconnectedAgentIsDropped(t *testing.T) {
 	e := newEntryWithAgents(t, 3)
-	e.tickReach(t)
+	e.tickSubset(t)
 	e.mu.Lock()
 	conn := peer.NewConn(nil)
 	e.links["side-0"].conn = conn
 	e.mu.Unlock()
 	e.applyProcess(peer.RoleAgent, Registration{Name: "side-0"}, true)
 	e.applyProcess(peer.RoleAgent, Registration{Name: "side-1"}, true)
-	e.tickReach(t)
+	e.tickSubset(t)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	assert.Equal(t, len(e.links), 2)
--- a/owner/agent.go
+++ b/owner/agent.go
@@ -57,7 +57,7 @@
 	// eligibleHome reports whether jobs may be claimed there, by IsHome.
 	eligibleHome bool
 	// own reports whether this entry prefers the agent, by IsOwn. Other agents are watched only
-	// if no own agent is left.
+	// if no preferred agent is left.
 	own bool
 	// supportsClaims reports whether its last Hello, on this or an earlier connection, had at
 	// least peer.LevelClaim.
--- a/owner/estimates.go
+++ b/owner/estimates.go
@@ -57,7 +57,8 @@
 	e := o.estimator(j.desc.Queue)
 	s.durations = append(s.durations, time.Duration(float64(took)*a.speed()))
 	if len(s.durations) == 1 {
-		setEstimate(&j.desc.Steps[step], e, e.PredictFromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
+		setEstimate(&j.desc.Steps[step], e,
+			e.PredictFromFirst(s.durations[0], len(s.tasks)-s.waiting), j.queue.usualSpeed)
 		j.setObjectives()
 		s.spread = e.TaskSpread()
 	}
--- a/owner/release.go
+++ b/owner/release.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Queries and commands of the process that selects the agents to connect to (package reach).
+// Queries and commands of the process that selects the agents to connect to (package subset).
 
 // Releasable reports whether the connection to an agent is not needed: this entry has no run,
 // dropped run, watch, kept reservation, claim or pending settlement there, and does not wait for
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -128,7 +128,7 @@
 	return least
 }
 
-// pickUnwatched returns an unwatched agent that meets the condition, own agents first, or nil.
+// pickUnwatched returns an unwatched agent that meets the condition, preferred agents first, or nil.
 // The search starts at a random agent so that entries spread over the agents.
 func (o *Owner) pickUnwatched(condition func(*agent) bool) *agent {
 	if len(o.watched) == len(o.byName) {
--- a/reach/reach.go
+++ b/subset/subset.go
@@ -1,22 +1,22 @@
-// Package reach selects the agents to which an entry connects (subsetting). In a small
+// Package subset selects the agents to which an entry connects (subsetting). In a small
 // fleet these are all agents. In a larger fleet the selection is bounded, so that the state
 // and the traffic of a process do not grow with the size of the fleet:
 //
 //   - home agents, where jobs are claimed: the lowest ranks in an order shared by
 //     all entries, so that the entries have the same homes;
-//   - the entry's own agents, where its tasks run: the lowest ranks in an order
+//   - the entry's preferred agents, where its tasks run: the lowest ranks in an order
 //     specific to the entry, enough for each agent to be selected by some entries;
-//   - further own agents while jobs wait for free resources, as long as one of the
+//   - further preferred agents while jobs wait for free resources, as long as one of the
 //     agents that were added last runs tasks of the entry.
 //
 // Lost agents remain selected but do not count towards the bounds, so that others replace
 // them until they return.
 //
-// The package records which agents are known, wanted, own and homes. It relies on its process
+// The package records which agents are known, wanted, preferred and homes. It relies on its process
 // (package node) to connect to the wanted ones, and on package owner to report which agents
 // run tasks of the entry. Set is a state machine without goroutines, clock or sockets,
 // called under one lock. docs/design/fleet.md has the rationale and the alternatives.
-package reach
+package subset
 
 import (
 	"cmp"
@@ -31,9 +31,9 @@
 	FullMesh = 128
 	// homeAgents is the number of home agents that are not lost.
 	homeAgents = 64
-	// minOwn is the smallest number of own agents of an entry that are not lost.
-	minOwn = 64
-	// coverage is the mean number of entries that select an agent as their own, at least.
+	// minPreferred is the smallest number of preferred agents of an entry that are not lost.
+	minPreferred = 64
+	// coverage is the mean number of entries that prefer an agent, at least.
 	coverage = 8
 	// maxTriedFactor limits the number of agents tried per wanted one when many are lost:
 	// enough for the loss of three quarters of the fleet.
@@ -52,24 +52,24 @@
 
 // agent is a known agent.
 type agent struct {
-	name              string
-	homeRank, ownRank claim.Rank
-	lost              bool // not connected although a connection was tried
-	wanted, home, own bool
-	wasWanted         bool // wanted before the last Update
+	name                     string
+	homeRank, preferenceRank claim.Rank
+	lost                     bool // not connected although a connection was tried
+	wanted, home, preferred  bool
+	wasWanted                bool // wanted before the last Update
 }
 
 // Set is the selection of one entry.
 type Set struct {
-	entry     uint64 // hash of the entry's name
-	agents    map[string]*agent
-	byHome    []*agent // sorted by homeRank
-	byOwn     []*agent // sorted by ownRank
-	entries   int      // known number of entries in the fleet
-	fleetSize int      // number of agents in the fleet reported by other processes
-	changed   bool
+	entry        uint64 // hash of the entry's name
+	agents       map[string]*agent
+	byHome       []*agent // sorted by homeRank
+	byPreference []*agent // sorted by preferenceRank
+	entries      int      // known number of entries in the fleet
+	fleetSize    int      // number of agents in the fleet reported by other processes
+	changed      bool
 
-	extra          int           // additional own agents because of a shortage
+	extra          int           // additional preferred agents because of a shortage
 	lastAdded      []string      // agents added the last time, because of a shortage
 	shortAt        time.Duration // time of the last shortage
 	grownAt        time.Duration // when agents were last added because of a shortage
@@ -91,10 +91,10 @@
 		return
 	}
 	hash := claim.Hash(name)
-	a := &agent{name: name, homeRank: claim.RankOf(homeSalt, hash), ownRank: claim.RankOf(s.entry, hash)}
+	a := &agent{name: name, homeRank: claim.RankOf(homeSalt, hash), preferenceRank: claim.RankOf(s.entry, hash)}
 	s.agents[name] = a
 	s.byHome = insert(s.byHome, a, (*agent).byHomeRank)
-	s.byOwn = insert(s.byOwn, a, (*agent).byOwnRank)
+	s.byPreference = insert(s.byPreference, a, (*agent).byPreferenceRank)
 	s.changed = true
 }
 
@@ -106,7 +106,7 @@
 	}
 	delete(s.agents, name)
 	s.byHome = slices.DeleteFunc(s.byHome, func(b *agent) bool { return a == b })
-	s.byOwn = slices.DeleteFunc(s.byOwn, func(b *agent) bool { return a == b })
+	s.byPreference = slices.DeleteFunc(s.byPreference, func(b *agent) bool { return a == b })
 	s.changed = true
 }
 
@@ -116,10 +116,10 @@
 	s.entries = n
 }
 
-// SetFleet records the number of agents reported by another process, if it is higher than
+// RaiseFleetSize records the number of agents reported by another process, if it is higher than
 // those before. With it, an entry that has found only a few agents, because the directory is
 // unavailable, selects its homes as the others do.
-func (s *Set) SetFleet(n int) {
+func (s *Set) RaiseFleetSize(n int) {
 	s.changed = s.changed || n > s.fleetSize
 	s.fleetSize = max(s.fleetSize, n)
 }
@@ -159,16 +159,16 @@
 	return a != nil && a.home
 }
 
-// Short records that jobs are waiting for free resources at now, and adds own agents if
+// RecordShortage records that jobs are waiting for free resources at now, and adds preferred agents if
 // growInterval has passed since the last time. runsTasks reports whether an agent runs tasks
 // of this entry: if none of the agents added last does, the fleet has no free resources, and
 // more connections would not help. Update must follow with the same time.
-func (s *Set) Short(now time.Duration, runsTasks func(name string) bool) {
+func (s *Set) RecordShortage(now time.Duration, runsTasks func(name string) bool) {
 	s.shortAt = now
 	if !s.Partial() || s.grownAt > 0 && now-s.grownAt < growInterval {
 		return
 	}
-	if len(s.lastAdded) > 0 && !slices.ContainsFunc(s.lastAdded, runsTasks) || s.ownCount() >= len(s.agents) {
+	if len(s.lastAdded) > 0 && !slices.ContainsFunc(s.lastAdded, runsTasks) || s.preferredCount() >= len(s.agents) {
 		return
 	}
 	s.grownAt = now
@@ -176,29 +176,29 @@
 	s.changed = true
 }
 
-// Widen makes all agents wanted for a while, because a job requires a label that no
+// WantAll makes all agents wanted for a while, because a job requires a label that no
 // connected agent has.
-func (s *Set) Widen(now time.Duration) {
+func (s *Set) WantAll(now time.Duration) {
 	s.allWantedUntil = now + wantAllDuration
 }
 
-// ownCount returns the number of own agents that the entry wants and that are not lost.
-func (s *Set) ownCount() int {
+// preferredCount returns the number of preferred agents that the entry wants and that are not lost.
+func (s *Set) preferredCount() int {
 	covering := 0
 	if s.entries > 0 {
 		covering = (coverage*len(s.agents) + s.entries - 1) / s.entries
 	}
-	return max(minOwn, covering) + s.extra
+	return max(minPreferred, covering) + s.extra
 }
 
-// Own reports whether an agent is one of the entry's own, where its tasks run. Agents that
+// Preferred reports whether an agent is one that the entry prefers, where its tasks run. Agents that
 // are only homes run no tasks: they are connected to all entries and would be overloaded.
-func (s *Set) Own(name string) bool {
+func (s *Set) Preferred(name string) bool {
 	a := s.agents[name]
-	return a != nil && a.own
+	return a != nil && a.preferred
 }
 
-// Update recomputes the wanted agents, the own ones and the homes if anything has changed. It
+// Update recomputes the wanted agents, the preferred ones and the homes if anything has changed. It
 // reports whether it did.
 func (s *Set) Update(now time.Duration) bool {
 	if s.extra > 0 && now-s.shortAt >= growRetention {
@@ -213,15 +213,15 @@
 	s.changed = false
 	for _, a := range s.byHome {
 		a.wasWanted = a.wanted
-		a.wanted, a.home, a.own = !s.Partial(), !s.large(), !s.Partial()
+		a.wanted, a.home, a.preferred = !s.Partial(), !s.large(), !s.Partial()
 	}
 	if s.large() {
 		selectLive(s.byHome, homeAgents, func(a *agent) { a.wanted, a.home = true, true })
-		selectLive(s.byOwn, s.ownCount(), func(a *agent) { a.wanted, a.own = true, true })
+		selectLive(s.byPreference, s.preferredCount(), func(a *agent) { a.wanted, a.preferred = true, true })
 	}
 	if s.grownAt == now && now > 0 {
 		s.lastAdded = nil
-		for _, a := range s.byOwn {
+		for _, a := range s.byPreference {
 			if a.wanted && !a.wasWanted {
 				s.lastAdded = append(s.lastAdded, a.name)
 			}
@@ -250,9 +250,9 @@
 	return cmp.Or(cmp.Compare(a.homeRank, b.homeRank), cmp.Compare(a.name, b.name))
 }
 
-// byOwnRank compares agents by their own rank.
-func (a *agent) byOwnRank(b *agent) int {
-	return cmp.Or(cmp.Compare(a.ownRank, b.ownRank), cmp.Compare(a.name, b.name))
+// byPreferenceRank compares agents by the entry's order of preference.
+func (a *agent) byPreferenceRank(b *agent) int {
+	return cmp.Or(cmp.Compare(a.preferenceRank, b.preferenceRank), cmp.Compare(a.name, b.name))
 }
 
 // insert inserts a into a sorted list.
--- a/reach/reach_test.go
+++ b/subset/subset_test.go
@@ -1,4 +1,4 @@
-package reach
+package subset
 
 import (
 	"fmt"
@@ -55,7 +55,7 @@
 		for k := range c.entries {
 			s := newSet(fmt.Sprintf("edge-%d", k), c.entries, c.agents)
 			covering := (coverage*c.agents + c.entries - 1) / c.entries
-			assert.Assert(t, len(s.wantedNames()) <= homeAgents+max(minOwn, covering),
+			assert.Assert(t, len(s.wantedNames()) <= homeAgents+max(minPreferred, covering),
 				"%d wanted", len(s.wantedNames()))
 			assert.Equal(t, len(s.homeNames()), homeAgents)
 			for _, name := range s.wantedNames() {
@@ -77,7 +77,7 @@
 			c.entries, c.agents, none, most)
 		assert.Assert(t, none*1000 <= c.agents, "%d of %d agents are in no set", none, c.agents)
 		// Four times the mean leaves room for the chance distribution.
-		assert.Assert(t, most <= 4*max(coverage, minOwn*c.entries/c.agents), "an agent is in %d sets", most)
+		assert.Assert(t, most <= 4*max(coverage, minPreferred*c.entries/c.agents), "an agent is in %d sets", most)
 	}
 }
 
@@ -104,7 +104,7 @@
 	for _, name := range before.wantedNames() {
 		after.Add(name)
 	}
-	after.SetFleet(800)
+	after.RaiseFleetSize(800)
 	after.Update(0)
 	assert.DeepEqual(t, after.homeNames(), before.homeNames())
 }
@@ -119,14 +119,14 @@
 	}
 	s.Update(0)
 	live := s.namesOf(func(a *agent) bool { return a.wanted && !a.lost })
-	// Fewer than a quarter of the homes are also own agents.
-	assert.Assert(t, len(live) >= homeAgents+minOwn-homeAgents/4, "%d live agents wanted", len(live))
-	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn))
+	// Fewer than a quarter of the homes are also preferred agents.
+	assert.Assert(t, len(live) >= homeAgents+minPreferred-homeAgents/4, "%d live agents wanted", len(live))
+	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minPreferred))
 	for k := range 800 {
 		s.SetLost(agentName(k), true)
 	}
 	s.Update(0)
-	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minOwn),
+	assert.Assert(t, len(s.wantedNames()) <= maxTriedFactor*(homeAgents+minPreferred),
 		"%d agents tried", len(s.wantedNames()))
 	for k := range 800 {
 		s.SetLost(agentName(k), false)
@@ -142,7 +142,7 @@
 	usual := len(s.wantedNames())
 	now := time.Second
 	step := func(runsTasks bool) int {
-		s.Short(now, func(string) bool { return runsTasks })
+		s.RecordShortage(now, func(string) bool { return runsTasks })
 		s.Update(now)
 		now += growInterval
 		return len(s.wantedNames())
@@ -166,7 +166,7 @@
 func TestMissingLabelWantsAllAgents(t *testing.T) {
 	s := newSet("edge-1", 184, 800)
 	usual := len(s.wantedNames())
-	s.Widen(time.Second)
+	s.WantAll(time.Second)
 	s.Update(time.Second)
 	assert.Equal(t, len(s.wantedNames()), 800)
 	assert.Assert(t, !s.Partial())
@@ -191,7 +191,7 @@
 			case 2, 3:
 				s.SetLost(name, rapid.Bool().Draw(t, "lost"))
 			case 4:
-				s.Short(now, func(string) bool { return true })
+				s.RecordShortage(now, func(string) bool { return true })
 			case 5:
 				s.SetEntries(rapid.IntRange(1, 40).Draw(t, "entries"))
 			}
@@ -205,7 +205,7 @@
 			}
 		}
 		assert.Assert(t, slices.IsSortedFunc(s.byHome, (*agent).byHomeRank))
-		assert.Equal(t, len(s.byHome), len(s.byOwn))
+		assert.Equal(t, len(s.byHome), len(s.byPreference))
 	})
 }
 
--- a/testutil/fleet/growth_test.go
+++ b/testutil/fleet/growth_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/reach"
+	"github.com/beaconpoint/beaconpoint/subset"
 )
 
 // fleetCost is what a fleet used in two seconds at 25% load.
@@ -60,8 +60,8 @@
 func TestFleetCostGrowsLinearly(t *testing.T) {
 	once, twice := measureFleet(20, 140), measureFleet(40, 280)
 	t.Logf("%+v, %+v", once, twice)
-	assert.Assert(t, once.connections <= 20*reach.FullMesh)
-	assert.Assert(t, twice.connections <= 40*reach.FullMesh)
+	assert.Assert(t, once.connections <= 20*subset.FullMesh)
+	assert.Assert(t, twice.connections <= 40*subset.FullMesh)
 	assert.Assert(t, float64(twice.frames) <= 2*maxGrowthPerHost*float64(once.frames))
 	assert.Assert(t, max(once.homeStartRatio, twice.homeStartRatio) <= maxHomeStartRatio, "targets of home agents get more work than others")
 	assert.Assert(t, twice.completed >= 2*once.completed*95/100)
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/peer"
-	"github.com/beaconpoint/beaconpoint/reach"
+	"github.com/beaconpoint/beaconpoint/subset"
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
@@ -183,7 +183,7 @@
 }
 
 func (l *link) wanted() bool {
-	return l.w.cfg.Agents <= reach.FullMesh || l.e.reach.Wanted(l.a.name)
+	return l.w.cfg.Agents <= subset.FullMesh || l.e.reach.Wanted(l.a.name)
 }
 
 // release closes a connection that the entry no longer needs.
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -9,7 +9,7 @@
 
 	"github.com/beaconpoint/beaconpoint/owner"
 	"github.com/beaconpoint/beaconpoint/peer"
-	"github.com/beaconpoint/beaconpoint/reach"
+	"github.com/beaconpoint/beaconpoint/subset"
 	"github.com/beaconpoint/beaconpoint/supervisor"
 	"github.com/beaconpoint/beaconpoint/task"
 )
@@ -69,7 +69,7 @@
 type entryProcess struct {
 	process
 	owner                 *owner.Owner
-	reach                 *reach.Set
+	reach                 *subset.Set
 	clients               map[string]*client
 	lastTick              time.Duration
 	linkFreeAt            time.Duration // when its link has sent all queued frames
@@ -102,13 +102,13 @@
 	e.owner.Term = e.w.cfg.Term
 	e.owner.TrustStopped = e.w.cfg.TrustStopped
 	e.owner.AwaitEndings = !e.w.cfg.ForgetEndings
-	e.reach = reach.NewSet(e.name)
+	e.reach = subset.NewSet(e.name)
 	e.reach.SetEntries(e.w.cfg.Entries)
 	for k := range e.w.cfg.Agents {
 		e.reach.Add(agentName(k))
 	}
 	e.owner.IsHome = e.reach.Home
-	e.owner.IsOwn = e.reach.Own
+	e.owner.IsOwn = e.reach.Preferred
 	e.owner.Addr = func(agent string) string { return agent }
 	e.owner.SetLink(e.w.cfg.LinkMbps)
 	e.owner.Random = e.w.ownerRand.IntN
@@ -133,17 +133,17 @@
 // does.
 func (e *entryProcess) adjustReach(now time.Duration) {
 	if e.owner.TakeMissingLabel() {
-		e.reach.Widen(now)
+		e.reach.WantAll(now)
 	}
 	if e.owner.Short(now) {
-		e.reach.Short(now, e.owner.Busy)
+		e.reach.RecordShortage(now, e.owner.Busy)
 	}
 	changed := e.reach.Update(now)
 	if changed {
 		e.owner.Partial = e.reach.Partial()
 		e.owner.RefreshRoles()
 	}
-	if e.w.cfg.Agents <= reach.FullMesh {
+	if e.w.cfg.Agents <= subset.FullMesh {
 		return // links dial by themselves
 	}
 	for k := range e.w.cfg.Agents {
