--- a/node/agent.go
+++ b/node/agent.go
@@ -135,7 +135,7 @@
 	}
 	began := a.clock.now()
 	a.mu.Lock()
-	a.supervisor.Leave(a.clock.now())
+	a.supervisor.BeginShutdown(a.clock.now())
 	a.mu.Unlock()
 	a.log.Info(event.Stopping)
 	for a.clock.now()-began < a.settings.Grace-graceMargin {
@@ -172,7 +172,7 @@
 func (a *Agent) tick(ctx context.Context) error {
 	runTicks(ctx, supervisor.TickInterval, a.clock, &a.pause, &a.mu, func(now time.Duration, checkSilence bool) {
 		a.supervisor.Tick(now)
-		a.supervisor.Heartbeats(now)
+		a.supervisor.SendHeartbeats(now)
 		if checkSilence {
 			a.closeSilent(now)
 		}
--- a/node/renewal.go
+++ b/node/renewal.go
@@ -49,7 +49,7 @@
 func (a *Agent) losingReplies() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.supervisor.LosingReplies(a.clock.now())
+	return a.supervisor.NeedsSecondRenewal(a.clock.now())
 }
 
 // renewOnce makes one renewal. After a failure it pauses until the backoff has elapsed or a
--- a/node/session.go
+++ b/node/session.go
@@ -106,7 +106,7 @@
 // are being lost. It must be called after calls to the supervisor that may change a state; the next
 // tick does so for connect and stop. The caller must hold a.mu.
 func (a *Agent) scheduleFlush(now time.Duration) {
-	if a.supervisor.LosingReplies(now) {
+	if a.supervisor.NeedsSecondRenewal(now) {
 		notify(a.repliesLost)
 	}
 	wait, ok := a.supervisor.Pending(now)
--- a/supervisor/evacuation_test.go
+++ b/supervisor/evacuation_test.go
@@ -111,10 +111,10 @@
 	b.sendEvacuations(7, "mtm")
 	b.Connected(b.now, 3, peer.Hello{Name: "third", Level: peer.LevelNewest})
 	b.now += peer.IdleHeartbeatInterval
-	b.Heartbeats(b.now)
+	b.SendHeartbeats(b.now)
 	assert.DeepEqual(t, received, map[ConnID][]uint64{2: {7}, 3: {7}})
 	b.sendEvacuations(7, "mtm")
 	b.now += peer.IdleHeartbeatInterval
-	b.Heartbeats(b.now)
+	b.SendHeartbeats(b.now)
 	assert.DeepEqual(t, received, map[ConnID][]uint64{2: {7}, 3: {7}})
 }
--- a/supervisor/incarnation.go
+++ b/supervisor/incarnation.go
@@ -92,10 +92,10 @@
 	if r.HasClock && !s.lease.clock.known {
 		s.lease.clock.update(r.Clock, now)
 	}
-	if before := s.warmup.coldFraction(now); r.Cold > 0 && before == 0 {
+	if before := s.warmup.coldFraction(now); r.WarmupLeft > 0 && before == 0 {
 		s.logCold(r)
 	}
-	s.warmup.update(now, r.Cold)
+	s.warmup.update(now, r.WarmupLeft)
 	r.Draining = r.Draining || t.report.Draining // an incarnation that drains continues to do so
 	t.report = &r
 	t.reportAt = now
--- a/supervisor/incarnation_test.go
+++ b/supervisor/incarnation_test.go
@@ -19,10 +19,10 @@
 }
 
 // runningRows returns the runs as the target lists them.
-func (b *harness) runningRows() []RunningRow {
-	var rows []RunningRow
+func (b *harness) runningRows() []ListedRun {
+	var rows []ListedRun
 	for _, r := range b.sortedRuns() {
-		rows = append(rows, RunningRow{Name: r.name, Run: r.order.Run})
+		rows = append(rows, ListedRun{Name: r.name, Run: r.order.Run})
 	}
 	return rows
 }
--- a/supervisor/log.go
+++ b/supervisor/log.go
@@ -92,7 +92,7 @@
 func (s *Supervisor) logCold(r Report) {
 	s.log(event.TargetCold,
 		slog.String("target", r.ID),
-		event.Milliseconds("left_ms", r.Cold),
+		event.Milliseconds("left_ms", r.WarmupLeft),
 		slog.Float64("slowdown", math.Exp(s.warmup.fullLogSlowdown)))
 }
 
--- a/supervisor/renewal.go
+++ b/supervisor/renewal.go
@@ -54,7 +54,7 @@
 		s.dropCandidate(c.sent)
 		s.lapsed = nil // the target was silent but has not crashed
 		s.applyLists(now, c, lists)
-	case RefusedToken:
+	case RejectedToken:
 		s.renewToken(now)
 	case WrongIncarnation:
 		s.wrongIncarnation(now, "renewal")
@@ -65,9 +65,9 @@
 	s.reserveRoom(now)
 }
 
-// LosingReplies reports whether a second renewal should be in progress in parallel, so that
+// NeedsSecondRenewal reports whether a second renewal should be in progress in parallel, so that
 // one lost reply does not delay the reports of ends. It is false while there are no runs.
-func (s *Supervisor) LosingReplies(now time.Duration) bool {
+func (s *Supervisor) NeedsSecondRenewal(now time.Duration) bool {
 	return s.lease.losingReplies(now) && len(s.runs) > 0
 }
 
@@ -100,7 +100,7 @@
 
 // applyEnded applies one listed end, unless that was done before: the target lists an end
 // until a renewal acknowledges it.
-func (s *Supervisor) applyEnded(now time.Duration, e EndedRow) {
+func (s *Supervisor) applyEnded(now time.Duration, e ListedEnd) {
 	if e.N <= s.target.lastSeen {
 		return
 	}
@@ -122,10 +122,10 @@
 
 // applyRunning applies one listed run: an unanswered start has taken effect. Runs that this
 // agent did not order are stopped.
-func (s *Supervisor) applyRunning(now time.Duration, row RunningRow) {
+func (s *Supervisor) applyRunning(now time.Duration, row ListedRun) {
 	r := s.runs[row.Name]
 	if r == nil || r.order.Run != row.Run {
-		if !s.Rules.StopUnknown {
+		if !s.Rules.StopUnknownRuns {
 			return
 		}
 		s.Stop(StopCall{
--- a/supervisor/restart.go
+++ b/supervisor/restart.go
@@ -19,9 +19,9 @@
 func (s *Supervisor) restartedSince(l *RunLists) bool {
 	t := &s.target
 	if t.candidate != nil && t.candidate.ID == t.id() {
-		return l.Born != t.report.Born
+		return l.StartedUnixMS != t.report.StartedUnixMS
 	}
-	return l.Born != 0 && t.report.Born != 0 && l.Born != t.report.Born
+	return l.StartedUnixMS != 0 && t.report.StartedUnixMS != 0 && l.StartedUnixMS != t.report.StartedUnixMS
 }
 
 // targetRestarted ends the current incarnation because its target has restarted under the
--- a/supervisor/restart_test.go
+++ b/supervisor/restart_test.go
@@ -14,17 +14,17 @@
 	t.Helper()
 	b := newHarness(t)
 	r := b.report("i-1", 2)
-	r.Born = 100
+	r.StartedUnixMS = 100
 	b.Heartbeat(b.now, r)
 	return b
 }
 
 // answerRenewalFrom sends a renewal and answers it as the process with the given start
 // time.
-func (b *harness) answerRenewalFrom(born int64, running ...RunningRow) RenewCall {
+func (b *harness) answerRenewalFrom(born int64, running ...ListedRun) RenewCall {
 	c, _ := b.NextRenewal(b.now)
 	b.now += ms
-	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{Born: born, Running: running})
+	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{StartedUnixMS: born, Running: running})
 	return c
 }
 
@@ -33,7 +33,7 @@
 func (b *harness) restartTarget() {
 	b.answerRenewalFrom(200)
 	r := b.report("i-1", 1)
-	r.Born = 200
+	r.StartedUnixMS = 200
 	b.Heartbeat(b.now, r)
 }
 
@@ -46,14 +46,14 @@
 	b.sendOrders(order(1, 1000)) // without an answer
 	b.restartTarget()
 	assert.Equal(t, len(b.sentEnds()), 0, "ended a run that may be active in the new process")
-	c := b.answerRenewalFrom(200, RunningRow{Name: order(1, 0).Task.String(), Run: 1})
+	c := b.answerRenewalFrom(200, ListedRun{Name: order(1, 0).Task.String(), Run: 1})
 	assert.Assert(t, c.Token > b.starts[0].Token, "the token does not exceed that of delayed starts")
 	assert.Equal(t, c.LastSeen, uint64(0), "the last sequence number of the old process was sent to the new one")
 	assert.Equal(t, len(b.sentEnds()), 1)
 	assert.Equal(t, b.sentEnds()[0].Ref.Task.Index, 0)
 	c, _ = b.NextRenewal(b.now)
-	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{Born: 200,
-		Ended: []EndedRow{{N: 1, Name: order(1, 0).Task.String(), Run: 1, End: task.EndDone}}})
+	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{StartedUnixMS: 200,
+		Ended: []ListedEnd{{N: 1, Name: order(1, 0).Task.String(), Run: 1, End: task.EndDone}}})
 	assert.Equal(t, b.sentEnds()[1].End, task.EndDone)
 	assert.Assert(t, b.target.cleared)
 }
@@ -79,11 +79,11 @@
 	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	r := b.report("i-1", 900)
-	r.Born = 50
+	r.StartedUnixMS = 50
 	b.Heartbeat(b.now, r)
-	b.answerRenewalFrom(100, RunningRow{Name: order(0, 0).Task.String(), Run: 1})
+	b.answerRenewalFrom(100, ListedRun{Name: order(0, 0).Task.String(), Run: 1})
 	assert.Equal(t, len(b.sentEnds()), 0)
-	assert.Equal(t, b.target.incarnation(), Incarnation{ID: "i-1", Born: 100})
+	assert.Equal(t, b.target.incarnation(), Incarnation{ID: "i-1", StartedUnixMS: 100})
 	assert.Assert(t, b.target.candidate == nil)
 }
 
@@ -94,11 +94,11 @@
 	b.sendOrders(order(0, 1000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	r := b.report("i-1", 1)
-	r.Born = 200
+	r.StartedUnixMS = 200
 	b.Heartbeat(b.now, r)
-	assert.Equal(t, b.target.incarnation().Born, int64(100))
+	assert.Equal(t, b.target.incarnation().StartedUnixMS, int64(100))
 	b.answerRenewalFrom(200)
-	assert.Equal(t, b.target.incarnation().Born, int64(200))
+	assert.Equal(t, b.target.incarnation().StartedUnixMS, int64(200))
 	assert.Equal(t, len(b.sentEnds()), 0)
 	b.answerRenewalFrom(200)
 	assert.Equal(t, b.sentEnds()[0].End, task.EndLost)
--- a/supervisor/starting.go
+++ b/supervisor/starting.go
@@ -36,7 +36,7 @@
 	case NoAnswer:
 		s.recordTimeout(now)
 		s.logStartUnanswered(r, reply)
-		if !s.Rules.KeepUnanswered {
+		if !s.Rules.KeepUnansweredStarts {
 			s.finish(now, r, task.EndRejected, code.RunAbsent)
 		}
 	case WrongIncarnation:
@@ -51,10 +51,10 @@
 func (s *Supervisor) startRejected(now time.Duration, r *run, reply Reply) {
 	outcome := reply.Outcome
 	s.logStartRejected(r, reply)
-	if outcome == RefusedUnhealthy && s.health.recordRejection(now, r.order.Task.Job) {
+	if outcome == RejectedUnhealthy && s.health.recordRejection(now, r.order.Task.Job) {
 		s.announceHealth(now)
 	}
-	if outcome == RefusedToken {
+	if outcome == RejectedToken {
 		s.renewToken(now)
 	}
 	if r.tries > 1 {
--- a/supervisor/state.go
+++ b/supervisor/state.go
@@ -45,9 +45,9 @@
 	return max(minStateInterval, time.Duration(watching)*stateIntervalPerWatcher)
 }
 
-// Heartbeats sends a frame, empty if nothing is pending, to each entry that has received none
+// SendHeartbeats sends a frame, empty if nothing is pending, to each entry that has received none
 // for the interval of its connection. The entry echoes its timestamp.
-func (s *Supervisor) Heartbeats(now time.Duration) {
+func (s *Supervisor) SendHeartbeats(now time.Duration) {
 	for _, c := range s.sortedSessions {
 		c.dirty = c.dirty || now-c.sentAt >= peer.Interval(c.inUse())
 	}
--- a/supervisor/state_test.go
+++ b/supervisor/state_test.go
@@ -56,7 +56,7 @@
 			}
 			b.answerRenewal(nil, nil)
 			b.Tick(b.now)
-			b.Heartbeats(b.now)
+			b.SendHeartbeats(b.now)
 		}
 		assert.Assert(t, len(b.frames) <= most, "level %d: %d frames", level, len(b.frames))
 	}
--- a/supervisor/stopping.go
+++ b/supervisor/stopping.go
@@ -62,7 +62,7 @@
 	switch reply.Outcome {
 	case Accepted:
 		r.markCannotStart(now)
-	case RefusedToken:
+	case RejectedToken:
 		s.renewToken(now)
 	default:
 		s.logStopFailed(r, reply)
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -9,16 +9,16 @@
 // node) calls it under one lock, passes the time of a monotonic clock and carries out its
 // calls; package testutil/fleet runs it in virtual time. Methods that handle an input may
 // send frames and begin calls before they return; Stats, Claims, Idle, Pending, NextRenewal,
-// LosingReplies, RenewalBackoff, Spec and SilentTooLong do not. The process
+// NeedsSecondRenewal, RenewalBackoff, Spec and SilentTooLong do not. The process
 //
 //   - passes on every input: Heartbeat and Deregister from the target, Connected,
 //     Receive and Disconnected from entries, StartAnswered, StopAnswered and SpecFetched
-//     for the calls it was asked to make, Evacuate for the evacuated halls, and Leave
+//     for the calls it was asked to make, Evacuate for the evacuated halls, and BeginShutdown
 //     when the agent shuts down;
 //   - keeps one renewal in progress: NextRenewal, the call, RenewalAnswered, a pause
-//     of RenewalBackoff; and a second renewal in parallel while LosingReplies is true;
+//     of RenewalBackoff; and a second renewal in parallel while NeedsSecondRenewal is true;
 //   - calls Tick every TickInterval, and once StartRetry after each start;
-//   - calls Flush at the time that Pending returns, and Heartbeats regularly.
+//   - calls Flush at the time that Pending returns, and SendHeartbeats regularly.
 //
 // The files, by responsibility:
 //
@@ -74,11 +74,11 @@
 	AwaitCleared bool
 	// FencingTokens gives each agent a higher token than any agent before it.
 	FencingTokens bool
-	// KeepUnanswered keeps the resources and the task of an unanswered start until it is
+	// KeepUnansweredStarts keeps the resources and the task of an unanswered start until it is
 	// certain that the start can no longer take effect.
-	KeepUnanswered bool
-	// StopUnknown stops runs that this agent did not order.
-	StopUnknown bool
+	KeepUnansweredStarts bool
+	// StopUnknownRuns stops runs that this agent did not order.
+	StopUnknownRuns bool
 	// RefuseEvacuated rejects all starts on a target whose data hall is evacuated.
 	RefuseEvacuated bool
 }
@@ -86,12 +86,12 @@
 // DefaultRules returns the rules for production use.
 func DefaultRules() Rules {
 	return Rules{
-		OwnerLease:     OwnerLease,
-		TargetLease:    TargetLease,
-		AwaitCleared:   true,
-		FencingTokens:  true,
-		KeepUnanswered: true,
-		StopUnknown:    true,
+		OwnerLease:           OwnerLease,
+		TargetLease:          TargetLease,
+		AwaitCleared:         true,
+		FencingTokens:        true,
+		KeepUnansweredStarts: true,
+		StopUnknownRuns:      true,
 
 		RefuseEvacuated: true,
 	}
@@ -190,8 +190,8 @@
 	return len(s.runs) == 0
 }
 
-// Leave makes the agent reject new work because it is shutting down. Active runs continue.
-func (s *Supervisor) Leave(now time.Duration) {
+// BeginShutdown makes the agent reject new work because it is shutting down. Active runs continue.
+func (s *Supervisor) BeginShutdown(now time.Duration) {
 	defer s.flush(now)
 	s.shuttingDown = true
 	s.markChanged()
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -51,7 +51,7 @@
 }
 
 // answerRenewal sends a renewal and answers it with the given lists.
-func (b *harness) answerRenewal(running []RunningRow, ended []EndedRow) {
+func (b *harness) answerRenewal(running []ListedRun, ended []ListedEnd) {
 	c, _ := b.NextRenewal(b.now)
 	b.now += ms
 	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{Running: running, Ended: ended})
@@ -184,9 +184,9 @@
 	again.Stop = func(c StopCall) { again.stops = append(again.stops, c) }
 	again.Send = func(ConnID, *peer.Frame) {}
 	again.Heartbeat(again.now, again.report("i-1", 9))
-	again.answerRenewal([]RunningRow{{Name: "old", Run: 3}}, nil)
+	again.answerRenewal([]ListedRun{{Name: "old", Run: 3}}, nil)
 	assert.Assert(t, again.target.token > earlier)
-	again.answerRenewal([]RunningRow{{Name: "old", Run: 3}}, nil)
+	again.answerRenewal([]ListedRun{{Name: "old", Run: 3}}, nil)
 	assert.Assert(t, !again.target.cleared)
 	assert.Assert(t, len(again.stops) > 0)
 	assert.Equal(t, again.stops[0].Name, "old")
@@ -225,7 +225,7 @@
 			first = id
 		}
 	}
-	b.answerRenewal(nil, []EndedRow{{N: 1, Name: order(0, 0).Task.String(), Run: 1, End: task.EndDone}})
+	b.answerRenewal(nil, []ListedEnd{{N: 1, Name: order(0, 0).Task.String(), Run: 1, End: task.EndDone}})
 	assert.Equal(t, first, ConnID(2))
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, Starts: []task.Order{order(1, 2000)}})
 	assert.Equal(t, len(b.starts), 1) // three cores are reserved for the other entry
@@ -294,20 +294,20 @@
 func TestLostReplyStartsSecondRenewal(t *testing.T) {
 	b := newHarness(t)
 	b.sendOrders(order(1, 1000))
-	assert.Assert(t, !b.LosingReplies(b.now))
+	assert.Assert(t, !b.NeedsSecondRenewal(b.now))
 	c, _ := b.NextRenewal(b.now)
 	b.now += 70 * ms
 	b.RenewalAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
-	assert.Assert(t, b.LosingReplies(b.now))
+	assert.Assert(t, b.NeedsSecondRenewal(b.now))
 	first, _ := b.NextRenewal(b.now)
 	second, _ := b.NextRenewal(b.now)
 	b.now += 5 * ms
-	lists := &RunLists{Ended: []EndedRow{{N: 1, Name: b.starts[0].Order.Task.String(), Run: 1, End: task.EndDone}}}
+	lists := &RunLists{Ended: []ListedEnd{{N: 1, Name: b.starts[0].Order.Task.String(), Run: 1, End: task.EndDone}}}
 	b.RenewalAnswered(b.now, second, b.reply(Accepted), lists)
 	b.RenewalAnswered(b.now, first, b.reply(Accepted), lists)
-	assert.Equal(t, len(b.sentEnds()), 1)     // reported once
-	assert.Assert(t, !b.LosingReplies(b.now)) // no active runs
-	assert.Assert(t, !b.LosingReplies(b.now+lossyDuration))
+	assert.Equal(t, len(b.sentEnds()), 1)          // reported once
+	assert.Assert(t, !b.NeedsSecondRenewal(b.now)) // no active runs
+	assert.Assert(t, !b.NeedsSecondRenewal(b.now+lossyDuration))
 }
 
 // TestSilentTargetGetsNoSecondRenewal guards against useless extra calls to a target that
@@ -318,7 +318,7 @@
 	c, _ := b.NextRenewal(b.now)
 	b.advance(silenceLimit + 10*ms)
 	b.RenewalAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
-	assert.Assert(t, !b.LosingReplies(b.now))
+	assert.Assert(t, !b.NeedsSecondRenewal(b.now))
 }
 
 // TestShrunkCapacityNotOverallocated guards against starts beyond a reduced capacity, also
--- a/supervisor/warmup_test.go
+++ b/supervisor/warmup_test.go
@@ -16,7 +16,7 @@
 func TestSpeedRisesSteadilyDuringWarmup(t *testing.T) {
 	b := newHarness(t)
 	r := b.report("i-1", 2)
-	r.Cold = 4 * time.Second
+	r.WarmupLeft = 4 * time.Second
 	b.Heartbeat(b.now, r)
 	last := b.speed(b.now)
 	assert.Assert(t, math.Abs(last-1/priorColdSlowdown) < 0.001, "%f", last)
@@ -36,7 +36,7 @@
 	slow := math.Exp(b.warmup.fullLogSlowdown)
 	for k := range 60 {
 		r := b.report("i-1", uint64(k+2))
-		r.Cold = time.Hour
+		r.WarmupLeft = time.Hour
 		b.Heartbeat(b.now, r)
 		o := order(0, 1000)
 		o.Task = task.ID{Job: fmt.Sprintf("%016x", k)}
@@ -44,7 +44,7 @@
 		assert.Equal(t, len(b.starts), k+1)
 		b.StartAnswered(b.now, b.starts[len(b.starts)-1], b.reply(Accepted))
 		b.advance(400 * ms) // four times its estimate
-		b.answerRenewal(nil, []EndedRow{{N: uint64(k + 1), Name: o.Task.String(), Run: 1, End: task.EndDone}})
+		b.answerRenewal(nil, []ListedEnd{{N: uint64(k + 1), Name: o.Task.String(), Run: 1, End: task.EndDone}})
 		assert.Assert(t, !b.health.ejected, "after %d runs", k)
 	}
 	assert.Equal(t, b.health.logSlowdown, 0.0)
--- a/testutil/fleet/operator_test.go
+++ b/testutil/fleet/operator_test.go
@@ -173,7 +173,7 @@
 	rules.FencingTokens = false
 	startedAt, busyFor = delayedStart(t, rules, true)
 	assert.Assert(t, startedAt > 0 && busyFor < maxStopDelay, "%s %s", startedAt, busyFor)
-	rules.StopUnknown = false
+	rules.StopUnknownRuns = false
 	startedAt, busyFor = delayedStart(t, rules, true)
 	assert.Assert(t, startedAt > 0 && busyFor > 3*maxStopDelay, "%s %s", startedAt, busyFor)
 }
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -272,7 +272,7 @@
 	a.execute(incarnation, func() {
 		now := a.clock()
 		a.supervisor.Tick(now)
-		a.supervisor.Heartbeats(now)
+		a.supervisor.SendHeartbeats(now)
 		a.scheduleFlush()
 		if now < a.w.cfg.Length && a.target.behaviour == (Behaviour{}) && a.supervisor.Stats(now).Ejected > 0 {
 			a.w.SoundEjected += supervisor.TickInterval
@@ -284,7 +284,7 @@
 // scheduleFlush schedules the sending of pending state changes. It also starts a second renewal
 // while replies get lost.
 func (a *agentProcess) scheduleFlush() {
-	if !a.secondRenewal && a.supervisor.LosingReplies(a.clock()) {
+	if !a.secondRenewal && a.supervisor.NeedsSecondRenewal(a.clock()) {
 		a.secondRenewal = true
 		a.renewSecond(a.incarnation)
 	}
@@ -311,7 +311,7 @@
 // renewSecond keeps a second renewal in progress while replies get lost.
 func (a *agentProcess) renewSecond(incarnation int) {
 	a.renewOnce(incarnation, func(wait time.Duration) {
-		if !a.supervisor.LosingReplies(a.clock()) {
+		if !a.supervisor.NeedsSecondRenewal(a.clock()) {
 			a.secondRenewal = false
 			return
 		}
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -61,10 +61,10 @@
 	leaseDeadline   time.Duration // on the target's clock
 	highestToken    uint64
 	runs            map[string]*emulatedRun
-	endedRuns       []supervisor.EndedRow // not yet acknowledged by a renewal
-	endCount        uint64                // in this incarnation
-	lastFinishedRun map[string]int        // by task name, the number of the last run that was stopped or ended
-	drainingSince   time.Duration         // zero if not draining
+	endedRuns       []supervisor.ListedEnd // not yet acknowledged by a renewal
+	endCount        uint64                 // in this incarnation
+	lastFinishedRun map[string]int         // by task name, the number of the last run that was stopped or ended
+	drainingSince   time.Duration          // zero if not draining
 	behaviour       Behaviour
 	coldUntil       time.Duration
 	// startDelay, if set, delays starts, leaves them unanswered and drops stops.
@@ -127,9 +127,10 @@
 
 // heartbeat returns the content of a heartbeat.
 func (e *emulatedTarget) heartbeat(seq uint64) supervisor.Report {
-	return supervisor.Report{ID: e.id, Born: e.startedMS, Service: service, Hall: e.hall, Capacity: e.capacity, Draining: e.drainingSince > 0,
-		Cold:  max(0, e.coldUntil-e.w.now()),
-		Clock: e.clock(), HasClock: true, Seq: seq}
+	return supervisor.Report{ID: e.id, StartedUnixMS: e.startedMS, Service: service, Hall: e.hall,
+		Capacity: e.capacity, Draining: e.drainingSince > 0,
+		WarmupLeft: max(0, e.coldUntil-e.w.now()),
+		Clock:      e.clock(), HasClock: true, Seq: seq}
 }
 
 // call carries out do as a remote call subject to the target's behaviour: the answer may be
@@ -184,18 +185,18 @@
 func (e *emulatedTarget) start(c supervisor.StartCall) supervisor.Reply {
 	name := c.Order.Task.String()
 	if c.Token < e.highestToken {
-		return supervisor.Reply{Outcome: supervisor.RefusedToken}
+		return supervisor.Reply{Outcome: supervisor.RejectedToken}
 	}
 	e.highestToken = c.Token
 	if r := e.runs[name]; r != nil && r.order.Run == c.Order.Run {
 		return supervisor.Reply{}
 	}
 	if c.Deadline < e.clock() {
-		return supervisor.Reply{Outcome: supervisor.RefusedLate}
+		return supervisor.Reply{Outcome: supervisor.RejectedDeadline}
 	}
 	e.extendLease(c.Deadline)
 	if c.Order.Run <= e.lastFinishedRun[name] {
-		return supervisor.Reply{Outcome: supervisor.RefusedOld}
+		return supervisor.Reply{Outcome: supervisor.RejectedStaleRun}
 	}
 	r := &emulatedRun{order: c.Order, name: name}
 	e.w.checkRunStart(e, r)
@@ -267,7 +268,7 @@
 	r.ended = true
 	e.lastFinishedRun[r.name] = max(e.lastFinishedRun[r.name], r.order.Run)
 	e.endCount++
-	e.endedRuns = append(e.endedRuns, supervisor.EndedRow{N: e.endCount, Name: r.name, Run: r.order.Run, End: end})
+	e.endedRuns = append(e.endedRuns, supervisor.ListedEnd{N: e.endCount, Name: r.name, Run: r.order.Run, End: end})
 	e.w.recordRunEnd(r, end)
 	polls := e.pendingRenewals
 	e.pendingRenewals = nil
@@ -279,7 +280,7 @@
 // stop carries out an order to stop a run.
 func (e *emulatedTarget) stop(c supervisor.StopCall) supervisor.Reply {
 	if c.Token < e.highestToken {
-		return supervisor.Reply{Outcome: supervisor.RefusedToken}
+		return supervisor.Reply{Outcome: supervisor.RejectedToken}
 	}
 	e.highestToken = c.Token
 	e.lastFinishedRun[c.Name] = max(e.lastFinishedRun[c.Name], c.Ref.Run)
@@ -297,13 +298,13 @@
 	var lists *supervisor.RunLists
 	e.call(c.Incarnation, c.Wait+holdTimeout, func() supervisor.Reply {
 		if c.Token < e.highestToken {
-			return supervisor.Reply{Outcome: supervisor.RefusedToken}
+			return supervisor.Reply{Outcome: supervisor.RejectedToken}
 		}
 		e.highestToken = c.Token
 		if c.Deadline > 0 {
 			e.extendLease(c.Deadline)
 		}
-		e.endedRuns = slices.DeleteFunc(e.endedRuns, func(r supervisor.EndedRow) bool { return r.N <= c.LastSeen })
+		e.endedRuns = slices.DeleteFunc(e.endedRuns, func(r supervisor.ListedEnd) bool { return r.N <= c.LastSeen })
 		lists = e.runLists()
 		return supervisor.Reply{}
 	}, func(reply supervisor.Reply) {
@@ -339,9 +340,9 @@
 
 // runLists returns the running runs and the unacknowledged ended ones.
 func (e *emulatedTarget) runLists() *supervisor.RunLists {
-	a := &supervisor.RunLists{Born: e.startedMS, Ended: slices.Clone(e.endedRuns)}
+	a := &supervisor.RunLists{StartedUnixMS: e.startedMS, Ended: slices.Clone(e.endedRuns)}
 	for _, r := range e.sortedRuns() {
-		a.Running = append(a.Running, supervisor.RunningRow{Name: r.name, Run: r.order.Run})
+		a.Running = append(a.Running, supervisor.ListedRun{Name: r.name, Run: r.order.Run})
 	}
 	return a
 }
--- a/testutil/fleet/world_test.go
+++ b/testutil/fleet/world_test.go
@@ -125,7 +125,7 @@
 			c.Faults = 12
 		}},
 		{"clear time", func(c *Config) { c.Clear = 0 }},
-		{"keeping unanswered starts", func(c *Config) { c.Rules.KeepUnanswered = false }},
+		{"keeping unanswered starts", func(c *Config) { c.Rules.KeepUnansweredStarts = false }},
 		{"claims", func(c *Config) { c.Strays, c.Homes = 0.4, 0 }},
 		{"waiting for dropped runs to end", func(c *Config) {
 			c.Strays, c.ForgetEndings = 0.9, true
