--- a/cmd/beaconpoint/node.go
+++ b/cmd/beaconpoint/node.go
@@ -68,7 +68,7 @@
 func newEntryNode(s settings.Node, log *slog.Logger) *node.Entry {
 	store := platform.NewStore(s.Store, log)
 	e := node.NewEntry(s, store.Directory(), store.Source(), log)
-	e.SetTerm(platform.Term(s))
+	e.SetGoal(platform.Goal(s))
 	e.Serve = platform.NewCallerAPI(e, s, log).Serve
 	return e
 }
--- a/node/entry.go
+++ b/node/entry.go
@@ -99,7 +99,7 @@
 	e.owner.Addr = e.addr
 	e.owner.SetLink(s.LinkMbps)
 	e.owner.IsHome = e.subset.set.Home
-	e.owner.IsOwn = e.subset.set.Preferred
+	e.owner.IsPreferred = e.subset.set.Preferred
 	return e
 }
 
@@ -109,9 +109,9 @@
 	e.owner.ClaimTimeout = d
 }
 
-// SetTerm sets the optimization objective of the owner. It must be called before Run.
-func (e *Entry) SetTerm(t owner.Term) {
-	e.owner.Term = t
+// SetGoal sets the optimization objective of the owner. It must be called before Run.
+func (e *Entry) SetGoal(g owner.Goal) {
+	e.owner.Goal = g
 }
 
 // Ready reports whether the load balancer should route requests to the entry: it has a
@@ -146,7 +146,7 @@
 		return a, nil
 	case <-ctx.Done():
 		e.mu.Lock()
-		e.owner.Cancel(e.clock.now(), j.ID, caller)
+		e.owner.RemoveCaller(e.clock.now(), j.ID, caller)
 		e.mu.Unlock()
 		return owner.Answer{}, ctx.Err()
 	}
@@ -196,7 +196,7 @@
 func (e *Entry) hallsSuspected() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return uint64(e.owner.HallsSuspected())
+	return uint64(e.owner.SuspectedHalls())
 }
 
 // watched returns the number of agents that the entry watches.
@@ -210,7 +210,7 @@
 func (e *Entry) linkQueueTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.owner.LinkQueue(e.clock.now())
+	return e.owner.LinkDelay(e.clock.now())
 }
 
 // jobs returns the number of jobs that the entry owns.
@@ -224,7 +224,7 @@
 // period expires. It returns the error of the component that failed, if any.
 func (e *Entry) Run(ctx context.Context) error {
 	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "hall", e.settings.Hall,
-		"term", e.owner.Term.String())
+		"term", e.owner.Goal.String())
 	abortCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	callersCtx, closeCallers := context.WithCancel(abortCtx)
@@ -269,7 +269,7 @@
 		time.Sleep(owner.TickInterval)
 	}
 	e.mu.Lock()
-	e.owner.Leave(e.clock.now())
+	e.owner.BeginShutdown(e.clock.now())
 	e.mu.Unlock()
 	time.Sleep(owner.TickInterval)
 	cancel()
@@ -283,7 +283,7 @@
 		e.owner.Tick(now)
 		e.adjustSubset(ctx, now)
 		e.owner.Heartbeats(now)
-		if checkSilence || e.owner.Rejoining(now) {
+		if checkSilence || e.owner.RecoveringFromSuspension(now) {
 			e.closeSilent(now)
 		}
 	})
--- a/node/link.go
+++ b/node/link.go
@@ -200,7 +200,7 @@
 // must hold e.mu.
 func (e *Entry) closeSilent(now time.Duration) {
 	for name, l := range e.links {
-		if l.conn != nil && e.owner.SilentTooLong(now, name) {
+		if l.conn != nil && e.owner.ShouldClose(now, name) {
 			l.conn.CloseWithCause(errSilenceTimeout)
 		}
 	}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -52,7 +52,7 @@
 	register := func(name string, read func() uint64) {
 		set.NewGauge(name, func() float64 { return float64(read()) })
 	}
-	register(`beaconpoint_jobs_total{outcome="accepted"}`, func() uint64 { return e.Stats().Submitted })
+	register(`beaconpoint_jobs_total{outcome="accepted"}`, func() uint64 { return e.Stats().Accepted })
 	register(`beaconpoint_jobs_total{outcome="completed"}`, func() uint64 { return e.Stats().Completed })
 	register(`beaconpoint_jobs_total{outcome="failed"}`, func() uint64 { return e.Stats().Failed })
 	register(`beaconpoint_jobs_total{outcome="given-up"}`, func() uint64 { return e.Stats().GivenUp })
--- a/node/submit_test.go
+++ b/node/submit_test.go
@@ -21,5 +21,5 @@
 		Steps: []task.Step{{Count: 1, Needs: task.Resources{CPU: 1000}}}}
 	_, err := e.Submit(ctx, j)
 	assert.ErrorIs(t, err, context.Canceled)
-	assert.Equal(t, e.Stats().Submitted, uint64(0))
+	assert.Equal(t, e.Stats().Accepted, uint64(0))
 }
--- a/node/subset.go
+++ b/node/subset.go
@@ -101,11 +101,11 @@
 	if e.owner.TakeMissingLabel() {
 		v.set.WantAll(now)
 	}
-	if e.owner.Short(now) {
-		v.set.RecordShortage(now, e.owner.Busy)
+	if e.owner.Backlogged(now) {
+		v.set.RecordShortage(now, e.owner.HasTasks)
 	}
 	if v.set.Update(now) {
-		e.owner.Partial = v.set.Partial()
+		e.owner.PartiallyConnected = v.set.Partial()
 		e.owner.RefreshRoles()
 		e.connectWanted(ctx)
 	}
--- a/owner/agent.go
+++ b/owner/agent.go
@@ -56,9 +56,9 @@
 	lastHall string
 	// eligibleHome reports whether jobs may be claimed there, by IsHome.
 	eligibleHome bool
-	// own reports whether this entry prefers the agent, by IsOwn. Other agents are watched only
+	// preferred reports whether this entry prefers the agent, by IsPreferred. Other agents are watched only
 	// if no preferred agent is left.
-	own bool
+	preferred bool
 	// supportsClaims reports whether its last Hello, on this or an earlier connection, had at
 	// least peer.LevelClaim.
 	supportsClaims bool
--- a/owner/callers.go
+++ b/owner/callers.go
@@ -22,7 +22,7 @@
 
 // Submit accepts or refuses a job. A job with the id of an owned job joins it, and both callers
 // get the same answer. answer is called once, possibly before Submit returns, and never after
-// Cancel is called with the returned caller number.
+// RemoveCaller is called with the returned caller number.
 func (o *Owner) Submit(now time.Duration, desc task.Job, answer func(Answer)) uint64 {
 	defer o.flush(now)
 	o.callers++
@@ -49,7 +49,7 @@
 	o.stats.Refused++
 	o.logRefusedJob(desc, why)
 	o.countAnswer(why)
-	retry := RetryAfter
+	retry := DefaultRetryAfter
 	if why == code.JobLinkFull {
 		retry = o.link.retryAfter(now, desc)
 	}
@@ -63,7 +63,7 @@
 	o.setSpreads(j)
 	j.queue = q
 	o.jobs[desc.ID] = j
-	o.stats.Submitted++
+	o.stats.Accepted++
 	o.logAccepted(j, desc.CriticalPath())
 	o.recordMissingLabels(j)
 	j.earlierRun = o.dropped[desc.ID] != nil
@@ -73,9 +73,9 @@
 	return j
 }
 
-// Cancel removes one caller from a job. If no caller is left, the job is stopped without an
+// RemoveCaller removes one caller from a job. If no caller is left, the job is stopped without an
 // answer, unless another entry waits for it.
-func (o *Owner) Cancel(now time.Duration, id string, caller uint64) {
+func (o *Owner) RemoveCaller(now time.Duration, id string, caller uint64) {
 	defer o.flush(now)
 	j := o.jobs[id]
 	if j == nil || j.callers[caller] == nil {
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -267,7 +267,7 @@
 	b := newClaimHarness(t, 6)
 	caller := b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
-	b.Cancel(b.now, "1", caller)
+	b.RemoveCaller(b.now, "1", caller)
 	assert.Equal(t, len(b.settled(homes[0])), 0)
 	b.submit(jobOf("1", 1))
 	b.grantAll("1")
@@ -286,7 +286,7 @@
 	caller := b.submit(jobOf("1", 1))
 	homes := b.grantAll("1")
 	b.Receive(b.now, homes[0].name, &peer.Frame{Interests: []claim.Interest{{Job: "1", Waits: true}}})
-	b.Cancel(b.now, "1", caller)
+	b.RemoveCaller(b.now, "1", caller)
 	assert.Equal(t, b.Jobs(), 1)
 	b.endAll(task.EndDone)
 	assert.Equal(t, b.Stats().Completed, uint64(1))
@@ -295,7 +295,7 @@
 	caller = b.submit(jobOf("2", 1))
 	homes = b.grantAll("2")
 	b.Receive(b.now, homes[0].name, &peer.Frame{Interests: []claim.Interest{{Job: "2", Waits: true}}})
-	b.Cancel(b.now, "2", caller)
+	b.RemoveCaller(b.now, "2", caller)
 	b.Receive(b.now, homes[0].name, &peer.Frame{Interests: []claim.Interest{{Job: "2"}}})
 	assert.Equal(t, b.Jobs(), 0)
 }
@@ -369,7 +369,7 @@
 	homes := b.grantAll("1")
 	b.endAll(task.EndDone)
 	assert.Equal(t, len(homes[0].out.Settled), 1) // waits for the next frame
-	b.Leave(b.now)
+	b.BeginShutdown(b.now)
 	assert.Equal(t, len(homes[0].out.Settled), 0)
 }
 
--- a/owner/dropped.go
+++ b/owner/dropped.go
@@ -24,7 +24,7 @@
 
 // addDroppedRun records a run at a of a job that is being dropped.
 func (o *Owner) addDroppedRun(a *agent, id task.ID, run int) {
-	if !o.AwaitEndings {
+	if !o.WaitForDroppedRuns {
 		return
 	}
 	a.droppedRuns[id] = run
--- a/owner/evacuation.go
+++ b/owner/evacuation.go
@@ -68,7 +68,8 @@
 // needsEvacuatedHall reports whether j, which must not be started, has a step that only targets
 // in evacuated halls may run.
 func (o *Owner) needsEvacuatedHall(now time.Duration, j *job) bool {
-	if len(o.evacuations.Halls) == 0 || o.Partial || o.firstConnectedAt == 0 || now-o.firstConnectedAt < discoveryTime {
+	if len(o.evacuations.Halls) == 0 || o.PartiallyConnected || o.firstConnectedAt == 0 ||
+		now-o.firstConnectedAt < discoveryTime {
 		return false
 	}
 	for _, s := range j.desc.Steps {
--- a/owner/hall_outage.go
+++ b/owner/hall_outage.go
@@ -123,8 +123,8 @@
 	return len(o.suspectedHalls) > 0 && o.suspectedHalls[a.profile.Hall]
 }
 
-// HallsSuspected returns the number of halls that are suspected to be lost.
-func (o *Owner) HallsSuspected() int {
+// SuspectedHalls returns the number of halls that are suspected to be lost.
+func (o *Owner) SuspectedHalls() int {
 	return len(o.suspectedHalls)
 }
 
--- a/owner/hall_outage_test.go
+++ b/owner/hall_outage_test.go
@@ -38,18 +38,18 @@
 	b.lastJobAt = b.now // keeps agents watched
 	b.advanceWith(time.Second, all)
 	b.advanceWith(unresponsiveTime, func(k int) bool { return !inFirstHall(k) })
-	assert.Equal(t, b.HallsSuspected(), 0)
+	assert.Equal(t, b.SuspectedHalls(), 0)
 	b.advanceWith(TickInterval, func(k int) bool { return !inFirstHall(k) })
-	assert.Equal(t, b.HallsSuspected(), 1)
+	assert.Equal(t, b.SuspectedHalls(), 1)
 	before := len(b.frames[b.byName[0].name])
 	b.now += 200 * ms
 	b.Heartbeats(b.now)
 	for k, a := range b.byName {
-		assert.Equal(t, b.SilentTooLong(b.now, a.name), inFirstHall(k))
+		assert.Equal(t, b.ShouldClose(b.now, a.name), inFirstHall(k))
 	}
 	assert.Equal(t, len(b.frames[b.byName[0].name]), before)
 	b.advanceWith(TickInterval, all)
-	assert.Equal(t, b.HallsSuspected(), 0)
+	assert.Equal(t, b.SuspectedHalls(), 0)
 }
 
 // Guards against a suspicion of a hall with one responsive agent, or by an entry that is itself
@@ -63,9 +63,9 @@
 		b.lastJobAt = b.now
 		b.advanceWith(time.Second, all)
 		b.advanceWith(time.Second, responds)
-		assert.Equal(t, b.HallsSuspected(), 0, name)
+		assert.Equal(t, b.SuspectedHalls(), 0, name)
 		b.advanceWith(2*TickInterval, func(k int) bool { return !inFirstHall(k) }) // the other hall responds first
-		assert.Equal(t, b.HallsSuspected(), 0, name)
+		assert.Equal(t, b.SuspectedHalls(), 0, name)
 	}
 }
 
@@ -94,7 +94,7 @@
 		}
 	}
 	b.advanceWith(unresponsiveTime+TickInterval, func(k int) bool { return !inFirstHall(k) })
-	assert.Equal(t, b.HallsSuspected(), 1)
+	assert.Equal(t, b.SuspectedHalls(), 1)
 	givenUp := 0
 	for n := range 4 {
 		short, long := fmt.Sprint("short-", n), fmt.Sprint("long-", n)
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -39,7 +39,7 @@
 //	isolation.go   whether this entry is cut off from most agents
 //	estimates.go   estimates of task durations
 //	rate.go        the rate at which targets accept this entry's work
-//	term.go        the refusal policy
+//	goal.go        the refusal policy
 //
 // The state that the rules use is in job.go, queue.go and agent.go. answer.go ends jobs, and
 // log.go writes most log lines.
@@ -92,21 +92,21 @@
 	ClaimTimeout time.Duration
 	// Homes is the number of homes of a job. With zero, jobs are not claimed.
 	Homes int
-	// AwaitEndings makes a dropped job wait for its runs to end before it may start again. Only
+	// WaitForDroppedRuns makes a dropped job wait for its runs to end before it may start again. Only
 	// tests unset it.
-	AwaitEndings bool
-	// TrustStopped disables the recovery after a suspension of this process. Only tests set it.
-	TrustStopped bool
-	// Term selects the refusal policy.
-	Term Term
+	WaitForDroppedRuns bool
+	// SkipSuspendRecovery disables the recovery after a suspension of this process. Only tests set it.
+	SkipSuspendRecovery bool
+	// Goal selects the refusal policy.
+	Goal Goal
 	// IsHome reports whether jobs may be claimed at an agent. With nil, they may be at every
 	// agent.
 	IsHome func(agent string) bool
-	// IsOwn reports whether an agent is one that this entry prefers while it has room. With
+	// IsPreferred reports whether an agent is one that this entry prefers while it has room. With
 	// nil, every agent is.
-	IsOwn func(agent string) bool
-	// Partial is set if there are agents to which the process does not connect.
-	Partial bool
+	IsPreferred func(agent string) bool
+	// PartiallyConnected is set if there are agents to which the process does not connect.
+	PartiallyConnected bool
 	// Random returns a random number in [0, n).
 	Random func(n int) int
 
@@ -157,9 +157,9 @@
 
 // Stats counts events since the start of the process.
 type Stats struct {
-	// Submitted counts accepted jobs; each ends as one of the next five. Refused also counts
+	// Accepted counts accepted jobs; each ends as one of the next five. Refused also counts
 	// jobs that were not accepted.
-	Submitted, Completed, Failed, GivenUp, Refused, Cancelled uint64
+	Accepted, Completed, Failed, GivenUp, Refused, Cancelled uint64
 	// Starts counts orders sent to agents, Rejected the orders whose run did not begin, Moved
 	// the runs stopped to be retried elsewhere, and Relayed the orders that refer to another
 	// agent for the spec.
@@ -176,20 +176,20 @@
 // NewOwner returns an owner without jobs or agents.
 func NewOwner(log *slog.Logger) *Owner {
 	return &Owner{
-		Log:            log,
-		FarFactor:      1,
-		Random:         rand.IntN,
-		ClearTime:      ClearTime,
-		jobs:           make(map[string]*job),
-		queues:         make(map[string]*serviceQueue),
-		agents:         make(map[string]*agent),
-		estimators:     make(map[string]*estimate.Estimator),
-		dropped:        make(map[string]*droppedJob),
-		lookups:        make(map[string]*lookup),
-		suspectedHalls: make(map[string]bool),
-		Homes:          DefaultHomes,
-		ClaimTimeout:   DefaultClaimTimeout,
-		AwaitEndings:   true,
+		Log:                log,
+		FarFactor:          1,
+		Random:             rand.IntN,
+		ClearTime:          ClearTime,
+		jobs:               make(map[string]*job),
+		queues:             make(map[string]*serviceQueue),
+		agents:             make(map[string]*agent),
+		estimators:         make(map[string]*estimate.Estimator),
+		dropped:            make(map[string]*droppedJob),
+		lookups:            make(map[string]*lookup),
+		suspectedHalls:     make(map[string]bool),
+		Homes:              DefaultHomes,
+		ClaimTimeout:       DefaultClaimTimeout,
+		WaitForDroppedRuns: true,
 	}
 }
 
@@ -203,8 +203,8 @@
 	return len(o.watched)
 }
 
-// LinkQueue returns the estimated time that the host's link needs to drain its send queue.
-func (o *Owner) LinkQueue(now time.Duration) time.Duration {
+// LinkDelay returns the estimated time that the host's link needs to drain its send queue.
+func (o *Owner) LinkDelay(now time.Duration) time.Duration {
 	return o.link.delay(now, 0)
 }
 
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -235,7 +235,7 @@
 	j := jobOf("1", 1)
 	caller := b.submit(j)
 	b.Disconnected(b.now, b.now, "a")
-	b.Cancel(b.now, "1", caller)
+	b.RemoveCaller(b.now, "1", caller)
 	b.advance(500 * ms)
 	j.ObjectiveFactor = 100
 	b.submit(j)
@@ -247,7 +247,7 @@
 func TestRunsStopWhenCallerDisconnects(t *testing.T) {
 	b := newHarness(t, "a")
 	caller := b.submit(jobOf("1", 2))
-	b.Cancel(b.now, "1", caller)
+	b.RemoveCaller(b.now, "1", caller)
 	var stops []task.Ref
 	for _, f := range b.frames["a"] {
 		stops = append(stops, f.Stops...)
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -30,7 +30,7 @@
 	minRefusalShare = 0.10
 	refuseMargin    = 1.0
 
-	// maxRefusalShare is the share of its objective after which MostServed no longer refuses a
+	// maxRefusalShare is the share of its objective after which GoalServed no longer refuses a
 	// job because of the backlog.
 	maxRefusalShare = 0.25
 )
@@ -108,10 +108,10 @@
 	return p.wait > time.Duration(refuseMargin*float64(p.untilLatestStart))
 }
 
-// shouldRefuseMostServed is shouldRefuse under MostServed: a job is refused only if it would
+// shouldRefuseGoalServed is shouldRefuse under GoalServed: a job is refused only if it would
 // miss even its late objective, and only within the window from minRefusalShare to
 // maxRefusalShare of its objective.
-func (p queuePosition) shouldRefuseMostServed() bool {
+func (p queuePosition) shouldRefuseGoalServed() bool {
 	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) ||
 		p.waited > time.Duration(maxRefusalShare*float64(p.objective)) {
 		return false
@@ -177,10 +177,10 @@
 	q.reorder()
 }
 
-// shouldRefuse applies the refusal rule of the configured term.
+// shouldRefuse applies the refusal rule of the configured goal.
 func (o *Owner) shouldRefuse(p queuePosition) bool {
-	if o.Term == MostServed {
-		return p.shouldRefuseMostServed()
+	if o.Goal == GoalServed {
+		return p.shouldRefuseGoalServed()
 	}
 	return p.shouldRefuse()
 }
--- a/owner/release.go
+++ b/owner/release.go
@@ -44,7 +44,7 @@
 	a.dirty = false
 }
 
-// RefreshRoles queries IsHome and IsOwn for all agents again. Jobs keep their homes, and
+// RefreshRoles queries IsHome and IsPreferred for all agents again. Jobs keep their homes, and
 // watches continue.
 func (o *Owner) RefreshRoles() {
 	for _, a := range o.byName {
@@ -52,20 +52,20 @@
 	}
 }
 
-// refreshRoles queries IsHome and IsOwn for one agent.
+// refreshRoles queries IsHome and IsPreferred for one agent.
 func (o *Owner) refreshRoles(a *agent) {
 	a.eligibleHome = o.IsHome == nil || o.IsHome(a.name)
-	a.own = o.IsOwn == nil || o.IsOwn(a.name)
+	a.preferred = o.IsPreferred == nil || o.IsPreferred(a.name)
 }
 
-// Busy reports whether an agent runs tasks of this entry.
-func (o *Owner) Busy(name string) bool {
+// HasTasks reports whether an agent runs tasks of this entry.
+func (o *Owner) HasTasks(name string) bool {
 	a := o.agents[name]
 	return a != nil && len(a.tasks) > 0
 }
 
-// Short reports whether the queue of a service is backlogged.
-func (o *Owner) Short(now time.Duration) bool {
+// Backlogged reports whether the queue of a service is backlogged.
+func (o *Owner) Backlogged(now time.Duration) bool {
 	for _, q := range o.queues {
 		if q.backlogged(now) {
 			return true
@@ -77,7 +77,7 @@
 // recordMissingLabels records whether j requires a label or a rack that no connected agent has,
 // if there are agents to which the process does not connect.
 func (o *Owner) recordMissingLabels(j *job) {
-	if !o.Partial {
+	if !o.PartiallyConnected {
 		return
 	}
 	for _, s := range j.desc.Steps {
--- a/owner/retry_after.go
+++ b/owner/retry_after.go
@@ -12,9 +12,9 @@
 	// meet the same backlog; a later one would delay the job although the load may have dropped.
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// RetryAfter is the retry-after time of jobs for which none can be computed: no target has
+	// DefaultRetryAfter is the retry-after time of jobs for which none can be computed: no target has
 	// accepted work yet, the entry has no configuration, or it has too many jobs.
-	RetryAfter = time.Second
+	DefaultRetryAfter = time.Second
 )
 
 // resubmissionSchedule assigns times to the resubmissions of refused and given-up jobs. Times are
@@ -29,7 +29,7 @@
 // rate is the work per second that may be resubmitted, in the unit of work.
 func (r *resubmissionSchedule) next(now time.Duration, work, rate float64, urgent bool) time.Duration {
 	if rate <= 0 {
-		return RetryAfter
+		return DefaultRetryAfter
 	}
 	duration := time.Duration(work / rate * float64(time.Second))
 	earliest := now + minRetryAfter
--- a/owner/retry_after_test.go
+++ b/owner/retry_after_test.go
@@ -23,7 +23,7 @@
 	assert.Equal(t, r.next(now, work, rate, true), time.Second, "most urgent priority spread as well")
 	assert.Equal(t, r.next(now, work, rate, false), 3*time.Second, "other priorities after the most urgent")
 	assert.Equal(t, r.next(now+time.Minute, work, rate, false), minRetryAfter, "old assignments expired")
-	assert.Equal(t, r.next(now, work, 0, false), RetryAfter, "no target accepts work")
+	assert.Equal(t, r.next(now, work, 0, false), DefaultRetryAfter, "no target accepts work")
 
 	r = resubmissionSchedule{}
 	for range 100 {
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -19,9 +19,9 @@
 	assert.Equal(t, admit(0, maxLinkDelay+1), code.JobLinkFull)
 }
 
-// Under MostServed, a job must not be refused while it can meet its late objective, nor after it
+// Under GoalServed, a job must not be refused while it can meet its late objective, nor after it
 // has waited for maxRefusalShare of its objective.
-func TestMostServedRefusesOnlyLateJobsWithinWindow(t *testing.T) {
+func TestGoalServedRefusesOnlyLateJobsWithinWindow(t *testing.T) {
 	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms,
 		untilLatestLateStart: 900 * ms}
 	with := func(change func(*queuePosition)) queuePosition {
@@ -44,7 +44,7 @@
 			with(func(p *queuePosition) { p.wait, p.waited = time.Second, 130*ms }), true, false},
 	} {
 		assert.Equal(t, c.p.shouldRefuse(), c.worth, c.name)
-		assert.Equal(t, c.p.shouldRefuseMostServed(), c.served, c.name)
+		assert.Equal(t, c.p.shouldRefuseGoalServed(), c.served, c.name)
 	}
 }
 
--- a/owner/settlement.go
+++ b/owner/settlement.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Leave sends all pending settlements. Later ones no longer wait for the next heartbeat. It is
+// BeginShutdown sends all pending settlements. Later ones no longer wait for the next heartbeat. It is
 // called before the process exits.
-func (o *Owner) Leave(now time.Duration) {
+func (o *Owner) BeginShutdown(now time.Duration) {
 	o.shuttingDown = true
 	for _, a := range o.byName {
 		if len(a.out.Settled) > 0 {
--- a/owner/suspension.go
+++ b/owner/suspension.go
@@ -21,11 +21,11 @@
 )
 
 // checkSuspension detects a suspension, before any other decision of the tick. It removes the
-// homes of all jobs, so that they are claimed again, and SilentTooLong then reports all
+// homes of all jobs, so that they are claimed again, and ShouldClose then reports all
 // connections made before. Orders sent after the process resumed and before this tick carry no
 // renewed lease (node.Entry.send), so agents reject them.
 func (o *Owner) checkSuspension(now time.Duration) {
-	if o.lastTickAt == 0 || now-o.lastTickAt < minSuspensionTime || o.TrustStopped {
+	if o.lastTickAt == 0 || now-o.lastTickAt < minSuspensionTime || o.SkipSuspendRecovery {
 		return
 	}
 	o.logSuspended(now)
@@ -44,8 +44,8 @@
 	return a.connectedAt < o.resumedAt
 }
 
-// Rejoining reports whether the process resumed within postStopIsolationTime. Connections from
+// RecoveringFromSuspension reports whether the process resumed within postStopIsolationTime. Connections from
 // before the suspension are then closed even if nothing was read from them since.
-func (o *Owner) Rejoining(now time.Duration) bool {
+func (o *Owner) RecoveringFromSuspension(now time.Duration) bool {
 	return o.resumedAt > 0 && now-o.resumedAt < resumeIsolationTime
 }
--- a/owner/suspension_test.go
+++ b/owner/suspension_test.go
@@ -20,9 +20,9 @@
 	b.now += minSuspensionTime
 	b.Tick(b.now)
 	assert.Assert(t, b.Isolated())
-	assert.Assert(t, b.Rejoining(b.now))
+	assert.Assert(t, b.RecoveringFromSuspension(b.now))
 	for _, a := range b.byName {
-		assert.Assert(t, b.SilentTooLong(b.now, a.name))
+		assert.Assert(t, b.ShouldClose(b.now, a.name))
 	}
 	starts := len(b.allStarts())
 	for _, a := range b.byName {
@@ -51,5 +51,5 @@
 	b.now += 100 * time.Millisecond
 	b.Tick(b.now)
 	assert.Equal(t, len(b.homesOf("0123456789abcdef")), 2)
-	assert.Assert(t, !b.Rejoining(b.now))
+	assert.Assert(t, !b.RecoveringFromSuspension(b.now))
 }
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -141,7 +141,7 @@
 		if a.watching || !condition(a) {
 			continue
 		}
-		if a.own {
+		if a.preferred {
 			return a
 		}
 		if other == nil {
@@ -159,12 +159,12 @@
 	return peer.LevelBase
 }
 
-// SilentTooLong reports whether the connection to an agent should be closed. Connections made
+// ShouldClose reports whether the connection to an agent should be closed. Connections made
 // before the last suspension and those to unresponsive agents of a suspected hall are closed at
 // once. If the agent is silent and runs no task, the connection is closed after ClaimTimeout,
 // since a new connection may work where the old one has stalled. peer.SilentTooLong decides on
 // all others.
-func (o *Owner) SilentTooLong(now time.Duration, name string) bool {
+func (o *Owner) ShouldClose(now time.Duration, name string) bool {
 	a := o.agents[name]
 	if a == nil || !a.connected {
 		return false
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -107,12 +107,12 @@
 	b := newWatchHarness(t, 1)
 	const name = "side-000"
 	lastFrameAt := b.now
-	assert.Assert(t, !b.SilentTooLong(lastFrameAt+peer.IdleSilenceTimeout, name))
-	assert.Assert(t, b.SilentTooLong(lastFrameAt+peer.IdleSilenceTimeout+1, name))
+	assert.Assert(t, !b.ShouldClose(lastFrameAt+peer.IdleSilenceTimeout, name))
+	assert.Assert(t, b.ShouldClose(lastFrameAt+peer.IdleSilenceTimeout+1, name))
 	b.now += time.Second
 	b.submit(jobOf("j", 1))
-	assert.Assert(t, !b.SilentTooLong(b.now+peer.SilenceTimeout, name))
-	assert.Assert(t, b.SilentTooLong(b.now+peer.SilenceTimeout+1, name))
+	assert.Assert(t, !b.ShouldClose(b.now+peer.SilenceTimeout, name))
+	assert.Assert(t, b.ShouldClose(b.now+peer.SilenceTimeout+1, name))
 }
 
 // Guards against a narrow link filled with copies of a spec that agents can fetch from each
--- a/settings/node.go
+++ b/settings/node.go
@@ -45,9 +45,9 @@
 	Descriptors int `yaml:"descriptors" validate:"min=0"`
 	// Contracts are the platform contracts in force.
 	Contracts []string `yaml:"contracts" validate:"max=100"`
-	// Term is the optimisation objective of an entry, "worth" or "served". If empty, the
+	// Goal is the optimisation objective of an entry, "worth" or "served". If empty, the
 	// contracts determine it.
-	Term string `yaml:"term" validate:"omitempty,oneof=worth served"`
+	Goal string `yaml:"term" validate:"omitempty,oneof=worth served"`
 	// Metrics is the address on which metrics are served. If empty, they are not served.
 	Metrics string `yaml:"metrics" validate:"omitempty,tcp_addr"`
 	// LogLevel is the minimum log level: debug, info, warn or error.
--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -190,7 +190,9 @@
 					c.refusedDuplicates++
 				}
 			})
-			w.after(cancelDelay, func() { e.execute(incarnation, func() { e.owner.Cancel(e.clock(), c.spec.ID, waiter) }) })
+			w.after(cancelDelay, func() {
+				e.execute(incarnation, func() { e.owner.RemoveCaller(e.clock(), c.spec.ID, waiter) })
+			})
 		})
 	})
 }
@@ -200,7 +202,7 @@
 	e, incarnation, id, waiter := c.entry, c.incarnation, c.spec.ID, c.waiter
 	delete(e.clients, id)
 	// A frozen entry processes the submission first.
-	e.execute(incarnation, func() { e.owner.Cancel(e.clock(), id, *waiter) })
+	e.execute(incarnation, func() { e.owner.RemoveCaller(e.clock(), id, *waiter) })
 }
 
 // resend submits the job again after resendDelay.
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -156,7 +156,7 @@
 			if !l.openAtEntry {
 				return
 			}
-			if !l.w.cfg.Lasting && l.e.owner.SilentTooLong(l.e.clock(), l.a.name) {
+			if !l.w.cfg.Lasting && l.e.owner.ShouldClose(l.e.clock(), l.a.name) {
 				l.closeAtEntry()
 				l.notifyAgentClosed(id)
 				return
--- a/testutil/fleet/outage_test.go
+++ b/testutil/fleet/outage_test.go
@@ -41,7 +41,7 @@
 	suspecting := 0
 	w.At(4*time.Second+300*time.Millisecond, func() {
 		for _, e := range w.entries {
-			suspecting += e.owner.HallsSuspected()
+			suspecting += e.owner.SuspectedHalls()
 		}
 	})
 	w.Run()
--- a/testutil/fleet/partition_test.go
+++ b/testutil/fleet/partition_test.go
@@ -21,7 +21,7 @@
 	w.At(8*time.Second, func() { during = w.Stats() })
 	w.Run()
 	assert.Equal(t, w.Broken, "")
-	refused, submitted := during.Refused-before.Refused, during.Submitted-before.Submitted
+	refused, submitted := during.Refused-before.Refused, during.Accepted-before.Accepted
 	completed := during.Completed - before.Completed
 	t.Logf("during the partition: %d submitted, %d completed, %d refused, %d given up", submitted, completed, refused, during.GivenUp-before.GivenUp)
 	assert.Assert(t, refused*9 <= submitted, "%d of %d refused while targets were idle", refused, submitted)
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -99,16 +99,16 @@
 	e.owner = owner.NewOwner(e.w.cfg.Log.With("node", e.name))
 	e.owner.ClearTime = e.w.cfg.Clear
 	e.owner.Homes = e.w.cfg.Homes
-	e.owner.Term = e.w.cfg.Term
-	e.owner.TrustStopped = e.w.cfg.TrustStopped
-	e.owner.AwaitEndings = !e.w.cfg.ForgetEndings
+	e.owner.Goal = e.w.cfg.Term
+	e.owner.SkipSuspendRecovery = e.w.cfg.TrustStopped
+	e.owner.WaitForDroppedRuns = !e.w.cfg.ForgetEndings
 	e.reach = subset.NewSet(e.name)
 	e.reach.SetEntries(e.w.cfg.Entries)
 	for k := range e.w.cfg.Agents {
 		e.reach.Add(agentName(k))
 	}
 	e.owner.IsHome = e.reach.Home
-	e.owner.IsOwn = e.reach.Preferred
+	e.owner.IsPreferred = e.reach.Preferred
 	e.owner.Addr = func(agent string) string { return agent }
 	e.owner.SetLink(e.w.cfg.LinkMbps)
 	e.owner.Random = e.w.ownerRand.IntN
@@ -135,12 +135,12 @@
 	if e.owner.TakeMissingLabel() {
 		e.reach.WantAll(now)
 	}
-	if e.owner.Short(now) {
-		e.reach.RecordShortage(now, e.owner.Busy)
+	if e.owner.Backlogged(now) {
+		e.reach.RecordShortage(now, e.owner.HasTasks)
 	}
 	changed := e.reach.Update(now)
 	if changed {
-		e.owner.Partial = e.reach.Partial()
+		e.owner.PartiallyConnected = e.reach.Partial()
 		e.owner.RefreshRoles()
 	}
 	if e.w.cfg.Agents <= subset.FullMesh {
--- a/testutil/fleet/term_test.go
+++ b/testutil/fleet/term_test.go
@@ -21,7 +21,7 @@
 }
 
 // playTerm plays a workload under a term.
-func playTerm(t *testing.T, term owner.Term, load float64, inject func(*World)) termOutcome {
+func playTerm(t *testing.T, term owner.Goal, load float64, inject func(*World)) termOutcome {
 	t.Helper()
 	var o termOutcome
 	for seed := range uint64(8) {
@@ -39,8 +39,8 @@
 	return o
 }
 
-// TestMostServedTermLeavesFewerJobsUnserved guards against a MostServed term that, under
-// overload, refuses or drops as many jobs as MostWorth or earns much less.
+// TestMostServedTermLeavesFewerJobsUnserved guards against a GoalServed term that, under
+// overload, refuses or drops as many jobs as GoalWorth or earns much less.
 func TestMostServedTermLeavesFewerJobsUnserved(t *testing.T) {
 	for name, c := range map[string]struct {
 		load   float64
@@ -58,8 +58,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			worth := playTerm(t, owner.MostWorth, c.load, c.inject)
-			served := playTerm(t, owner.MostServed, c.load, c.inject)
+			worth := playTerm(t, owner.GoalWorth, c.load, c.inject)
+			served := playTerm(t, owner.GoalServed, c.load, c.inject)
 			t.Logf("unserved %.4f, %.4f; earned %.3f, %.3f; refused %d, %d; held %.1f, %.1f",
 				worth.unservedShare(), served.unservedShare(), worth.total.Share(), served.total.Share(),
 				worth.refused, served.refused, worth.total.Held, served.total.Held)
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -117,7 +117,7 @@
 }
 
 func addStats(a, b owner.Stats) owner.Stats {
-	a.Submitted += b.Submitted
+	a.Accepted += b.Accepted
 	a.Completed += b.Completed
 	a.Failed += b.Failed
 	a.GivenUp += b.GivenUp
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -87,7 +87,7 @@
 	// TrustStopped disables renewing the claims of an entry that was stopped.
 	TrustStopped bool
 	// Term is the objective that entries optimise.
-	Term owner.Term
+	Term owner.Goal
 	// Leaving is the share of callers that abandon their job before it completes.
 	Leaving float64
 	// Patience is the timeout of callers. Guess is the typical task duration of most jobs,
