--- a/node/configure.go
+++ b/node/configure.go
@@ -34,7 +34,7 @@
 func (e *Entry) watchConfig(ctx context.Context) {
 	read := &storeRetrier{name: "config", log: e.log}
 	watch := &storeRetrier{name: "watch", log: e.log}
-	observer := ConfigObserver{Document: e.applyDocument, Evacuations: e.applyEvacuations,
+	observer := StoreObserver{Document: e.applyDocument, Evacuations: e.applyEvacuations,
 		Evacuation: e.applyEvacuation, Process: e.applyProcess}
 	var revision uint64 // of the store; zero if the configuration must be read again
 	for ctx.Err() == nil {
@@ -72,7 +72,7 @@
 
 // readConfig reads the configuration and returns the revision to watch from, zero if none was
 // read.
-func (e *Entry) readConfig(ctx context.Context, retrier *storeRetrier, observer ConfigObserver) uint64 {
+func (e *Entry) readConfig(ctx context.Context, retrier *storeRetrier, observer StoreObserver) uint64 {
 	var revision uint64
 	done := retrier.attempt(ctx, 0, func(ctx context.Context) error {
 		var err error
@@ -139,10 +139,10 @@
 	return len(e.owner.Evacuations().Halls), e.owner.EvacuatedTargets()
 }
 
-// AwaitTable returns the configuration in force. If there is none, it waits for one until
+// AwaitConfig returns the configuration in force. If there is none, it waits for one until
 // firstConfigTimeout after startup or until ctx is done, and returns nil if none has arrived. After
 // firstConfigTimeout it does not wait.
-func (e *Entry) AwaitTable(ctx context.Context) *routing.Table {
+func (e *Entry) AwaitConfig(ctx context.Context) *routing.Table {
 	left := firstConfigTimeout - (e.clock.now() - e.startedAt)
 	if table := e.table.Load(); table != nil || left <= 0 {
 		return table
--- a/node/entry.go
+++ b/node/entry.go
@@ -61,7 +61,7 @@
 	relist          chan struct{} // signals that the directory must be listed again
 	logAwaitOnce    sync.Once     // logs the first request that waits for a configuration
 	table           atomic.Pointer[routing.Table]
-	leaving         atomic.Bool
+	stopping        atomic.Bool
 	connectedAgents atomic.Int64
 
 	mu              sync.Mutex // guards the fields below
@@ -117,12 +117,12 @@
 // Ready reports whether the load balancer should route requests to the entry: it has a
 // configuration and a connected agent, is not isolated and is not stopping.
 func (e *Entry) Ready() bool {
-	return !e.leaving.Load() && e.table.Load() != nil && e.connectedAgents.Load() > 0 && e.isolated() == 0
+	return !e.stopping.Load() && e.table.Load() != nil && e.connectedAgents.Load() > 0 && e.isolated() == 0
 }
 
-// Leaving reports whether the entry is stopping.
-func (e *Entry) Leaving() bool {
-	return e.leaving.Load()
+// Stopping reports whether the entry is stopping.
+func (e *Entry) Stopping() bool {
+	return e.stopping.Load()
 }
 
 // Submit submits a job and waits for its answer. If ctx is done first, the caller has
@@ -261,7 +261,7 @@
 func (e *Entry) stop(ctx context.Context, closeCallers, cancel func()) error {
 	<-ctx.Done()
 	began := e.clock.now()
-	e.leaving.Store(true)
+	e.stopping.Store(true)
 	e.log.Info(event.Stopping, "jobs", e.jobs())
 	time.Sleep(min(shutdownDelay, e.settings.Grace/2))
 	closeCallers()
--- a/node/link.go
+++ b/node/link.go
@@ -90,7 +90,7 @@
 	e.mu.Lock()
 	r := l.registration
 	e.mu.Unlock()
-	if err := e.directory.Forget(ctx, peer.RoleAgent, r); err != nil {
+	if err := e.directory.Unregister(ctx, peer.RoleAgent, r); err != nil {
 		e.log.Info(event.ForgetFailed, "agent", r.Name, "addr", r.Addr, "error", err.Error())
 		return false
 	}
--- a/node/outside.go
+++ b/node/outside.go
@@ -45,8 +45,8 @@
 type Directory struct {
 	// Register adds a process or updates its address.
 	Register func(ctx context.Context, role peer.Role, r Registration) error
-	// Forget removes a process, unless it has registered another address in the meantime.
-	Forget func(ctx context.Context, role peer.Role, r Registration) error
+	// Unregister removes a process, unless it has registered another address in the meantime.
+	Unregister func(ctx context.Context, role peer.Role, r Registration) error
 	// List returns the processes of a role. The list may be some seconds old. With an error it
 	// may be partial.
 	List func(ctx context.Context, role peer.Role) ([]Registration, error)
@@ -56,18 +56,18 @@
 type ConfigSource struct {
 	// Read passes the current state to the observer and returns the revision to watch from,
 	// zero if nothing has been written yet.
-	Read func(ctx context.Context, o ConfigObserver) (uint64, error)
+	Read func(ctx context.Context, o StoreObserver) (uint64, error)
 	// Watch waits up to the given time for changes after a revision and passes them to the
 	// observer. It returns the revision to continue from. Zero means that the history is no
 	// longer available and Read must be called.
-	Watch func(ctx context.Context, at uint64, wait time.Duration, o ConfigObserver) (uint64, error)
+	Watch func(ctx context.Context, at uint64, wait time.Duration, o StoreObserver) (uint64, error)
 	// Parse parses a configuration document.
 	Parse func(document []byte) (*routing.Table, error)
 }
 
-// ConfigObserver has the callbacks for the configuration, the evacuated halls and the directory in
+// StoreObserver has the callbacks for the configuration, the evacuated halls and the directory in
 // the store, and for changes to them. All fields must be set.
-type ConfigObserver struct {
+type StoreObserver struct {
 	// Document receives the configuration document.
 	Document func(text []byte)
 	// Evacuations receives the complete set of evacuated halls at a revision.
--- a/node/retry_test.go
+++ b/node/retry_test.go
@@ -87,14 +87,14 @@
 // newTestEntry returns an entry that reads its configuration and directory from the store.
 func newTestEntry(s *fakeStore) *Entry {
 	source := ConfigSource{
-		Read: func(ctx context.Context, o ConfigObserver) (uint64, error) {
+		Read: func(ctx context.Context, o StoreObserver) (uint64, error) {
 			if err := s.call(ctx); err != nil {
 				return 0, err
 			}
 			o.Document([]byte("1"))
 			return 1, nil
 		},
-		Watch: func(ctx context.Context, at uint64, wait time.Duration, _ ConfigObserver) (uint64, error) {
+		Watch: func(ctx context.Context, at uint64, wait time.Duration, _ StoreObserver) (uint64, error) {
 			if !sleep(ctx, wait) {
 				return at, ctx.Err()
 			}
@@ -124,7 +124,7 @@
 		e := newTestEntry(s)
 		began := time.Now()
 		go e.watchConfig(ctx)
-		assert.Assert(t, e.AwaitTable(ctx) != nil)
+		assert.Assert(t, e.AwaitConfig(ctx) != nil)
 		assert.Assert(t, time.Since(began) < firstConfigTimeout)
 		end()
 		synctest.Wait()
@@ -140,10 +140,10 @@
 		e := newTestEntry(&fakeStore{availableAt: time.Now().Add(time.Hour)})
 		go e.watchConfig(ctx)
 		began := time.Now()
-		assert.Assert(t, e.AwaitTable(ctx) == nil)
+		assert.Assert(t, e.AwaitConfig(ctx) == nil)
 		assert.Equal(t, time.Since(began), firstConfigTimeout)
 		began = time.Now()
-		assert.Assert(t, e.AwaitTable(ctx) == nil)
+		assert.Assert(t, e.AwaitConfig(ctx) == nil)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		end()
 		synctest.Wait()
