--- a/cmd/beaconpoint/node.go
+++ b/cmd/beaconpoint/node.go
@@ -66,7 +66,7 @@
 
 // newEntryNode returns an entry that uses the platform's store and serves callers.
 func newEntryNode(s settings.Node, log *slog.Logger) *node.Entry {
-	store := platform.NewStore(s.Store, log)
+	store := platform.NewStore(s.StoreAddr, log)
 	e := node.NewEntry(s, store.Directory(), store.Source(), log)
 	e.SetGoal(platform.Goal(s))
 	e.Serve = platform.NewCallerAPI(e, s, log).Serve
@@ -75,9 +75,9 @@
 
 // newAgentNode returns an agent that uses the platform's store and serves its target.
 func newAgentNode(s settings.Node, log *slog.Logger) *node.Agent {
-	store := platform.NewStore(s.Store, log)
-	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.Target).Calls(), log)
-	a.Serve = platform.NewTargetAPI(a, s.Reports, log).Serve
+	store := platform.NewStore(s.StoreAddr, log)
+	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.TargetAddr).Calls(), log)
+	a.Serve = platform.NewTargetAPI(a, s.HeartbeatAddr, log).Serve
 	return a
 }
 
--- a/node/agent.go
+++ b/node/agent.go
@@ -151,7 +151,7 @@
 }
 
 func (a *Agent) serveMetrics(ctx context.Context) error {
-	return serveMetrics(ctx, a.settings.Metrics, a.metrics)
+	return serveMetrics(ctx, a.settings.MetricsAddr, a.metrics)
 }
 
 func (a *Agent) stats() supervisor.Stats {
--- a/node/entry.go
+++ b/node/entry.go
@@ -95,7 +95,7 @@
 	e.owner.Send = e.send
 	e.owner.ObserveStage = func(s stage.Stage, took time.Duration) { e.stages[s].Update(took.Seconds()) }
 	e.owner.CountAnswer = e.CountAnswer
-	e.owner.FarFactor = s.Far
+	e.owner.FarFactor = s.RemoteFactor
 	e.owner.Addr = e.addr
 	e.owner.SetLink(s.LinkMbps)
 	e.owner.IsHome = e.subset.set.Home
@@ -232,11 +232,11 @@
 	var g run.Group
 	addActor(&g, func() error { return e.stop(ctx, closeCallers, cancel) })
 	addActor(&g, func() error { return e.Serve(callersCtx, abortCtx) })
-	addActor(&g, func() error { return serveMetrics(abortCtx, e.settings.Metrics, e.metrics) })
+	addActor(&g, func() error { return serveMetrics(abortCtx, e.settings.MetricsAddr, e.metrics) })
 	addActor(&g, func() error { e.tick(abortCtx); return nil })
 	addActor(&g, func() error { e.watchConfig(abortCtx); return nil })
 	addActor(&g, func() error { e.discoverAgents(abortCtx); return nil })
-	addActor(&g, func() error { return listen(abortCtx, e.settings.Peers, e.accept) })
+	addActor(&g, func() error { return listen(abortCtx, e.settings.PeerAddr, e.accept) })
 	g.Add(func() error { <-abortCtx.Done(); return nil }, func(error) { cancel() })
 	err := g.Run()
 	e.log.Info(event.Stop, "role", "entry", "name", e.settings.Name)
@@ -293,7 +293,7 @@
 // first, since an agent adds an entry when the entry connects. Later changes arrive through the
 // watch of the store; the directory is listed again after listInterval or a signal on relist.
 func (e *Entry) discoverAgents(ctx context.Context) {
-	own := Registration{Name: e.settings.Name, Addr: e.settings.Peers}
+	own := Registration{Name: e.settings.Name, Addr: e.settings.PeerAddr}
 	for registered := false; ; {
 		retryUntilDone(ctx, e.log, "list", func(ctx context.Context) error {
 			agents, err := e.directory.List(ctx, peer.RoleAgent)
--- a/node/introduce.go
+++ b/node/introduce.go
@@ -41,7 +41,7 @@
 // whenever it has been without a connection for reregisterAfter. It lists first, so that the
 // agent can introduce itself to the entries.
 func (a *Agent) discoverEntries(ctx context.Context) error {
-	own := Registration{Name: a.settings.Name, Addr: a.settings.Peers}
+	own := Registration{Name: a.settings.Name, Addr: a.settings.PeerAddr}
 	for ctx.Err() == nil {
 		retryUntilDone(ctx, a.log, "list", func(ctx context.Context) error {
 			entries, err := a.directory.List(ctx, peer.RoleEntry)
@@ -168,7 +168,7 @@
 		return err
 	}
 	defer raw.Close()
-	hello := &peer.Hello{Role: peer.RoleAgent, Name: a.settings.Name, Addr: a.settings.Peers, Introduce: true}
+	hello := &peer.Hello{Role: peer.RoleAgent, Name: a.settings.Name, Addr: a.settings.PeerAddr, Introduce: true}
 	buf, err := peer.AppendFrame(nil, &peer.Frame{Hello: hello})
 	if err != nil {
 		return err
--- a/node/link.go
+++ b/node/link.go
@@ -139,7 +139,7 @@
 	l.conn = c
 	l.agentClock = peer.PeerClock{}
 	e.connectedAgents.Add(1)
-	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers,
+	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.PeerAddr,
 		Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.subset.set.Known()}
 	l.sentAt = e.clock.now()
 	c.Send(&peer.Frame{Hello: hello, Stamp: l.sentAt})
--- a/node/session.go
+++ b/node/session.go
@@ -14,7 +14,7 @@
 
 // listen accepts connections from entries until ctx is done.
 func (a *Agent) listen(ctx context.Context) error {
-	return listen(ctx, a.settings.Peers, a.accept)
+	return listen(ctx, a.settings.PeerAddr, a.accept)
 }
 
 // accept handles a connection from an entry, or another agent's request for a spec.
--- a/settings/node.go
+++ b/settings/node.go
@@ -14,9 +14,9 @@
 
 // Default node settings.
 const (
-	DefaultGrace    = 6 * time.Second
-	DefaultFar      = 1.5
-	DefaultLogLevel = "info"
+	DefaultGrace        = 6 * time.Second
+	DefaultRemoteFactor = 1.5
+	DefaultLogLevel     = "info"
 )
 
 // Node holds the settings of an entry or an agent. Addresses have the form "IP:port". The
@@ -28,15 +28,15 @@
 	Name string `yaml:"name" validate:"required,max=64"`
 	// Hall is the data hall of the host. Its key, zone, is the platform's term for a hall.
 	Hall string `yaml:"zone" validate:"required,max=64"`
-	// Peers is the address on which the process accepts connections of other processes of
+	// PeerAddr is the address on which the process accepts connections of other processes of
 	// the system.
-	Peers string `yaml:"peers" validate:"required,tcp_addr"`
-	// Store is the address of the platform's key-value store.
-	Store string `yaml:"store" validate:"required,tcp_addr"`
+	PeerAddr string `yaml:"peers" validate:"required,tcp_addr"`
+	// StoreAddr is the address of the platform's key-value store.
+	StoreAddr string `yaml:"store" validate:"required,tcp_addr"`
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration `yaml:"grace" validate:"min=1s,max=30m"`
-	// Far is the factor by which a task takes longer outside the rack of its input data.
-	Far float64 `yaml:"far" validate:"min=1,max=100"`
+	// RemoteFactor is the factor by which a task takes longer outside the rack of its input data.
+	RemoteFactor float64 `yaml:"far" validate:"min=1,max=100"`
 	// LinkMbps is the bandwidth of the host's link in megabits per second. Zero means
 	// unknown; the link is then assumed to be fast.
 	LinkMbps float64 `yaml:"link_mbps" validate:"min=0"`
@@ -48,25 +48,25 @@
 	// Goal is the optimisation objective of an entry, "worth" or "served". If empty, the
 	// contracts determine it.
 	Goal string `yaml:"term" validate:"omitempty,oneof=worth served"`
-	// Metrics is the address on which metrics are served. If empty, they are not served.
-	Metrics string `yaml:"metrics" validate:"omitempty,tcp_addr"`
+	// MetricsAddr is the address on which metrics are served. If empty, they are not served.
+	MetricsAddr string `yaml:"metrics" validate:"omitempty,tcp_addr"`
 	// LogLevel is the minimum log level: debug, info, warn or error.
 	LogLevel string `yaml:"log_level" validate:"oneof=debug info warn error"`
-	// Callers is the address on which an entry accepts requests of callers.
-	Callers string `yaml:"callers" validate:"required_if=Role entry,omitempty,tcp_addr"`
-	// Readiness is the address on which an entry accepts readiness checks of the load
+	// CallerAddr is the address on which an entry accepts requests of callers.
+	CallerAddr string `yaml:"callers" validate:"required_if=Role entry,omitempty,tcp_addr"`
+	// ReadinessAddr is the address on which an entry accepts readiness checks of the load
 	// balancer.
-	Readiness string `yaml:"readiness" validate:"required_if=Role entry,omitempty,tcp_addr"`
-	// Reports is the address on which an agent accepts heartbeats of its target.
-	Reports string `yaml:"reports" validate:"required_if=Role agent,omitempty,tcp_addr"`
-	// Target is the address of an agent's target. Its key, worker, is the platform's term
+	ReadinessAddr string `yaml:"readiness" validate:"required_if=Role entry,omitempty,tcp_addr"`
+	// HeartbeatAddr is the address on which an agent accepts heartbeats of its target.
+	HeartbeatAddr string `yaml:"reports" validate:"required_if=Role agent,omitempty,tcp_addr"`
+	// TargetAddr is the address of an agent's target. Its key, worker, is the platform's term
 	// for a target.
-	Target string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
+	TargetAddr string `yaml:"worker" validate:"required_if=Role agent,omitempty,tcp_addr"`
 }
 
 // DefaultNode returns the default settings.
 func DefaultNode() Node {
-	return Node{Grace: DefaultGrace, Far: DefaultFar, LogLevel: DefaultLogLevel}
+	return Node{Grace: DefaultGrace, RemoteFactor: DefaultRemoteFactor, LogLevel: DefaultLogLevel}
 }
 
 // LoadNode reads and validates the settings file at path. The error has type Faults if the
--- a/settings/node_test.go
+++ b/settings/node_test.go
@@ -33,14 +33,14 @@
 	entry, err := ParseNode(fillTemplate(t, "../deploy/entry.yaml"))
 	assert.NilError(t, err)
 	assert.Equal(t, entry.Role, peer.RoleEntry)
-	assert.Equal(t, entry.Peers, "10.1.0.13:7720")
+	assert.Equal(t, entry.PeerAddr, "10.1.0.13:7720")
 	assert.Equal(t, entry.LinkMbps, 25.0)
 	assert.Equal(t, entry.Descriptors, 4100)
 	assert.DeepEqual(t, entry.Contracts, []string{"base", "pressure"})
 	agent, err := ParseNode(fillTemplate(t, "../deploy/agent.yaml"))
 	assert.NilError(t, err)
 	assert.Equal(t, agent.Role, peer.RoleAgent)
-	assert.Equal(t, agent.Target, "10.1.0.13:8165")
+	assert.Equal(t, agent.TargetAddr, "10.1.0.13:8165")
 }
 
 func TestNodeFaultsReportLines(t *testing.T) {
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -136,12 +136,12 @@
 	s.tb.Cleanup(server.Close)
 	s.Targets = append(s.Targets, t)
 	n := s.nodeSettings(peer.RoleAgent, fmt.Sprintf("side-%d", k))
-	n.Reports = freeAddr(s.tb)
-	n.Target = strings.TrimPrefix(server.URL, "http://")
+	n.HeartbeatAddr = freeAddr(s.tb)
+	n.TargetAddr = strings.TrimPrefix(server.URL, "http://")
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		a := node.NewAgent(n, platform.NewStore(n.Store, log).Directory(), platform.NewTargetClient(n.Target).Calls(), log)
-		a.Serve = platform.NewTargetAPI(a, n.Reports, log).Serve
+		a := node.NewAgent(n, platform.NewStore(n.StoreAddr, log).Directory(), platform.NewTargetClient(n.TargetAddr).Calls(), log)
+		a.Serve = platform.NewTargetAPI(a, n.HeartbeatAddr, log).Serve
 		return a.Run(ctx)
 	}}
 	s.Agents = append(s.Agents, p)
@@ -150,7 +150,7 @@
 	s.tb.Cleanup(func() { close(stop) })
 	go func() {
 		for seq := 1; ; seq++ {
-			_ = t.Report(n.Reports, seq) // the agent may be stopped
+			_ = t.Report(n.HeartbeatAddr, seq) // the agent may be stopped
 			select {
 			case <-stop:
 				return
@@ -163,10 +163,10 @@
 // addEntry starts entry k.
 func (s *System) addEntry(k int) {
 	n := s.nodeSettings(peer.RoleEntry, fmt.Sprintf("edge-%d", k))
-	n.Callers, n.Readiness, n.Metrics = freeAddr(s.tb), freeAddr(s.tb), freeAddr(s.tb)
+	n.CallerAddr, n.ReadinessAddr, n.MetricsAddr = freeAddr(s.tb), freeAddr(s.tb), freeAddr(s.tb)
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		store := platform.NewStore(n.Store, log)
+		store := platform.NewStore(n.StoreAddr, log)
 		e := node.NewEntry(n, store.Directory(), store.Source(), log)
 		e.ForgetAfter = forgetAfter
 		e.SetClaimTimeout(claimTimeout)
@@ -180,7 +180,7 @@
 // nodeSettings returns default settings with a free address.
 func (s *System) nodeSettings(role peer.Role, name string) settings.Node {
 	n := settings.DefaultNode()
-	n.Role, n.Name, n.Hall, n.Peers, n.Store = role, name, "z", freeAddr(s.tb), s.store
+	n.Role, n.Name, n.Hall, n.PeerAddr, n.StoreAddr = role, name, "z", freeAddr(s.tb), s.store
 	return n
 }
 
@@ -227,7 +227,7 @@
 func (s *System) UntilReady(k int) {
 	s.tb.Helper()
 	s.Until(func() bool {
-		resp, err := http.Get("http://" + s.Entries[k].settings.Readiness + "/beaconpoint/readiness")
+		resp, err := http.Get("http://" + s.Entries[k].settings.ReadinessAddr + "/beaconpoint/readiness")
 		if err != nil {
 			return false
 		}
@@ -262,7 +262,7 @@
 
 // CallUntil is like Call, but closes the connection when ctx ends.
 func (s *System) CallUntil(ctx context.Context, k int, method, path, body string) (int, string) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Entries[k].settings.CallerAddr+path, strings.NewReader(body))
 	assert.NilError(s.tb, err)
 	req.Host = Host
 	resp, err := http.DefaultClient.Do(req)
@@ -279,7 +279,7 @@
 
 // Metrics returns the metrics of entry k, or an empty string if it can't be reached.
 func (s *System) Metrics(k int) string {
-	resp, err := http.Get("http://" + s.Entries[k].settings.Metrics + node.MetricsPath)
+	resp, err := http.Get("http://" + s.Entries[k].settings.MetricsAddr + node.MetricsPath)
 	if err != nil {
 		return ""
 	}
@@ -295,7 +295,7 @@
 // body.
 func (s *System) Do(k int, method, path, body string, headers map[string]string) *http.Response {
 	s.tb.Helper()
-	req, err := http.NewRequest(method, "http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+s.Entries[k].settings.CallerAddr+path, strings.NewReader(body))
 	assert.NilError(s.tb, err)
 	req.Host = Host
 	for name, value := range headers {
@@ -308,7 +308,7 @@
 
 // Closes reports whether entry k closes the connection after answering a request.
 func (s *System) Closes(k int, path string) bool {
-	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[k].settings.Callers+path, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[k].settings.CallerAddr+path, nil)
 	assert.NilError(s.tb, err)
 	req.Host = Host
 	resp, err := http.DefaultClient.Do(req)
