--- a/cmd/beaconpoint/explain.go
+++ b/cmd/beaconpoint/explain.go
@@ -23,17 +23,17 @@
 		if err != nil {
 			return reportError(exitUsage, err)
 		}
-		story, err := explain.Job(id, logs...)
+		explanation, err := explain.Job(id, logs...)
 		if errors.Is(err, explain.ErrUnknownJob) {
 			return reportError(exitUnknown, err)
 		}
 		if err != nil {
 			return reportError(exitFailed, err)
 		}
-		for _, l := range story.Lines {
+		for _, l := range explanation.Lines {
 			fmt.Println(l)
 		}
-		fmt.Println(story.Sentence)
+		fmt.Println(explanation.Summary)
 		return exitOK
 	}
 	return c
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -24,13 +24,13 @@
 // ErrUnknownJob is returned if no log line mentions the job.
 var ErrUnknownJob = errors.New("explain: no log line mentions this job")
 
-// Story is the history of a job in the logs.
-type Story struct {
+// Explanation is the history of a job in the logs.
+type Explanation struct {
 	// Lines are the lines of the job and the related lines of its processes, sorted by
 	// time.
 	Lines []string
-	// Sentence explains the outcome.
-	Sentence string
+	// Summary explains the outcome.
+	Summary string
 }
 
 // line is a parsed log line.
@@ -85,11 +85,11 @@
 
 // Job explains the outcome of a job, given its ID or the ID of a request that submitted
 // it. It returns ErrUnknownJob if no line mentions the job.
-func Job(id string, logs ...[]byte) (Story, error) {
+func Job(id string, logs ...[]byte) (Explanation, error) {
 	var all []line
 	for _, raw := range logs {
 		if err := scanLines(bytes.NewReader(raw), func(l line) { all = append(all, l) }); err != nil {
-			return Story{}, err
+			return Explanation{}, err
 		}
 	}
 	id = resolveJobID(id, all)
@@ -103,18 +103,18 @@
 		}
 	}
 	if len(own) == 0 {
-		return Story{}, fmt.Errorf("%w: %s", ErrUnknownJob, id)
+		return Explanation{}, fmt.Errorf("%w: %s", ErrUnknownJob, id)
 	}
 	byTime := func(a, b line) int { return a.at.Compare(b.at) }
 	slices.SortStableFunc(own, byTime)
 	others = filterRelated(others, own)
 	selected := append(slices.Clone(own), others...)
 	slices.SortStableFunc(selected, byTime)
-	story := Story{Sentence: summarize(id, own, others)}
+	explanation := Explanation{Summary: summarize(id, own, others)}
 	for _, l := range selected {
-		story.Lines = append(story.Lines, strings.TrimSpace(l.node+" "+l.text))
+		explanation.Lines = append(explanation.Lines, strings.TrimSpace(l.node+" "+l.text))
 	}
-	return story, nil
+	return explanation, nil
 }
 
 // resolveJobID returns the ID of the job that the request with this ID submitted, or id if
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -16,9 +16,9 @@
 	want, err := os.ReadFile("testdata/story.txt")
 	assert.NilError(t, err)
 	for _, id := range []string{"5c0e7a21d94b36f8", "of-the-request"} {
-		story, err := Job(id, entry, agent)
+		explanation, err := Job(id, entry, agent)
 		assert.NilError(t, err)
-		assert.Equal(t, strings.Join(story.Lines, "\n")+"\n"+story.Sentence+"\n", string(want))
+		assert.Equal(t, strings.Join(explanation.Lines, "\n")+"\n"+explanation.Summary+"\n", string(want))
 	}
 }
 
@@ -35,9 +35,9 @@
 {"time":"2026-01-01T00:00:01.2Z","msg":"task-waits","node":"edge","task":"aa.0.0.0","agent":"side-1","end":"rejected","why":"719 run-hall-evacuated"}
 {"time":"2026-01-01T00:00:01.3Z","msg":"job-answered","node":"edge","job":"aa","kind":4,"why":"813 job-evacuated","age_ms":300,"objective_ms":200}
 `)
-	story, err := Job("aa", entry)
+	explanation, err := Job("aa", entry)
 	assert.NilError(t, err)
-	assert.Equal(t, len(story.Lines), 4)
-	assert.Equal(t, story.Sentence,
+	assert.Equal(t, len(explanation.Lines), 4)
+	assert.Equal(t, explanation.Summary,
 		"aa was answered after 300 ms (objective 200 ms): 813 job-evacuated; 719 run-hall-evacuated at side-1.")
 }
