--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -87,8 +87,8 @@
 	s.notifyWatches()
 }
 
-// Forget discards the history, so that watches from earlier revisions fail.
-func (s *Store) Forget() {
+// DiscardHistory discards the history, so that watches from earlier revisions fail.
+func (s *Store) DiscardHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.compactedRevision = s.revision
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -86,16 +86,16 @@
 	return append([]string(nil), t.starts...)
 }
 
-// Doubled returns the names of the tasks that were started while another run of the same
+// DuplicateStarts returns the names of the tasks that were started while another run of the same
 // task was active on this target.
-func (t *Target) Doubled() []string {
+func (t *Target) DuplicateStarts() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]string(nil), t.duplicates...)
 }
 
-// Report sends a heartbeat with the given sequence number to the agent at addr.
-func (t *Target) Report(addr string, seq int) error {
+// SendHeartbeat sends a heartbeat with the given sequence number to the agent at addr.
+func (t *Target) SendHeartbeat(addr string, seq int) error {
 	t.mu.Lock()
 	state := "ready"
 	if t.draining {
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -140,7 +140,8 @@
 	n.TargetAddr = strings.TrimPrefix(server.URL, "http://")
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		a := node.NewAgent(n, platform.NewStore(n.StoreAddr, log).Directory(), platform.NewTargetClient(n.TargetAddr).Calls(), log)
+		a := node.NewAgent(n, platform.NewStore(n.StoreAddr, log).Directory(),
+			platform.NewTargetClient(n.TargetAddr).Calls(), log)
 		a.Serve = platform.NewTargetAPI(a, n.HeartbeatAddr, log).Serve
 		return a.Run(ctx)
 	}}
@@ -150,7 +151,7 @@
 	s.tb.Cleanup(func() { close(stop) })
 	go func() {
 		for seq := 1; ; seq++ {
-			_ = t.Report(n.HeartbeatAddr, seq) // the agent may be stopped
+			_ = t.SendHeartbeat(n.HeartbeatAddr, seq) // the agent may be stopped
 			select {
 			case <-stop:
 				return
@@ -208,7 +209,7 @@
 		<-p.done
 	}
 	for _, t := range s.Targets {
-		assert.Check(s.tb, len(t.Doubled()) == 0, "tasks started twice concurrently: %v", t.Doubled())
+		assert.Check(s.tb, len(t.DuplicateStarts()) == 0, "tasks started twice concurrently: %v", t.DuplicateStarts())
 	}
 }
 
@@ -262,7 +263,8 @@
 
 // CallUntil is like Call, but closes the connection when ctx ends.
 func (s *System) CallUntil(ctx context.Context, k int, method, path, body string) (int, string) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+s.Entries[k].settings.CallerAddr+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method,
+		"http://"+s.Entries[k].settings.CallerAddr+path, strings.NewReader(body))
 	assert.NilError(s.tb, err)
 	req.Host = Host
 	resp, err := http.DefaultClient.Do(req)
