--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -70,9 +70,8 @@
 				Needs: task.Resources{CPU: 1600, MemoryMB: 64}}}
 		})},
 		{"entry: claims jobs, and passes a cancellation on", frameWith(func(f *Frame) {
-			f.Claims = []claim.Claim{
-				{Job: id.Job, MaxDuration: 9 * time.Second, Begun: true}, {Job: id.Job, Cancel: true},
-			}
+			f.Claims = []claim.Claim{{Job: id.Job, MaxDuration: 9 * time.Second, Begun: true},
+				{Job: id.Job, Cancel: true}}
 		})},
 		{"entry: settles a job", frameWith(func(f *Frame) {
 			f.Settled = []claim.Settlement{
--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -190,9 +190,8 @@
 					c.refusedDuplicates++
 				}
 			})
-			w.after(cancelDelay, func() {
-				e.execute(incarnation, func() { e.owner.RemoveCaller(e.clock(), c.spec.ID, waiter) })
-			})
+			w.after(cancelDelay,
+				func() { e.execute(incarnation, func() { e.owner.RemoveCaller(e.clock(), c.spec.ID, waiter) }) })
 		})
 	})
 }
