--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -123,8 +123,8 @@
 	s.Store.Put("op/evacuate/"+HallOf(k), []byte(`{}`))
 }
 
-// TakeBack ends the evacuation of the hall of target k.
-func (s *System) TakeBack(k int) {
+// EndEvacuation ends the evacuation of the hall of target k.
+func (s *System) EndEvacuation(k int) {
 	s.Store.Remove("op/evacuate/" + HallOf(k))
 }
 
@@ -146,7 +146,7 @@
 		return a.Run(ctx)
 	}}
 	s.Agents = append(s.Agents, p)
-	s.Begin(p)
+	s.StartProcess(p)
 	stop := make(chan struct{})
 	s.tb.Cleanup(func() { close(stop) })
 	go func() {
@@ -175,7 +175,7 @@
 		return e.Run(ctx)
 	}}
 	s.Entries = append(s.Entries, p)
-	s.Begin(p)
+	s.StartProcess(p)
 }
 
 // nodeSettings returns default settings with a free address.
@@ -185,8 +185,8 @@
 	return n
 }
 
-// Begin starts a new incarnation of p.
-func (s *System) Begin(p *Process) {
+// StartProcess starts a new incarnation of p.
+func (s *System) StartProcess(p *Process) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	p.cancel, p.done = cancel, done
@@ -203,7 +203,7 @@
 func (s *System) stopAll() {
 	all := append(append([]*Process(nil), s.Entries...), s.Agents...)
 	for _, p := range all {
-		p.Tell()
+		p.SignalStop()
 	}
 	for _, p := range all {
 		<-p.done
@@ -215,12 +215,12 @@
 
 // Stop signals p to stop and waits until it has stopped.
 func (s *System) Stop(p *Process) {
-	p.Tell()
+	p.SignalStop()
 	<-p.done
 }
 
-// Tell signals p to stop.
-func (p *Process) Tell() {
+// SignalStop signals p to stop.
+func (p *Process) SignalStop() {
 	p.cancel()
 }
 
@@ -237,9 +237,9 @@
 	})
 }
 
-// UntilLinked waits until every entry is connected to every agent. An entry is ready as soon as
+// UntilConnected waits until every entry is connected to every agent. An entry is ready as soon as
 // it is connected to the first agent.
-func (s *System) UntilLinked() {
+func (s *System) UntilConnected() {
 	s.tb.Helper()
 	linked := fmt.Sprintf("beaconpoint_agents %d\n", len(s.Agents))
 	for k := range s.Entries {
@@ -258,11 +258,11 @@
 // Call sends a request to entry k and returns the status and the body, or zero values if there
 // was no answer.
 func (s *System) Call(k int, method, path, body string) (int, string) {
-	return s.CallUntil(context.Background(), k, method, path, body)
+	return s.CallContext(context.Background(), k, method, path, body)
 }
 
-// CallUntil is like Call, but closes the connection when ctx ends.
-func (s *System) CallUntil(ctx context.Context, k int, method, path, body string) (int, string) {
+// CallContext is like Call, but closes the connection when ctx ends.
+func (s *System) CallContext(ctx context.Context, k int, method, path, body string) (int, string) {
 	req, err := http.NewRequestWithContext(ctx, method,
 		"http://"+s.Entries[k].settings.CallerAddr+path, strings.NewReader(body))
 	assert.NilError(s.tb, err)
@@ -308,8 +308,8 @@
 	return resp
 }
 
-// Closes reports whether entry k closes the connection after answering a request.
-func (s *System) Closes(k int, path string) bool {
+// ClosesConnection reports whether entry k closes the connection after answering a request.
+func (s *System) ClosesConnection(k int, path string) bool {
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[k].settings.CallerAddr+path, nil)
 	assert.NilError(s.tb, err)
 	req.Host = Host
