--- a/testutil/fleet/client.go
+++ b/testutil/fleet/client.go
@@ -63,7 +63,7 @@
 		if w.now() > end {
 			return
 		}
-		w.submitRandomJob(w.now() > end-w.cfg.Calm+faultEffectTime)
+		w.submitRandomJob(w.now() > end-w.cfg.FaultFreeTail+faultEffectTime)
 		w.after(w.randomUpTo(2*w.cfg.Interval), next)
 	}
 	w.after(300*time.Millisecond, next)
@@ -82,7 +82,8 @@
 	c := &client{w: w, afterFaults: afterFaults, done: make(map[task.ID]bool), failedRuns: make(map[task.ID]int)}
 	c.spec = task.Job{
 		ID: id, Queue: "q", Service: service, Spec: w.specOf(id), Attempts: attempts,
-		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.Patience, Priority: w.rng.IntN(3),
+		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond, CallerTimeout: w.cfg.CallerTimeout,
+		Priority: w.rng.IntN(3),
 		Steps: []task.Step{{
 			Count: count, Needs: task.Resources{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64}, Estimate: guess,
 		}},
@@ -94,10 +95,10 @@
 	w.alwaysFails[id] = w.rng.IntN(30) == 0 && !afterFaults
 	w.jobs[id] = c
 	if afterFaults {
-		w.Counts.Calm++
+		w.Counts.SubmittedAfterFaults++
 	}
 	c.send()
-	if w.cfg.Leaving > 0 && w.rng.Float64() < w.cfg.Leaving {
+	if w.cfg.AbandonShare > 0 && w.rng.Float64() < w.cfg.AbandonShare {
 		w.after(w.randomUpTo(guess), c.abandon)
 	}
 }
@@ -110,7 +111,7 @@
 	c.answered = true
 	c.abandonedAt = c.w.now()
 	if c.afterFaults {
-		c.w.Counts.Calm--
+		c.w.Counts.SubmittedAfterFaults--
 	}
 	c.w.after(callerLatency, c.disconnect) // after the submission has arrived
 }
@@ -139,14 +140,14 @@
 			}
 			*waiter = e.owner.Submit(e.clock(), c.spec, func(a owner.Answer) {
 				if c.afterFaults && a.Kind == owner.Refused && !w.hasRoomFor(c.spec) {
-					w.Counts.CalmFull++
+					w.Counts.RefusedFullAfterFaults++
 				}
 				w.after(callerLatency, func() { c.handleAnswer(tries, a) })
 			})
 			e.clients[c.spec.ID] = c
 		})
 	})
-	if w.cfg.Strays > 0 {
+	if w.cfg.DuplicateShare > 0 {
 		c.sendDuplicate()
 	}
 	sends := c.submissions
@@ -158,7 +159,7 @@
 	})
 }
 
-// sendDuplicate sends, with probability Config.Strays, a copy of the submission to another
+// sendDuplicate sends, with probability Config.DuplicateShare, a copy of the submission to another
 // entry: either within 10 ms, as a caller does that finds its connection broken, or seconds
 // later. No caller waits for the answer; that entry cancels the copy within 40 ms.
 func (c *client) sendDuplicate() {
@@ -168,7 +169,7 @@
 		maxCancelDelay    = 40 * time.Millisecond
 	)
 	w := c.w
-	if w.rng.Float64() >= w.cfg.Strays {
+	if w.rng.Float64() >= w.cfg.DuplicateShare {
 		return
 	}
 	maxDelay := maxImmediateDelay
@@ -181,7 +182,7 @@
 		if e.dead || e == c.entry {
 			return
 		}
-		w.Counts.Strays++
+		w.Counts.Duplicates++
 		c.duplicates++
 		incarnation := e.incarnation
 		e.execute(incarnation, func() {
@@ -227,10 +228,10 @@
 	switch a.Kind {
 	case owner.Completed:
 		w.Counts.Completed++
-		w.Returned.recordCompleted(c, w.now()-c.sentAt)
+		w.Retries.recordCompleted(c, w.now()-c.sentAt)
 		c.recordEarnings()
 		if c.afterFaults {
-			w.Counts.CalmCompleted++
+			w.Counts.CompletedAfterFaults++
 		}
 		for k, s := range c.spec.Steps {
 			for n := range s.Count {
@@ -259,8 +260,8 @@
 	}
 }
 
-// Returns holds the results of callers that retry refused jobs.
-type Returns struct {
+// RetryStats holds the results of callers that retry refused jobs.
+type RetryStats struct {
 	Refused, Gone int // refusals, and callers that gave up
 	// Served is the number of completed jobs, Taken the total time from their first submission
 	// to completion.
@@ -268,7 +269,7 @@
 	Taken  time.Duration
 }
 
-func (r *Returns) recordCompleted(c *client, took time.Duration) {
+func (r *RetryStats) recordCompleted(c *client, took time.Duration) {
 	if c.typicalDuration > 0 {
 		r.Served++
 		r.Taken += took
@@ -276,15 +277,15 @@
 }
 
 // retryAfterRefusal submits a refused job again after the delay given in the refusal, unless
-// that exceeds Config.ComeBack.
+// that exceeds Config.RetryFor.
 func (c *client) retryAfterRefusal(delay time.Duration) {
 	w := c.w
-	if w.cfg.ComeBack == 0 || c.typicalDuration == 0 {
+	if w.cfg.RetryFor == 0 || c.typicalDuration == 0 {
 		return
 	}
-	w.Returned.Refused++
-	if w.now()+delay-c.sentAt > w.cfg.ComeBack {
-		w.Returned.Gone++
+	w.Retries.Refused++
+	if w.now()+delay-c.sentAt > w.cfg.RetryFor {
+		w.Retries.Gone++
 		return
 	}
 	c.answered = false
--- a/testutil/fleet/crash_test.go
+++ b/testutil/fleet/crash_test.go
@@ -10,7 +10,7 @@
 // crashingConfig returns a workload at 25% load in which 2% of the jobs crash every target that
 // starts them. Targets restart after 2 to 3 s; objectives leave time for several runs.
 func crashingConfig(seed uint64, entries, agents int) Config {
-	cfg := PolicyConfig(seed, entries, agents, Tracking(agents, 0.25))
+	cfg := WorkloadConfig(seed, entries, agents, TrackingWorkload(agents, 0.25))
 	cfg.Crashing = 0.02
 	cfg.BackAfter = 2 * time.Second
 	cfg.Shape.Slack = 4 * time.Second
@@ -28,7 +28,7 @@
 		w := New(crashingConfig(1, 3, agents))
 		w.Run()
 		t.Logf("%d agents: %+v, %+v", agents, w.Crashes, w.Counts)
-		assert.Equal(t, w.Broken, "")
+		assert.Equal(t, w.Violation, "")
 		assert.Assert(t, float64(w.Crashes.InnocentFailed) <= innocentFailureBound*float64(w.Counts.Jobs), "%+v", w.Crashes)
 	}
 }
@@ -50,7 +50,7 @@
 			})
 		}
 		w.Run()
-		assert.Equal(t, w.Broken, "")
+		assert.Equal(t, w.Violation, "")
 		assert.Equal(t, w.Crashes.InnocentFailed, 0)
 	}
 }
--- a/testutil/fleet/drawn_test.go
+++ b/testutil/fleet/drawn_test.go
@@ -12,8 +12,8 @@
 
 // Bounds for random scenes without faults.
 const (
-	// maxSoundEjected is the total time for which targets of a scene may be ejected.
-	maxSoundEjected = 6 * time.Second
+	// maxHealthyEjectedTime is the total time for which targets of a scene may be ejected.
+	maxHealthyEjectedTime = 6 * time.Second
 	// maxRefusedShare is the share of jobs that may be refused while at least a fifth of the
 	// capacity is free on average.
 	maxRefusedShare = 0.01
@@ -38,9 +38,10 @@
 			stats := w.Stats()
 			refused := float64(stats.Refused) / float64(total.Jobs)
 			completed := float64(stats.Completed) / float64(total.Jobs)
-			t.Logf("%s: earned %.3f, completed %.3f, refused %.3f, ejected %s", scene.Name, total.Share(), completed, refused, w.SoundEjected)
-			assert.Equal(t, w.Broken, "")
-			assert.Check(t, w.SoundEjected <= maxSoundEjected)
+			t.Logf("%s: earned %.3f, completed %.3f, refused %.3f, ejected %s",
+				scene.Name, total.Share(), completed, refused, w.HealthyEjectedTime)
+			assert.Equal(t, w.Violation, "")
+			assert.Check(t, w.HealthyEjectedTime <= maxHealthyEjectedTime)
 			assert.Check(t, refused <= maxRefusedShare)
 			assert.Check(t, completed >= minCompletedShare)
 		})
--- a/testutil/fleet/experiment/result.go
+++ b/testutil/fleet/experiment/result.go
@@ -43,12 +43,12 @@
 		Held:     total.Held / total.Owed,
 		Moved:    float64(stats.Moved) / float64(stats.Starts),
 		Rejected: float64(stats.Rejected) / float64(stats.Starts),
-		Ejected:  w.SoundEjected.Seconds(),
-		Again:    float64(w.Returned.Refused) / float64(total.Jobs),
-		Wait:     w.Returned.Taken.Seconds() / float64(max(1, w.Returned.Served)),
-		Served:   float64(w.Returned.Served) / float64(total.Jobs),
+		Ejected:  w.HealthyEjectedTime.Seconds(),
+		Again:    float64(w.Retries.Refused) / float64(total.Jobs),
+		Wait:     w.Retries.Taken.Seconds() / float64(max(1, w.Retries.Served)),
+		Served:   float64(w.Retries.Served) / float64(total.Jobs),
 		Frames:   float64(w.Frames) / float64(stats.Starts-stats.Rejected),
-		Broken:   w.Broken,
+		Broken:   w.Violation,
 	})
 	if err != nil {
 		return err.Error()
--- a/testutil/fleet/fault.go
+++ b/testutil/fleet/fault.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Kind is a kind of fault.
-type Kind int
+// FaultKind is a kind of fault.
+type FaultKind int
 
 // Kinds of faults. Those before randomKinds are drawn at random; the others occur only where
 // Config.Kinds names them.
 const (
-	KillEntry Kind = iota
+	KillEntry FaultKind = iota
 	KillAgent
 	FreezeEntry
 	FreezeAgent
-	CutAgent
-	CutEntry
+	IsolateAgent
+	IsolateEntry
 	LoseAnswers
 	DelayOrders
 	FailRuns
@@ -25,26 +25,27 @@
 	CrashTarget
 	DrainTarget
 	ResetClients
-	HoldHeartbeat
+	DelayHeartbeat
 	SilenceConnections
 	randomKinds
-	// LoseHall cuts the power of a data hall; CutHall disconnects one entry from a data hall.
-	LoseHall
-	CutHall
+	// PowerOffHall cuts the power of a data hall; DisconnectHall disconnects one entry from a data
+	// hall.
+	PowerOffHall
+	DisconnectHall
 	// RestartTarget restarts a target under the same id.
 	RestartTarget
-	// SuspendEntry and SuspendAgent suspend a host for seconds; ShrinkRoom reduces the capacity
-	// of a target for a while.
+	// SuspendEntry and SuspendAgent suspend a host for seconds; ShrinkCapacity reduces the
+	// capacity of a target for a while.
 	SuspendEntry
 	SuspendAgent
-	ShrinkRoom
+	ShrinkCapacity
 	// Partition disconnects a hall and its entries from the others. Callers reach both sides.
 	Partition
 )
 
 // injectFault starts a random fault that lasts up to 3.2 s.
 func (w *World) injectFault() {
-	kind := Kind(w.rng.IntN(int(randomKinds)))
+	kind := FaultKind(w.rng.IntN(int(randomKinds)))
 	if len(w.cfg.Kinds) > 0 {
 		kind = w.cfg.Kinds[w.rng.IntN(len(w.cfg.Kinds))]
 	}
@@ -61,9 +62,9 @@
 		e.freeze(duration)
 	case FreezeAgent:
 		a.freeze(duration)
-	case CutAgent:
+	case IsolateAgent:
 		w.isolate(a, nil, duration)
-	case CutEntry:
+	case IsolateEntry:
 		w.isolate(nil, e, duration)
 	case LoseAnswers:
 		w.setBehaviour(a, Behaviour{Lost: 0.3}, duration)
@@ -81,11 +82,11 @@
 		w.drain(a)
 	case ResetClients:
 		w.resetClients(e)
-	case HoldHeartbeat:
+	case DelayHeartbeat:
 		w.delayHeartbeat(a, duration)
 	case SilenceConnections:
 		w.silenceConnections(a, e)
-	case LoseHall:
+	case PowerOffHall:
 		w.powerOffHall(a.target.hall)
 	case RestartTarget:
 		if a.target.up {
@@ -96,11 +97,11 @@
 		e.suspend(minSuspension + duration)
 	case SuspendAgent:
 		a.suspend(minSuspension + duration)
-	case ShrinkRoom:
+	case ShrinkCapacity:
 		w.shrinkCapacity(a, duration)
 	case Partition:
 		w.partition(a.target.hall, duration)
-	case CutHall:
+	case DisconnectHall:
 		w.disconnectHall(e, a.target.hall, duration)
 	}
 }
--- a/testutil/fleet/goal_test.go
+++ b/testutil/fleet/goal_test.go
@@ -9,28 +9,28 @@
 	"github.com/beaconpoint/beaconpoint/owner"
 )
 
-// termOutcome sums the results of several seeds.
-type termOutcome struct {
+// goalOutcome sums the results of several seeds.
+type goalOutcome struct {
 	total   Credit
 	refused int
 }
 
 // unservedShare returns the share of the jobs that did not complete, even late.
-func (o termOutcome) unservedShare() float64 {
-	return 1 - float64(o.total.InAim+o.total.Late)/float64(o.total.Jobs)
+func (o goalOutcome) unservedShare() float64 {
+	return 1 - float64(o.total.InObjective+o.total.Late)/float64(o.total.Jobs)
 }
 
-// playTerm plays a workload under a term.
-func playTerm(t *testing.T, term owner.Goal, load float64, inject func(*World)) termOutcome {
+// playGoal plays a workload under a goal.
+func playGoal(t *testing.T, goal owner.Goal, load float64, inject func(*World)) goalOutcome {
 	t.Helper()
-	var o termOutcome
+	var o goalOutcome
 	for seed := range uint64(8) {
-		cfg := PolicyConfig(seed+1, 3, 11, Tracking(11, load))
-		cfg.Term = term
+		cfg := WorkloadConfig(seed+1, 3, 11, TrackingWorkload(11, load))
+		cfg.Goal = goal
 		w := New(cfg)
 		inject(w)
 		w.Run()
-		assert.Equal(t, w.Broken, "")
+		assert.Equal(t, w.Violation, "")
 		for _, c := range w.Credits {
 			o.total = o.total.Plus(c)
 		}
@@ -39,9 +39,9 @@
 	return o
 }
 
-// TestMostServedTermLeavesFewerJobsUnserved guards against a GoalServed term that, under
+// TestGoalServedLeavesFewerJobsUnserved guards against a goal GoalServed that, under
 // overload, refuses or drops as many jobs as GoalWorth or earns much less.
-func TestMostServedTermLeavesFewerJobsUnserved(t *testing.T) {
+func TestGoalServedLeavesFewerJobsUnserved(t *testing.T) {
 	for name, c := range map[string]struct {
 		load   float64
 		inject func(*World)
@@ -58,8 +58,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			worth := playTerm(t, owner.GoalWorth, c.load, c.inject)
-			served := playTerm(t, owner.GoalServed, c.load, c.inject)
+			worth := playGoal(t, owner.GoalWorth, c.load, c.inject)
+			served := playGoal(t, owner.GoalServed, c.load, c.inject)
 			t.Logf("unserved %.4f, %.4f; earned %.3f, %.3f; refused %d, %d; held %.1f, %.1f",
 				worth.unservedShare(), served.unservedShare(), worth.total.Share(), served.total.Share(),
 				worth.refused, served.refused, worth.total.Held, served.total.Held)
--- a/testutil/fleet/growth_test.go
+++ b/testutil/fleet/growth_test.go
@@ -20,7 +20,7 @@
 
 // measureFleet plays a fleet of the given size.
 func measureFleet(entries, agents int) fleetCost {
-	cfg := PolicyConfig(1, entries, agents, Tracking(agents, 0.25))
+	cfg := WorkloadConfig(1, entries, agents, TrackingWorkload(agents, 0.25))
 	cfg.Length = 2 * time.Second
 	w := New(cfg)
 	maxOpen := 0
@@ -39,7 +39,7 @@
 	homes, startsAtHomes, starts := 0, 0, 0
 	for _, a := range w.agents {
 		starts += a.target.startCount
-		if w.entries[0].reach.Home(a.name) {
+		if w.entries[0].subset.Home(a.name) {
 			homes++
 			startsAtHomes += a.target.startCount
 		}
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -111,7 +111,7 @@
 			return
 		}
 		if l.e.dead || l.a.dead || l.w.now() < l.cutUntil || l.w.now() < l.a.frozenUntil {
-			l.e.reach.SetLost(l.a.name, true)
+			l.e.subset.SetLost(l.a.name, true)
 			l.dial()
 			return
 		}
@@ -135,7 +135,7 @@
 		}
 		l.sentAt = l.e.clock()
 		l.w.Connections++
-		l.e.reach.SetLost(l.a.name, false)
+		l.e.subset.SetLost(l.a.name, false)
 		l.e.owner.Connected(l.sentAt, l.a.name)
 	})
 	w.after(l.arrivalDelay(&l.lastArrivalAtAgent), func() {
@@ -156,7 +156,7 @@
 			if !l.openAtEntry {
 				return
 			}
-			if !l.w.cfg.Lasting && l.e.owner.ShouldClose(l.e.clock(), l.a.name) {
+			if !l.w.cfg.KeepSilentConnections && l.e.owner.ShouldClose(l.e.clock(), l.a.name) {
 				l.closeAtEntry()
 				l.notifyAgentClosed(id)
 				return
@@ -173,7 +173,7 @@
 			if l.id != id || !l.openAtAgent {
 				return
 			}
-			if !l.w.cfg.Lasting && l.a.supervisor.SilentTooLong(l.a.clock(), id) {
+			if !l.w.cfg.KeepSilentConnections && l.a.supervisor.SilentTooLong(l.a.clock(), id) {
 				l.closeAtAgent(id)
 				return
 			}
@@ -183,7 +183,7 @@
 }
 
 func (l *link) wanted() bool {
-	return l.w.cfg.Agents <= subset.FullMesh || l.e.reach.Wanted(l.a.name)
+	return l.w.cfg.Agents <= subset.FullMesh || l.e.subset.Wanted(l.a.name)
 }
 
 // release closes a connection that the entry no longer needs.
@@ -207,7 +207,7 @@
 		return
 	}
 	l.openAtEntry = false
-	l.e.reach.SetLost(l.a.name, true)
+	l.e.subset.SetLost(l.a.name, true)
 	l.e.owner.Disconnected(l.e.clock(), l.sentAt, l.a.name)
 	l.dial()
 }
--- a/testutil/fleet/operator.go
+++ b/testutil/fleet/operator.go
@@ -43,7 +43,7 @@
 	o.set.Revision = 1
 	o.storeReader = o.rng.IntN(w.cfg.Entries)
 	for range w.cfg.Evacuations {
-		w.after(time.Duration(o.rng.Int64N(int64(w.cfg.Length-w.cfg.Calm))), o.evacuateRandomHall)
+		w.after(time.Duration(o.rng.Int64N(int64(w.cfg.Length-w.cfg.FaultFreeTail))), o.evacuateRandomHall)
 	}
 	return o
 }
--- a/testutil/fleet/operator_test.go
+++ b/testutil/fleet/operator_test.go
@@ -15,7 +15,7 @@
 func threeHalls(c *Config) {
 	c.Halls, c.Agents, c.Entries = 3, 6, 3
 	c.Evacuations = 4
-	c.Leaving = 0.15
+	c.AbandonShare = 0.15
 	c.Interval /= 2
 }
 
@@ -23,11 +23,11 @@
 // faults, while some entries can't reach the store.
 func TestEvacuationsKeepInvariants(t *testing.T) {
 	playHistories(t, 6000, 200, threeHalls)
-	playHistories(t, 6300, 40, func(c *Config) { threeHalls(c); c.OldEntries = 1 })
-	playHistories(t, 6400, 40, func(c *Config) { threeHalls(c); c.OldAgents = 2 })
+	playHistories(t, 6300, 40, func(c *Config) { threeHalls(c); c.PreviousVersionEntries = 1 })
+	playHistories(t, 6400, 40, func(c *Config) { threeHalls(c); c.PreviousVersionAgents = 2 })
 	playHistories(t, 6500, 60, func(c *Config) {
 		threeHalls(c)
-		c.Kinds, c.Faults = []Kind{KillEntry, KillAgent, CutEntry, CutAgent, SilenceConnections}, 12
+		c.Kinds, c.Faults = []FaultKind{KillEntry, KillAgent, IsolateEntry, IsolateAgent, SilenceConnections}, 12
 	})
 }
 
@@ -37,11 +37,11 @@
 	for seed := range uint64(100) {
 		cfg := DefaultConfig(seed)
 		threeHalls(&cfg)
-		cfg.OldEntries, cfg.Rules.RefuseEvacuated = 1, false
+		cfg.PreviousVersionEntries, cfg.Rules.RefuseEvacuated = 1, false
 		w := New(cfg)
 		w.Run()
-		if w.BrokenPromise == Evacuated {
-			t.Logf("seed %d: %s", seed, w.Broken)
+		if w.ViolatedInvariant == Evacuated {
+			t.Logf("seed %d: %s", seed, w.Violation)
 			return
 		}
 	}
@@ -50,7 +50,7 @@
 
 // evacuationWorld returns a world at 60% load with three halls and no faults.
 func evacuationWorld(seed uint64, entries, agents int) *World {
-	cfg := PolicyConfig(seed, entries, agents, Tracking(agents, 0.6))
+	cfg := WorkloadConfig(seed, entries, agents, TrackingWorkload(agents, 0.6))
 	cfg.Halls = 3
 	return New(cfg)
 }
@@ -63,7 +63,7 @@
 		w := evacuationWorld(1+seed, 12, 40)
 		w.At(4*time.Second, func() { w.operator.evacuate(hallName(1), 3*time.Second) })
 		w.Run()
-		assert.Equal(t, w.Broken, "")
+		assert.Equal(t, w.Violation, "")
 		delays = append(delays, w.operator.startDelays...)
 	}
 	assert.Assert(t, len(delays) > 0)
@@ -90,7 +90,7 @@
 		}
 	})
 	w.Run()
-	assert.Equal(t, w.Broken, "")
+	assert.Equal(t, w.Violation, "")
 	assert.Assert(t, slices.Max(w.operator.startDelays) < 200*time.Millisecond, "%s", slices.Max(w.operator.startDelays))
 }
 
@@ -108,7 +108,7 @@
 	w.At(5900*time.Millisecond, func() { during = w.Counts })
 	w.At(7*time.Second, func() { after = w.Counts })
 	w.Run()
-	assert.Equal(t, w.Broken, "")
+	assert.Equal(t, w.Violation, "")
 	assert.Assert(t, during.Refused-before.Refused > 100, "%+v %+v", before, during)
 	assert.Assert(t, during.Starts-before.Starts == 0, "%d", during.Starts-before.Starts)
 	assert.Assert(t, after.Completed-during.Completed > 50, "%+v %+v", during, after)
--- a/testutil/fleet/outage_test.go
+++ b/testutil/fleet/outage_test.go
@@ -12,14 +12,14 @@
 func TestLostHallsKeepInvariants(t *testing.T) {
 	playHistories(t, 12000, 100, func(c *Config) {
 		threeHalls(c)
-		c.Agents, c.Strays, c.Evacuations = 12, 0.3, 0
-		c.Kinds, c.Faults = []Kind{LoseHall, CutHall, KillEntry, FreezeAgent, LoseAnswers}, 8
+		c.Agents, c.DuplicateShare, c.Evacuations = 12, 0.3, 0
+		c.Kinds, c.Faults = []FaultKind{PowerOffHall, DisconnectHall, KillEntry, FreezeAgent, LoseAnswers}, 8
 	})
 }
 
 // lostHallWorld returns a world with three halls, one of which loses power after 4 s.
 func lostHallWorld(seed uint64, load float64) *World {
-	cfg := PolicyConfig(seed, 6, 24, Tracking(24, load))
+	cfg := WorkloadConfig(seed, 6, 24, TrackingWorkload(24, load))
 	cfg.Halls = 3
 	w := New(cfg)
 	w.At(4*time.Second, func() { w.powerOffHall(hallName(1)) })
@@ -45,7 +45,7 @@
 		}
 	})
 	w.Run()
-	assert.Equal(t, w.Broken, "")
+	assert.Equal(t, w.Violation, "")
 	assert.Equal(t, suspecting, 6)
 	assert.Equal(t, suspectedHalls(w), uint64(6))
 }
@@ -75,12 +75,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				cfg := PolicyConfig(seed+1, 6, 24, Tracking(24, 0.6))
+				cfg := WorkloadConfig(seed+1, 6, 24, TrackingWorkload(24, 0.6))
 				cfg.Halls = 3
 				w := New(cfg)
 				w.At(4*time.Second, func() { inject(w) })
 				w.Run()
-				assert.Equal(t, w.Broken, "")
+				assert.Equal(t, w.Violation, "")
 				assert.Equal(t, suspectedHalls(w), uint64(0))
 			}
 		})
--- a/testutil/fleet/partition_test.go
+++ b/testutil/fleet/partition_test.go
@@ -12,7 +12,7 @@
 // TestPartitionedHallKeepsServing guards against refusing jobs while targets are idle, when one
 // hall of three with its entries is cut from the others.
 func TestPartitionedHallKeepsServing(t *testing.T) {
-	cfg := PolicyConfig(1, 6, 24, Tracking(24, 0.25))
+	cfg := WorkloadConfig(1, 6, 24, TrackingWorkload(24, 0.25))
 	cfg.Halls = 3
 	w := New(cfg)
 	var before, during owner.Stats
@@ -20,7 +20,7 @@
 	w.At(4500*time.Millisecond, func() { before = w.Stats() })
 	w.At(8*time.Second, func() { during = w.Stats() })
 	w.Run()
-	assert.Equal(t, w.Broken, "")
+	assert.Equal(t, w.Violation, "")
 	refused, submitted := during.Refused-before.Refused, during.Accepted-before.Accepted
 	completed := during.Completed - before.Completed
 	t.Logf("during the partition: %d submitted, %d completed, %d refused, %d given up", submitted, completed, refused, during.GivenUp-before.GivenUp)
@@ -32,7 +32,7 @@
 // resubmit jobs on the other side after their connection broke.
 func TestPartitionsKeepInvariants(t *testing.T) {
 	playHistories(t, 14000, 160, func(c *Config) {
-		c.Kinds, c.Faults = []Kind{Partition, ResetClients, KillEntry, CutAgent}, 12
+		c.Kinds, c.Faults = []FaultKind{Partition, ResetClients, KillEntry, IsolateAgent}, 12
 		c.Entries, c.Agents, c.Halls = 3, 9, 3
 	})
 }
--- a/testutil/fleet/policy_test.go
+++ b/testutil/fleet/policy_test.go
@@ -66,14 +66,14 @@
 	)
 	scene, found := SceneNamed(b.scene)
 	assert.Assert(t, found)
-	classes := make([]Credit, len(Tracking(scene.Agents, scene.Load)))
+	classes := make([]Credit, len(TrackingWorkload(scene.Agents, scene.Load)))
 	for seed := range uint64(b.seeds) {
 		wait.Go(func() {
 			w := scene.New(seed + 1)
 			w.Run()
 			lock.Lock()
 			defer lock.Unlock()
-			assert.Check(t, w.Broken == "", "seed %d: %s", seed+1, w.Broken)
+			assert.Check(t, w.Violation == "", "seed %d: %s", seed+1, w.Violation)
 			stats = addStats(stats, w.Stats())
 			frames += w.Frames
 			for k, c := range w.Credits {
@@ -89,7 +89,8 @@
 	}
 	rejected := float64(stats.Rejected) / float64(stats.Starts)
 	t.Logf("earned %.3f, worst class %.3f, held %.3f; of %d jobs %d within their objective, %d late, %d refused, %d given up; %.3f of orders rejected, %.1f frames per run",
-		total.Share(), worst, total.Held/total.Owed, total.Jobs, total.InAim, total.Late, stats.Refused, stats.GivenUp, rejected,
+		total.Share(), worst, total.Held/total.Owed, total.Jobs, total.InObjective, total.Late,
+		stats.Refused, stats.GivenUp, rejected,
 		float64(frames)/float64(stats.Starts-stats.Rejected))
 	assert.Check(t, total.Share() >= b.minEarned)
 	assert.Check(t, worst >= b.minWorstClass)
@@ -102,16 +103,16 @@
 	scene, found := SceneNamed("burst, callers come back")
 	assert.Assert(t, found)
 	var total Credit
-	var returned Returns
+	var returned RetryStats
 	for seed := range uint64(6) {
 		w := scene.New(seed + 1)
 		w.Run()
-		assert.Equal(t, w.Broken, "")
+		assert.Equal(t, w.Violation, "")
 		for _, c := range w.Credits {
 			total = total.Plus(c)
 		}
-		returned.Refused += w.Returned.Refused
-		returned.Served += w.Returned.Served
+		returned.Refused += w.Retries.Refused
+		returned.Served += w.Retries.Served
 	}
 	refused := float64(returned.Refused) / float64(total.Jobs)
 	served := float64(returned.Served) / float64(total.Jobs)
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -69,7 +69,7 @@
 type entryProcess struct {
 	process
 	owner                 *owner.Owner
-	reach                 *subset.Set
+	subset                *subset.Set
 	clients               map[string]*client
 	lastTick              time.Duration
 	linkFreeAt            time.Duration // when its link has sent all queued frames
@@ -78,7 +78,7 @@
 
 // previousVersion reports whether the entry runs the previous version.
 func (e *entryProcess) previousVersion() bool {
-	return slices.Index(e.w.entries, e) < e.w.cfg.OldEntries
+	return slices.Index(e.w.entries, e) < e.w.cfg.PreviousVersionEntries
 }
 
 // newEntry returns entry k in its first incarnation.
@@ -97,18 +97,18 @@
 		e.w.pastStats = addStats(e.w.pastStats, e.owner.Stats())
 	}
 	e.owner = owner.NewOwner(e.w.cfg.Log.With("node", e.name))
-	e.owner.ClearTime = e.w.cfg.Clear
+	e.owner.ClearTime = e.w.cfg.ClearTime
 	e.owner.Homes = e.w.cfg.Homes
-	e.owner.Goal = e.w.cfg.Term
-	e.owner.SkipSuspendRecovery = e.w.cfg.TrustStopped
-	e.owner.WaitForDroppedRuns = !e.w.cfg.ForgetEndings
-	e.reach = subset.NewSet(e.name)
-	e.reach.SetEntries(e.w.cfg.Entries)
+	e.owner.Goal = e.w.cfg.Goal
+	e.owner.SkipSuspendRecovery = e.w.cfg.SkipSuspendRecovery
+	e.owner.WaitForDroppedRuns = !e.w.cfg.SkipDroppedRunWait
+	e.subset = subset.NewSet(e.name)
+	e.subset.SetEntries(e.w.cfg.Entries)
 	for k := range e.w.cfg.Agents {
-		e.reach.Add(agentName(k))
+		e.subset.Add(agentName(k))
 	}
-	e.owner.IsHome = e.reach.Home
-	e.owner.IsPreferred = e.reach.Preferred
+	e.owner.IsHome = e.subset.Home
+	e.owner.IsPreferred = e.subset.Preferred
 	e.owner.Addr = func(agent string) string { return agent }
 	e.owner.SetLink(e.w.cfg.LinkMbps)
 	e.owner.Random = e.w.ownerRand.IntN
@@ -120,7 +120,7 @@
 			now := e.clock()
 			e.lastTick = now
 			e.owner.Tick(now)
-			e.adjustReach(now)
+			e.adjustSubset(now)
 			e.owner.Heartbeats(now)
 			e.w.after(owner.TickInterval, tick)
 		})
@@ -129,18 +129,18 @@
 	e.w.operator.notify(e)
 }
 
-// adjustReach opens connections to wanted agents and releases unneeded ones, as node.Entry
+// adjustSubset opens connections to wanted agents and releases unneeded ones, as node.Entry
 // does.
-func (e *entryProcess) adjustReach(now time.Duration) {
+func (e *entryProcess) adjustSubset(now time.Duration) {
 	if e.owner.TakeMissingLabel() {
-		e.reach.WantAll(now)
+		e.subset.WantAll(now)
 	}
 	if e.owner.Backlogged(now) {
-		e.reach.RecordShortage(now, e.owner.HasTasks)
+		e.subset.RecordShortage(now, e.owner.HasTasks)
 	}
-	changed := e.reach.Update(now)
+	changed := e.subset.Update(now)
 	if changed {
-		e.owner.PartiallyConnected = e.reach.Partial()
+		e.owner.PartiallyConnected = e.subset.Partial()
 		e.owner.RefreshRoles()
 	}
 	if e.w.cfg.Agents <= subset.FullMesh {
@@ -150,9 +150,9 @@
 		l := e.w.linkOf[linkKey{e.name, agentName(k)}]
 		switch {
 		case l == nil:
-		case changed && e.reach.Wanted(l.a.name):
+		case changed && e.subset.Wanted(l.a.name):
 			l.dial()
-		case l.openAtEntry && !e.reach.Wanted(l.a.name) && e.owner.Releasable(l.a.name):
+		case l.openAtEntry && !e.subset.Wanted(l.a.name) && e.owner.Releasable(l.a.name):
 			l.release()
 		}
 	}
@@ -211,7 +211,7 @@
 
 // previousVersion reports whether the agent runs the previous version.
 func (a *agentProcess) previousVersion() bool {
-	return slices.Index(a.w.agents, a) < a.w.cfg.OldAgents
+	return slices.Index(a.w.agents, a) < a.w.cfg.PreviousVersionAgents
 }
 
 // sendHeartbeats delivers the target's heartbeats every heartbeatInterval.
@@ -275,7 +275,7 @@
 		a.supervisor.SendHeartbeats(now)
 		a.scheduleFlush()
 		if now < a.w.cfg.Length && a.target.behaviour == (Behaviour{}) && a.supervisor.Stats(now).Ejected > 0 {
-			a.w.SoundEjected += supervisor.TickInterval
+			a.w.HealthyEjectedTime += supervisor.TickInterval
 		}
 		a.w.after(supervisor.TickInterval, func() { a.tick(incarnation) })
 	})
--- a/testutil/fleet/recovery_bench_test.go
+++ b/testutil/fleet/recovery_bench_test.go
@@ -11,7 +11,7 @@
 // earlier mean. Processes restart within 20 to 1,020 ms.
 func measureRecovery(entries, agents int) (firstStart, fullRate time.Duration) {
 	const span = 200 * time.Millisecond
-	w := New(PolicyConfig(1, entries, agents, Tracking(agents, 0.6)))
+	w := New(WorkloadConfig(1, entries, agents, TrackingWorkload(agents, 0.6)))
 	var killed time.Duration
 	starts, usualRate, completed := 0, 0, 0
 	w.At(2*time.Second, func() { completed = w.Counts.Completed })
--- a/testutil/fleet/same_amd64_test.go
+++ b/testutil/fleet/same_amd64_test.go
@@ -19,14 +19,14 @@
 func fingerprint(t *testing.T, w *World) string {
 	t.Helper()
 	hash := fnv.New64a()
-	w.Sent = func(from string, f *peer.Frame) {
+	w.OnFrame = func(from string, f *peer.Frame) {
 		buf, err := peer.AppendFrame(nil, f)
 		assert.NilError(t, err)
 		fmt.Fprint(hash, w.now(), from)
 		_, _ = hash.Write(buf) // never fails
 	}
 	w.Run()
-	assert.Equal(t, w.Broken, "")
+	assert.Equal(t, w.Violation, "")
 	return fmt.Sprintf("%d jobs, %d completed, %d starts, %d frames, %x", w.Counts.Jobs, w.Counts.Completed, w.Counts.Starts, w.Frames, hash.Sum64())
 }
 
@@ -39,9 +39,9 @@
 		cfg.Faults = int(seed)
 		fmt.Fprintf(&out, "history %d: %s\n", cfg.Seed, fingerprint(t, New(cfg)))
 	}
-	for _, kind := range []Kind{KillAgent, LoseAnswers} {
+	for _, kind := range []FaultKind{KillAgent, LoseAnswers} {
 		cfg := DefaultConfig(2000)
-		cfg.Kinds, cfg.Faults = []Kind{kind}, 12
+		cfg.Kinds, cfg.Faults = []FaultKind{kind}, 12
 		fmt.Fprintf(&out, "kind %d: %s\n", kind, fingerprint(t, New(cfg)))
 	}
 	for name, scene := range map[string]func(*World){
@@ -52,7 +52,7 @@
 		"hanging":     withBehaviour(1, Behaviour{Hanging: true}, 4*time.Second),
 		"failing":     withBehaviour(1, Behaviour{Failing: 1}, 4*time.Second),
 	} {
-		w := New(PolicyConfig(3, 3, 11, Tracking(11, 0.85)))
+		w := New(WorkloadConfig(3, 3, 11, TrackingWorkload(11, 0.85)))
 		scene(w)
 		fmt.Fprintf(&out, "%s: %s\n", name, fingerprint(t, w))
 	}
--- a/testutil/fleet/scene.go
+++ b/testutil/fleet/scene.go
@@ -21,11 +21,11 @@
 	SpecBytes int
 	// Halls is the number of data halls; targets are assigned to them round robin.
 	Halls int
-	// ComeBack is how long callers retry refused jobs; zero disables retries.
-	ComeBack time.Duration
-	// Trouble schedules the fault; Outages lists the targets that are unusable while it lasts.
-	Trouble func(*World)
-	Outages []Outage
+	// RetryFor is how long callers retry refused jobs; zero disables retries.
+	RetryFor time.Duration
+	// ScheduleFault schedules the fault; Outages lists the targets that are unusable while it lasts.
+	ScheduleFault func(*World)
+	Outages       []Outage
 }
 
 // Outage is a period in which a target can't complete work.
@@ -66,7 +66,8 @@
 }
 
 func newScene(name string, entries, agents int, load float64, scheduleFault func(*World), outages ...Outage) Scene {
-	return Scene{Name: name, Load: load, Entries: entries, Agents: agents, Trouble: scheduleFault, Outages: outages}
+	return Scene{Name: name, Load: load, Entries: entries, Agents: agents,
+		ScheduleFault: scheduleFault, Outages: outages}
 }
 
 // smallScene returns a scene with 3 entries and 11 agents.
@@ -89,7 +90,7 @@
 func (s Scene) withHallEvacuated(name string) Scene {
 	const duration = 4 * time.Second
 	s.Name, s.Halls = name, 3
-	s.Trouble = atFaultStart(func(w *World) { w.operator.evacuate(hallName(0), duration) })
+	s.ScheduleFault = atFaultStart(func(w *World) { w.operator.evacuate(hallName(0), duration) })
 	for k := 0; k < s.Agents; k += s.Halls {
 		s.Outages = append(s.Outages, Outage{Target: k, From: faultStart, To: faultStart + duration})
 	}
@@ -100,7 +101,7 @@
 // afterwards.
 func (s Scene) withHallEvacuatedCold(name string) Scene {
 	s = s.withHallEvacuated(name)
-	s.Trouble = atFaultStart(func(w *World) { w.operator.evacuateCold(hallName(0), 4*time.Second, true) })
+	s.ScheduleFault = atFaultStart(func(w *World) { w.operator.evacuateCold(hallName(0), 4*time.Second, true) })
 	return s
 }
 
@@ -113,7 +114,7 @@
 // withRetries returns the scene with callers that retry refused jobs for the given time.
 func (s Scene) withRetries(name string, retryFor time.Duration) Scene {
 	s.Name = name
-	s.ComeBack = retryFor
+	s.RetryFor = retryFor
 	return s
 }
 
@@ -240,23 +241,23 @@
 
 // New returns a world that plays the scene with the given seed.
 func (s Scene) New(seed uint64) *World {
-	classes := Tracking(s.Agents, s.Load)
+	classes := TrackingWorkload(s.Agents, s.Load)
 	if s.Classes != nil {
 		s.Classes(classes)
 	}
-	cfg := PolicyConfig(seed, s.Entries, s.Agents, classes)
+	cfg := WorkloadConfig(seed, s.Entries, s.Agents, classes)
 	if s.Shape != nil {
 		s.Shape(&cfg.Shape)
 	}
 	if s.Speeds != nil {
 		cfg.Speeds = s.Speeds
 	}
-	cfg.ComeBack = s.ComeBack
+	cfg.RetryFor = s.RetryFor
 	cfg.LinkMbps, cfg.SpecBytes = s.LinkMbps, s.SpecBytes
 	cfg.Halls = s.Halls
 	w := New(cfg)
-	if s.Trouble != nil {
-		s.Trouble(w)
+	if s.ScheduleFault != nil {
+		s.ScheduleFault(w)
 	}
 	return w
 }
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -96,7 +96,7 @@
 	} else {
 		e.id = fmt.Sprintf("i-%d", e.w.lastInstance)
 	}
-	if !e.w.cfg.UntoldBirths {
+	if !e.w.cfg.OmitStartTime {
 		e.startedMS = int64(e.w.now() / time.Millisecond)
 	}
 	e.up = true
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -58,9 +58,9 @@
 	maxWorthFactor    = 4
 )
 
-// Tracking returns a workload of three classes whose arrival rates produce the given load on
+// TrackingWorkload returns a workload of three classes whose arrival rates produce the given load on
 // the given number of 16-core targets.
-func Tracking(targets int, load float64) []Class {
+func TrackingWorkload(targets int, load float64) []Class {
 	const coresEach, baseLoad = 16, 0.73 // of the rates below on 11 targets
 	scale := load / baseLoad * float64(targets) / 11
 	return []Class{
@@ -70,12 +70,12 @@
 	}
 }
 
-// PolicyConfig returns the configuration of a world without faults that plays the classes on
+// WorkloadConfig returns the configuration of a world without faults that plays the classes on
 // 16-core targets of different speeds.
-func PolicyConfig(seed uint64, entries, agents int, classes []Class) Config {
+func WorkloadConfig(seed uint64, entries, agents int, classes []Class) Config {
 	cfg := DefaultConfig(seed)
 	cfg.Entries, cfg.Agents = entries, agents
-	cfg.Faults, cfg.Calm = 0, 0
+	cfg.Faults, cfg.FaultFreeTail = 0, 0
 	cfg.Length = 12 * time.Second
 	cfg.Classes = classes
 	cfg.Shape = UsualShape()
@@ -86,8 +86,8 @@
 
 // Credit holds the earnings of the jobs of one class.
 type Credit struct {
-	Jobs, InAim, Late int
-	Owed, Earned      float64
+	Jobs, InObjective, Late int
+	Owed, Earned            float64
 	// Held is the worth of jobs that were refused or given up late although none of their tasks
 	// had started.
 	Held float64
@@ -103,7 +103,8 @@
 
 // Plus returns the sum of c and o.
 func (c Credit) Plus(o Credit) Credit {
-	return Credit{Jobs: c.Jobs + o.Jobs, InAim: c.InAim + o.InAim, Late: c.Late + o.Late, Owed: c.Owed + o.Owed,
+	return Credit{Jobs: c.Jobs + o.Jobs, InObjective: c.InObjective + o.InObjective, Late: c.Late + o.Late,
+		Owed:   c.Owed + o.Owed,
 		Earned: c.Earned + o.Earned, Held: c.Held + o.Held}
 }
 
@@ -227,7 +228,7 @@
 	c.Earned += share * job.worth
 	switch share {
 	case 1:
-		c.InAim++
+		c.InObjective++
 	case lateFraction:
 		c.Late++
 	}
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -35,16 +35,16 @@
 type Config struct {
 	Seed            uint64
 	Entries, Agents int
-	// Jobs arrive every Interval on average for Length. The last fault begins at least Calm
-	// before the end of Length.
-	Length, Interval, Calm time.Duration
+	// Jobs arrive every Interval on average for Length. The last fault begins at least
+	// FaultFreeTail before the end of Length.
+	Length, Interval, FaultFreeTail time.Duration
 	// Faults is the number of injected faults; Kinds are their possible kinds, empty meaning
 	// any that is drawn at random.
 	Faults int
-	Kinds  []Kind
-	// Lasting keeps silent connections open for good. The invariants on the end of the history
+	Kinds  []FaultKind
+	// KeepSilentConnections keeps silent connections open for good. The invariants on the end of the history
 	// are then not checked.
-	Lasting bool
+	KeepSilentConnections bool
 	// Classes replaces the default jobs with a workload, and Shape has the properties common to
 	// its jobs. CPU is the capacity of each target; Speeds are assigned to the targets round
 	// robin.
@@ -52,11 +52,11 @@
 	Shape   Shape
 	CPU     int
 	Speeds  []float64
-	// Rules and Clear configure the mechanisms under test.
-	Rules supervisor.Rules
-	Clear time.Duration
-	// UntoldBirths makes targets omit their start time from reports.
-	UntoldBirths bool
+	// Rules and ClearTime configure the mechanisms under test.
+	Rules     supervisor.Rules
+	ClearTime time.Duration
+	// OmitStartTime makes targets omit their start time from reports.
+	OmitStartTime bool
 	// ClocksStop makes the clocks of processes stop during suspensions.
 	ClocksStop bool
 	// Crashing is the share of the jobs whose tasks crash each target that starts them.
@@ -71,31 +71,31 @@
 	// SpecBytes is the length of job specs.
 	LinkMbps  float64
 	SpecBytes int
-	// OldEntries and OldAgents are the numbers of processes that run the previous version,
-	// which does not support watches.
-	OldEntries, OldAgents int
+	// PreviousVersionEntries and PreviousVersionAgents are the numbers of processes that run the
+	// previous version, which does not support watches.
+	PreviousVersionEntries, PreviousVersionAgents int
 	// Halls is the number of data halls, to which targets are assigned round robin; zero means
 	// that targets report no hall. Evacuations is the number of hall evacuations.
 	Halls, Evacuations int
-	// Strays is the share of submissions that are duplicated to another entry, either at once,
+	// DuplicateShare is the share of submissions that are duplicated to another entry, either at once,
 	// as after a broken connection, or seconds later. Homes is the number of homes that the
 	// entries assign to a job.
-	Strays float64
-	Homes  int
-	// ForgetEndings disables waiting for the runs of a dropped job to end.
-	ForgetEndings bool
-	// TrustStopped disables renewing the claims of an entry that was stopped.
-	TrustStopped bool
-	// Term is the objective that entries optimise.
-	Term owner.Goal
-	// Leaving is the share of callers that abandon their job before it completes.
-	Leaving float64
-	// Patience is the timeout of callers. Guess is the typical task duration of most jobs,
+	DuplicateShare float64
+	Homes          int
+	// SkipDroppedRunWait disables waiting for the runs of a dropped job to end.
+	SkipDroppedRunWait bool
+	// SkipSuspendRecovery disables renewing the claims of an entry that was stopped.
+	SkipSuspendRecovery bool
+	// Goal is the objective that entries optimise.
+	Goal owner.Goal
+	// AbandonShare is the share of callers that abandon their job before it completes.
+	AbandonShare float64
+	// CallerTimeout is the timeout of callers. Guess is the typical task duration of most jobs,
 	// LongGuess that of the others.
-	Patience, Guess, LongGuess time.Duration
-	// ComeBack is how long callers retry refused jobs, waiting as long as each refusal asks;
+	CallerTimeout, Guess, LongGuess time.Duration
+	// RetryFor is how long callers retry refused jobs, waiting as long as each refusal asks;
 	// zero disables retries.
-	ComeBack time.Duration
+	RetryFor time.Duration
 	// Log receives the log records of all processes.
 	Log *slog.Logger
 }
@@ -104,10 +104,11 @@
 func DefaultConfig(seed uint64) Config {
 	return Config{
 		Seed: seed, Entries: 2, Agents: 3,
-		Length: 14 * time.Second, Interval: 180 * time.Millisecond, Calm: 8 * time.Second,
-		CPU: 8000, Faults: 5, HoldMax: time.Second, BackAfter: 500 * time.Millisecond, Rules: supervisor.DefaultRules(), Clear: owner.ClearTime,
-		Homes:    owner.DefaultHomes,
-		Patience: 3 * time.Second, Guess: 150 * time.Millisecond, LongGuess: 700 * time.Millisecond,
+		Length: 14 * time.Second, Interval: 180 * time.Millisecond, FaultFreeTail: 8 * time.Second,
+		CPU: 8000, Faults: 5, HoldMax: time.Second, BackAfter: 500 * time.Millisecond,
+		Rules: supervisor.DefaultRules(), ClearTime: owner.ClearTime,
+		Homes:         owner.DefaultHomes,
+		CallerTimeout: 3 * time.Second, Guess: 150 * time.Millisecond, LongGuess: 700 * time.Millisecond,
 		Log: slog.New(slog.DiscardHandler),
 	}
 }
@@ -115,15 +116,15 @@
 // Counts holds counters of a history.
 type Counts struct {
 	Jobs, Completed, Failed, GivenUp, Refused, Resent, Starts int
-	// CalmFull counts refusals of jobs submitted after the faults, at moments when no target
+	// RefusedFullAfterFaults counts refusals of jobs submitted after the faults, at moments when no target
 	// had room for any of their tasks.
-	CalmFull int
-	// Calm counts the jobs submitted after the faults, CalmCompleted those of them that
-	// completed.
-	Calm, CalmCompleted int
-	// Strays counts duplicate submissions that reached another entry. Again counts jobs of
+	RefusedFullAfterFaults int
+	// SubmittedAfterFaults counts the jobs submitted after the faults, CompletedAfterFaults those
+	// of them that completed.
+	SubmittedAfterFaults, CompletedAfterFaults int
+	// Duplicates counts duplicate submissions that reached another entry. Rerun counts jobs of
 	// which a task started again after it had completed.
-	Strays, Again int
+	Duplicates, Rerun int
 }
 
 // Crashes holds counters on jobs that crash targets.
@@ -162,18 +163,18 @@
 	// Connections counts the connections that were opened.
 	Connections int
 	Frames      int // sent between entries and agents
-	// SoundEjected is the total time, while jobs arrived, for which healthy targets were
+	// HealthyEjectedTime is the total time, while jobs arrived, for which healthy targets were
 	// ejected.
-	SoundEjected time.Duration
-	// Returned holds the results of callers that retry refused jobs.
-	Returned Returns
-	// Sent, if set, is called with each frame that a process sends.
-	Sent      func(from string, f *peer.Frame)
+	HealthyEjectedTime time.Duration
+	// Retries holds the results of callers that retry refused jobs.
+	Retries RetryStats
+	// OnFrame, if set, is called with each frame that a process sends.
+	OnFrame   func(from string, f *peer.Frame)
 	pastStats owner.Stats // of earlier incarnations of the entries
-	// Broken describes the first violation, BrokenPromise names the violated invariant. Both
+	// Violation describes the first violation, ViolatedInvariant names the violated invariant. Both
 	// are empty if there was none.
-	Broken        string
-	BrokenPromise Promise
+	Violation         string
+	ViolatedInvariant Invariant
 }
 
 // New returns a world at the start of its history.
@@ -211,7 +212,7 @@
 		w.scheduleJobs()
 	}
 	for range cfg.Faults {
-		w.after(w.randomUpTo(cfg.Length-cfg.Calm), w.injectFault)
+		w.after(w.randomUpTo(cfg.Length-cfg.FaultFreeTail), w.injectFault)
 	}
 	return w
 }
@@ -223,8 +224,8 @@
 
 // Run plays the history to its end, or until an invariant is violated.
 func (w *World) Run() {
-	w.queue.Run(w.queue.Now()+w.cfg.Length+settleDuration, func() bool { return w.Broken != "" })
-	if w.Broken == "" {
+	w.queue.Run(w.queue.Now()+w.cfg.Length+settleDuration, func() bool { return w.Violation != "" })
+	if w.Violation == "" {
 		w.checkFinalState()
 	}
 }
@@ -248,11 +249,11 @@
 	return time.Duration(w.rng.Int64N(int64(d) + 1))
 }
 
-// recordFrame counts a sent frame and passes it to the Sent hook.
+// recordFrame counts a sent frame and passes it to the OnFrame hook.
 func (w *World) recordFrame(from string, f *peer.Frame) {
 	w.Frames++
-	if w.Sent != nil {
-		w.Sent(from, f)
+	if w.OnFrame != nil {
+		w.OnFrame(from, f)
 	}
 }
 
@@ -261,16 +262,16 @@
 	w.Counts.Starts++
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
-		w.recordViolation(AskedFor, "%s started for an unknown job", r.name)
+		w.recordViolation(OnlySubmittedRuns, "%s started for an unknown job", r.name)
 		return
 	}
 	c.started = true
 	if c.done[r.order.Task] && !c.startedAgain {
 		c.startedAgain = true
-		w.Counts.Again++
+		w.Counts.Rerun++
 	}
 	if r.order.Spec != c.spec.Spec {
-		w.recordViolation(AskedFor, "%s started with a spec other than the submitted one", r.name)
+		w.recordViolation(OnlySubmittedRuns, "%s started with a spec other than the submitted one", r.name)
 	}
 	c.checkStepOrder(r.order.Task)
 	if c.targetCrashes[r.order.Task] >= crashLimit {
@@ -284,10 +285,11 @@
 		used = used.Plus(o.order.Needs)
 	}
 	if !used.Fits(e.capacity) && w.now()-e.shrunkAt > shrinkGrace {
-		w.recordViolation(WithinRoom, "starting %s on %s raises the used CPU to %d of %d", r.name, e.id, used.CPU, e.capacity.CPU)
+		w.recordViolation(WithinCapacity, "starting %s on %s raises the used CPU to %d of %d",
+			r.name, e.id, used.CPU, e.capacity.CPU)
 	}
 	if e.drainingSince > 0 && w.now() > e.drainingSince+drainGrace {
-		w.recordViolation(DrainedInPeace, "%s started on draining target %s", r.name, e.id)
+		w.recordViolation(NoStartsWhileDraining, "%s started on draining target %s", r.name, e.id)
 	}
 	w.checkAbandoned(r)
 	for _, a := range w.agents {
@@ -320,7 +322,7 @@
 // checkAbandoned checks periodically that a run ends after its caller has left.
 func (w *World) checkAbandoned(r *emulatedRun) {
 	c := w.jobs[r.order.Task.Job]
-	if w.cfg.Leaving == 0 {
+	if w.cfg.AbandonShare == 0 {
 		return
 	}
 	var check func()
@@ -329,7 +331,8 @@
 			return
 		}
 		if c.abandonedAt > 0 && w.now()-c.abandonedAt > abandonedRunLimit {
-			w.recordViolation(EndsWhenLeft, "%s still runs %s after its caller has left", r.name, w.now()-c.abandonedAt)
+			w.recordViolation(AbandonedRunsEnd, "%s still runs %s after its caller has left",
+				r.name, w.now()-c.abandonedAt)
 			return
 		}
 		w.after(abandonedRunLimit, check)
@@ -379,11 +382,14 @@
 		}
 	}
 	for _, a := range w.agents {
-		if !w.cfg.Lasting && len(a.target.runs) > 0 && a.target.up {
-			w.recordViolation(NothingLeft, "%d runs left on %s", len(a.target.runs), a.target.id)
+		if !w.cfg.KeepSilentConnections && len(a.target.runs) > 0 && a.target.up {
+			w.recordViolation(NoRunsLeft, "%d runs left on %s", len(a.target.runs), a.target.id)
 		}
 	}
-	if n := w.Counts; !w.cfg.Lasting && ((n.CalmCompleted+n.CalmFull)*10 < n.Calm*9 || n.CalmCompleted*6 < n.Calm*5) {
-		w.recordViolation(Recovery, "%d of %d jobs completed after the faults, %d refused without room", n.CalmCompleted, n.Calm, n.CalmFull)
+	if n := w.Counts; !w.cfg.KeepSilentConnections &&
+		((n.CompletedAfterFaults+n.RefusedFullAfterFaults)*10 < n.SubmittedAfterFaults*9 ||
+			n.CompletedAfterFaults*6 < n.SubmittedAfterFaults*5) {
+		w.recordViolation(Recovery, "%d of %d jobs completed after the faults, %d refused without room",
+			n.CompletedAfterFaults, n.SubmittedAfterFaults, n.RefusedFullAfterFaults)
 	}
 }
--- a/testutil/fleet/world_test.go
+++ b/testutil/fleet/world_test.go
@@ -12,7 +12,7 @@
 	cfg.Faults = 0
 	w := New(cfg)
 	w.Run()
-	assert.Equal(t, w.Broken, "")
+	assert.Equal(t, w.Violation, "")
 	assert.Assert(t, w.Counts.Jobs > 60)
 	assert.Assert(t, w.Counts.Completed+w.Counts.Failed >= w.Counts.Jobs-1, "%+v", w.Counts)
 }
@@ -30,7 +30,7 @@
 				change(&cfg)
 				w := New(cfg)
 				w.Run()
-				assert.Equal(t, w.Broken, "", "seed %d: %+v", seed, w.Counts)
+				assert.Equal(t, w.Violation, "", "seed %d: %+v", seed, w.Counts)
 			}
 		})
 	}
@@ -44,38 +44,38 @@
 // TestMixedVersionsKeepInvariants plays histories in which some processes run the previous
 // version, as during a rolling upgrade.
 func TestMixedVersionsKeepInvariants(t *testing.T) {
-	playHistories(t, 3000, 60, func(c *Config) { c.OldEntries = 1 })
-	playHistories(t, 3100, 60, func(c *Config) { c.OldAgents = 2 })
-	playHistories(t, 3200, 60, func(c *Config) { c.OldEntries, c.OldAgents = 1, 1 })
+	playHistories(t, 3000, 60, func(c *Config) { c.PreviousVersionEntries = 1 })
+	playHistories(t, 3100, 60, func(c *Config) { c.PreviousVersionAgents = 2 })
+	playHistories(t, 3200, 60, func(c *Config) { c.PreviousVersionEntries, c.PreviousVersionAgents = 1, 1 })
 }
 
 // TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants plays histories with many faults of
 // these two kinds.
 func TestSilentConnectionsAndDelayedHeartbeatsKeepInvariants(t *testing.T) {
 	playHistories(t, 4000, 80, func(c *Config) {
-		c.Kinds, c.Faults = []Kind{HoldHeartbeat, SilenceConnections, CutAgent, KillEntry}, 10
+		c.Kinds, c.Faults = []FaultKind{DelayHeartbeat, SilenceConnections, IsolateAgent, KillEntry}, 10
 	})
 }
 
 // TestLeasesEndRunsOfSilentEntries plays histories in which silent connections are never
 // closed, so that only leases end the runs of silent entries.
 func TestLeasesEndRunsOfSilentEntries(t *testing.T) {
-	playHistories(t, 5000, 80, func(c *Config) { c.Lasting = true })
+	playHistories(t, 5000, 80, func(c *Config) { c.KeepSilentConnections = true })
 }
 
 // TestAgentRestartsWithLostAnswersKeepInvariants plays the faults that
 // TestDisabledMechanismBreaksInvariant uses for AwaitCleared, with the mechanism enabled.
 func TestAgentRestartsWithLostAnswersKeepInvariants(t *testing.T) {
-	playHistories(t, 0, 160, func(c *Config) { c.Kinds, c.Faults = []Kind{KillAgent, LoseAnswers}, 16 })
+	playHistories(t, 0, 160, func(c *Config) { c.Kinds, c.Faults = []FaultKind{KillAgent, LoseAnswers}, 16 })
 }
 
 // TestDuplicateSubmissionsKeepInvariants plays histories in which duplicates of submissions
 // reach other entries, at once or later, among all kinds of faults.
 func TestDuplicateSubmissionsKeepInvariants(t *testing.T) {
-	playHistories(t, 7000, 200, func(c *Config) { c.Strays, c.Entries, c.Agents = 0.4, 3, 5 })
+	playHistories(t, 7000, 200, func(c *Config) { c.DuplicateShare, c.Entries, c.Agents = 0.4, 3, 5 })
 	playHistories(t, 7500, 100, func(c *Config) {
-		c.Strays, c.Entries, c.Agents = 0.4, 3, 5
-		c.Kinds, c.Faults = []Kind{KillEntry, KillAgent, CutEntry, ResetClients, DelayOrders}, 12
+		c.DuplicateShare, c.Entries, c.Agents = 0.4, 3, 5
+		c.Kinds, c.Faults = []FaultKind{KillEntry, KillAgent, IsolateEntry, ResetClients, DelayOrders}, 12
 	})
 }
 
@@ -85,12 +85,12 @@
 	duplicates := 0
 	for seed := range uint64(20) {
 		cfg := DefaultConfig(8000 + seed)
-		cfg.Faults, cfg.Strays, cfg.Entries, cfg.Agents = 0, 0.5, 3, 5
+		cfg.Faults, cfg.DuplicateShare, cfg.Entries, cfg.Agents = 0, 0.5, 3, 5
 		w := New(cfg)
 		w.Run()
-		assert.Equal(t, w.Broken, "", "seed %d", cfg.Seed)
-		assert.Equal(t, w.Counts.Again, 0, "seed %d", cfg.Seed)
-		duplicates += w.Counts.Strays
+		assert.Equal(t, w.Violation, "", "seed %d", cfg.Seed)
+		assert.Equal(t, w.Counts.Rerun, 0, "seed %d", cfg.Seed)
+		duplicates += w.Counts.Duplicates
 	}
 	assert.Assert(t, duplicates > 300)
 }
@@ -102,7 +102,7 @@
 	first.Run()
 	second.Run()
 	assert.Equal(t, first.Counts, second.Counts)
-	cfg := PolicyConfig(5, 3, 11, Tracking(11, 0.85))
+	cfg := WorkloadConfig(5, 3, 11, TrackingWorkload(11, 0.85))
 	first, second = New(cfg), New(cfg)
 	first.Run()
 	second.Run()
@@ -119,39 +119,39 @@
 		out  func(*Config)
 	}{
 		{"owner lease", func(c *Config) {
-			c.Rules.OwnerLease, c.Lasting = time.Hour, true
+			c.Rules.OwnerLease, c.KeepSilentConnections = time.Hour, true
 			c.Homes = 0 // claims would block a second run until the first has ended
-			c.Kinds = []Kind{CutEntry, FreezeEntry, ResetClients}
+			c.Kinds = []FaultKind{IsolateEntry, FreezeEntry, ResetClients}
 			c.Faults = 12
 		}},
-		{"clear time", func(c *Config) { c.Clear = 0 }},
+		{"clear time", func(c *Config) { c.ClearTime = 0 }},
 		{"keeping unanswered starts", func(c *Config) { c.Rules.KeepUnansweredStarts = false }},
-		{"claims", func(c *Config) { c.Strays, c.Homes = 0.4, 0 }},
+		{"claims", func(c *Config) { c.DuplicateShare, c.Homes = 0.4, 0 }},
 		{"waiting for dropped runs to end", func(c *Config) {
-			c.Strays, c.ForgetEndings = 0.9, true
-			c.Kinds, c.Faults = []Kind{ResetClients, DelayOrders}, 24
+			c.DuplicateShare, c.SkipDroppedRunWait = 0.9, true
+			c.Kinds, c.Faults = []FaultKind{ResetClients, DelayOrders}, 24
 			c.Agents = 6
 		}},
 		{"refusing starts in evacuated halls", func(c *Config) {
 			threeHalls(c)
-			c.OldEntries, c.Rules.RefuseEvacuated = 1, false
+			c.PreviousVersionEntries, c.Rules.RefuseEvacuated = 1, false
 		}},
 		{"distinguishing incarnations of a target under one id", func(c *Config) {
 			targetRestarts(c)
-			c.UntoldBirths = true
+			c.OmitStartTime = true
 		}},
 		{"clocks that count suspensions", func(c *Config) {
 			hostSuspensions(c)
 			c.ClocksStop = true
 		}},
 		{"renewing claims after a stop", func(c *Config) {
-			c.Strays, c.Entries, c.Agents = 0.9, 3, 5
-			c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
-			c.TrustStopped = true
+			c.DuplicateShare, c.Entries, c.Agents = 0.9, 3, 5
+			c.Kinds, c.Faults = []FaultKind{FreezeEntry, ResetClients}, 14
+			c.SkipSuspendRecovery = true
 		}},
 		{"waiting for a cleared target", func(c *Config) {
 			c.Rules.AwaitCleared = false
-			c.Kinds = []Kind{KillAgent, LoseAnswers}
+			c.Kinds = []FaultKind{KillAgent, LoseAnswers}
 			c.Faults = 16
 		}},
 	} {
@@ -162,8 +162,9 @@
 				c.out(&cfg)
 				w := New(cfg)
 				w.Run()
-				if w.BrokenPromise == OneRun || w.BrokenPromise == WithinRoom || w.BrokenPromise == Evacuated {
-					t.Logf("seed %d: %s", seed, w.Broken)
+				if w.ViolatedInvariant == OneRun || w.ViolatedInvariant == WithinCapacity ||
+					w.ViolatedInvariant == Evacuated {
+					t.Logf("seed %d: %s", seed, w.Violation)
 					return
 				}
 			}
@@ -175,7 +176,7 @@
 // targetRestarts configures targets that restart under the same id, delayed or unanswered
 // starts, and leases of 15 s.
 func targetRestarts(c *Config) {
-	c.Kinds, c.Faults = []Kind{RestartTarget, DelayOrders, LoseAnswers, KillAgent, CutEntry}, 14
+	c.Kinds, c.Faults = []FaultKind{RestartTarget, DelayOrders, LoseAnswers, KillAgent, IsolateEntry}, 14
 	c.HoldMax = 15 * time.Second
 }
 
@@ -188,8 +189,8 @@
 // hostSuspensions configures hosts that are suspended for longer than any lease, and duplicate
 // submissions.
 func hostSuspensions(c *Config) {
-	c.Kinds, c.Faults = []Kind{SuspendEntry, SuspendAgent, CutAgent, ResetClients, DelayOrders}, 12
-	c.Strays, c.Entries, c.Agents = 0.4, 3, 5
+	c.Kinds, c.Faults = []FaultKind{SuspendEntry, SuspendAgent, IsolateAgent, ResetClients, DelayOrders}, 12
+	c.DuplicateShare, c.Entries, c.Agents = 0.4, 3, 5
 }
 
 // TestSuspendedHostsKeepInvariants guards against suspended hosts that continue with expired
@@ -202,19 +203,19 @@
 // their submissions reach other entries.
 func TestFrozenEntriesWithDuplicatesKeepInvariants(t *testing.T) {
 	change := func(c *Config) {
-		c.Kinds, c.Faults = []Kind{FreezeEntry, ResetClients}, 14
-		c.Strays, c.Entries, c.Agents = 0.9, 3, 5
+		c.Kinds, c.Faults = []FaultKind{FreezeEntry, ResetClients}, 14
+		c.DuplicateShare, c.Entries, c.Agents = 0.9, 3, 5
 	}
 	playHistories(t, 20000, 100, change)
-	playHistories(t, 21360, 20, change) // includes 21366, which fails with TrustStopped
-	playHistories(t, 20570, 20, change) // includes 20579, which fails with TrustStopped
+	playHistories(t, 21360, 20, change) // includes 21366, which fails with SkipSuspendRecovery
+	playHistories(t, 20570, 20, change) // includes 20579, which fails with SkipSuspendRecovery
 }
 
 // TestShrinkingCapacityKeepsInvariants plays targets whose capacity shrinks and grows while
 // orders, reservations and unanswered starts are in progress.
 func TestShrinkingCapacityKeepsInvariants(t *testing.T) {
 	playHistories(t, 13000, 160, func(c *Config) {
-		c.Kinds, c.Faults = []Kind{ShrinkRoom, LoseAnswers, DelayOrders, CutAgent, KillAgent}, 16
+		c.Kinds, c.Faults = []FaultKind{ShrinkCapacity, LoseAnswers, DelayOrders, IsolateAgent, KillAgent}, 16
 		c.Interval = 120 * time.Millisecond
 	})
 }
