--- a/cmd/beaconpoint/node.go
+++ b/cmd/beaconpoint/node.go
@@ -66,18 +66,18 @@
 
 // newEntryNode returns an entry that uses the platform's store and serves callers.
 func newEntryNode(s settings.Node, log *slog.Logger) *node.Entry {
-	store := platform.NewStore(s.Store, log)
+	store := platform.NewStore(s.StoreAddr, log)
 	e := node.NewEntry(s, store.Directory(), store.Source(), log)
-	e.SetTerm(platform.Term(s))
+	e.SetGoal(platform.Goal(s))
 	e.Serve = platform.NewCallerAPI(e, s, log).Serve
 	return e
 }
 
 // newAgentNode returns an agent that uses the platform's store and serves its target.
 func newAgentNode(s settings.Node, log *slog.Logger) *node.Agent {
-	store := platform.NewStore(s.Store, log)
-	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.Target).Calls(), log)
-	a.Serve = platform.NewTargetAPI(a, s.Reports, log).Serve
+	store := platform.NewStore(s.StoreAddr, log)
+	a := node.NewAgent(s, store.Directory(), platform.NewTargetClient(s.TargetAddr).Calls(), log)
+	a.Serve = platform.NewTargetAPI(a, s.HeartbeatAddr, log).Serve
 	return a
 }
 
--- a/node/agent.go
+++ b/node/agent.go
@@ -56,8 +56,8 @@
 
 // agentConn is a connection from an entry.
 type agentConn struct {
-	name  string     // of the entry
-	level peer.Level // protocol level of the entry
+	name  string             // of the entry
+	level peer.ProtocolLevel // protocol level of the entry
 	conn  *peer.Conn
 	echo  time.Duration // latest stamp received from the entry
 }
@@ -135,7 +135,7 @@
 	}
 	began := a.clock.now()
 	a.mu.Lock()
-	a.supervisor.Leave(a.clock.now())
+	a.supervisor.BeginShutdown(a.clock.now())
 	a.mu.Unlock()
 	a.log.Info(event.Stopping)
 	for a.clock.now()-began < a.settings.Grace-graceMargin {
@@ -151,7 +151,7 @@
 }
 
 func (a *Agent) serveMetrics(ctx context.Context) error {
-	return serveMetrics(ctx, a.settings.Metrics, a.metrics)
+	return serveMetrics(ctx, a.settings.MetricsAddr, a.metrics)
 }
 
 func (a *Agent) stats() supervisor.Stats {
@@ -172,7 +172,7 @@
 func (a *Agent) tick(ctx context.Context) error {
 	runTicks(ctx, supervisor.TickInterval, a.clock, &a.pause, &a.mu, func(now time.Duration, checkSilence bool) {
 		a.supervisor.Tick(now)
-		a.supervisor.Heartbeats(now)
+		a.supervisor.SendHeartbeats(now)
 		if checkSilence {
 			a.closeSilent(now)
 		}
--- a/node/entry.go
+++ b/node/entry.go
@@ -61,13 +61,13 @@
 	relist          chan struct{} // signals that the directory must be listed again
 	logAwaitOnce    sync.Once     // logs the first request that waits for a configuration
 	table           atomic.Pointer[routing.Table]
-	leaving         atomic.Bool
+	stopping        atomic.Bool
 	connectedAgents atomic.Int64
 
 	mu              sync.Mutex // guards the fields below
 	owner           *owner.Owner
 	links           map[string]*link // by agent
-	reach           *reachView
+	subset          *subsetView
 	pause           pauseDetector
 	document        document // of the configuration in force
 	documentRequest documentRequest
@@ -87,7 +87,7 @@
 		bootID:      rand.Uint64(),
 		owner:       owner.NewOwner(log),
 		links:       make(map[string]*link),
-		reach:       newReachView(s.Name),
+		subset:      newSubsetView(s.Name),
 		relist:      make(chan struct{}, 1),
 	}
 	e.startedAt = e.clock.now()
@@ -95,11 +95,11 @@
 	e.owner.Send = e.send
 	e.owner.ObserveStage = func(s stage.Stage, took time.Duration) { e.stages[s].Update(took.Seconds()) }
 	e.owner.CountAnswer = e.CountAnswer
-	e.owner.FarFactor = s.Far
+	e.owner.FarFactor = s.RemoteFactor
 	e.owner.Addr = e.addr
 	e.owner.SetLink(s.LinkMbps)
-	e.owner.IsHome = e.reach.set.Home
-	e.owner.IsOwn = e.reach.set.Own
+	e.owner.IsHome = e.subset.set.Home
+	e.owner.IsPreferred = e.subset.set.Preferred
 	return e
 }
 
@@ -109,20 +109,20 @@
 	e.owner.ClaimTimeout = d
 }
 
-// SetTerm sets the optimization objective of the owner. It must be called before Run.
-func (e *Entry) SetTerm(t owner.Term) {
-	e.owner.Term = t
+// SetGoal sets the optimization objective of the owner. It must be called before Run.
+func (e *Entry) SetGoal(g owner.Goal) {
+	e.owner.Goal = g
 }
 
 // Ready reports whether the load balancer should route requests to the entry: it has a
 // configuration and a connected agent, is not isolated and is not stopping.
 func (e *Entry) Ready() bool {
-	return !e.leaving.Load() && e.table.Load() != nil && e.connectedAgents.Load() > 0 && e.isolated() == 0
+	return !e.stopping.Load() && e.table.Load() != nil && e.connectedAgents.Load() > 0 && e.isolated() == 0
 }
 
-// Leaving reports whether the entry is stopping.
-func (e *Entry) Leaving() bool {
-	return e.leaving.Load()
+// Stopping reports whether the entry is stopping.
+func (e *Entry) Stopping() bool {
+	return e.stopping.Load()
 }
 
 // Submit submits a job and waits for its answer. If ctx is done first, the caller has
@@ -146,7 +146,7 @@
 		return a, nil
 	case <-ctx.Done():
 		e.mu.Lock()
-		e.owner.Cancel(e.clock.now(), j.ID, caller)
+		e.owner.RemoveCaller(e.clock.now(), j.ID, caller)
 		e.mu.Unlock()
 		return owner.Answer{}, ctx.Err()
 	}
@@ -196,7 +196,7 @@
 func (e *Entry) hallsSuspected() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return uint64(e.owner.HallsSuspected())
+	return uint64(e.owner.SuspectedHalls())
 }
 
 // watched returns the number of agents that the entry watches.
@@ -210,7 +210,7 @@
 func (e *Entry) linkQueueTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.owner.LinkQueue(e.clock.now())
+	return e.owner.LinkDelay(e.clock.now())
 }
 
 // jobs returns the number of jobs that the entry owns.
@@ -224,7 +224,7 @@
 // period expires. It returns the error of the component that failed, if any.
 func (e *Entry) Run(ctx context.Context) error {
 	e.log.Info(event.Start, "role", "entry", "name", e.settings.Name, "hall", e.settings.Hall,
-		"term", e.owner.Term.String())
+		"term", e.owner.Goal.String())
 	abortCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	callersCtx, closeCallers := context.WithCancel(abortCtx)
@@ -232,11 +232,11 @@
 	var g run.Group
 	addActor(&g, func() error { return e.stop(ctx, closeCallers, cancel) })
 	addActor(&g, func() error { return e.Serve(callersCtx, abortCtx) })
-	addActor(&g, func() error { return serveMetrics(abortCtx, e.settings.Metrics, e.metrics) })
+	addActor(&g, func() error { return serveMetrics(abortCtx, e.settings.MetricsAddr, e.metrics) })
 	addActor(&g, func() error { e.tick(abortCtx); return nil })
 	addActor(&g, func() error { e.watchConfig(abortCtx); return nil })
 	addActor(&g, func() error { e.discoverAgents(abortCtx); return nil })
-	addActor(&g, func() error { return listen(abortCtx, e.settings.Peers, e.accept) })
+	addActor(&g, func() error { return listen(abortCtx, e.settings.PeerAddr, e.accept) })
 	g.Add(func() error { <-abortCtx.Done(); return nil }, func(error) { cancel() })
 	err := g.Run()
 	e.log.Info(event.Stop, "role", "entry", "name", e.settings.Name)
@@ -261,7 +261,7 @@
 func (e *Entry) stop(ctx context.Context, closeCallers, cancel func()) error {
 	<-ctx.Done()
 	began := e.clock.now()
-	e.leaving.Store(true)
+	e.stopping.Store(true)
 	e.log.Info(event.Stopping, "jobs", e.jobs())
 	time.Sleep(min(shutdownDelay, e.settings.Grace/2))
 	closeCallers()
@@ -269,7 +269,7 @@
 		time.Sleep(owner.TickInterval)
 	}
 	e.mu.Lock()
-	e.owner.Leave(e.clock.now())
+	e.owner.BeginShutdown(e.clock.now())
 	e.mu.Unlock()
 	time.Sleep(owner.TickInterval)
 	cancel()
@@ -281,9 +281,9 @@
 func (e *Entry) tick(ctx context.Context) {
 	runTicks(ctx, owner.TickInterval, e.clock, &e.pause, &e.mu, func(now time.Duration, checkSilence bool) {
 		e.owner.Tick(now)
-		e.adjustReach(ctx, now)
+		e.adjustSubset(ctx, now)
 		e.owner.Heartbeats(now)
-		if checkSilence || e.owner.Rejoining(now) {
+		if checkSilence || e.owner.RecoveringFromSuspension(now) {
 			e.closeSilent(now)
 		}
 	})
@@ -293,7 +293,7 @@
 // first, since an agent adds an entry when the entry connects. Later changes arrive through the
 // watch of the store; the directory is listed again after listInterval or a signal on relist.
 func (e *Entry) discoverAgents(ctx context.Context) {
-	own := Registration{Name: e.settings.Name, Addr: e.settings.Peers}
+	own := Registration{Name: e.settings.Name, Addr: e.settings.PeerAddr}
 	for registered := false; ; {
 		retryUntilDone(ctx, e.log, "list", func(ctx context.Context) error {
 			agents, err := e.directory.List(ctx, peer.RoleAgent)
--- a/node/link.go
+++ b/node/link.go
@@ -30,11 +30,11 @@
 // link is an entry's connection to one agent. It is re-established after each failure.
 type link struct {
 	registration Registration
-	conn         *peer.Conn    // nil while disconnected
-	echo         peer.Echo     // tracks the agent's stamps
-	sentAt       time.Duration // when the last frame was sent
-	retryNow     chan struct{} // signals that the next attempt is due immediately
-	stop         func()        // closes the link permanently
+	conn         *peer.Conn     // nil while disconnected
+	agentClock   peer.PeerClock // tracks the agent's stamps
+	sentAt       time.Duration  // when the last frame was sent
+	retryNow     chan struct{}  // signals that the next attempt is due immediately
+	stop         func()         // closes the link permanently
 }
 
 // logAddressChange logs that an agent has a new address.
@@ -77,7 +77,7 @@
 // consecutive failures.
 func (e *Entry) recordUnreachable(ctx context.Context, l *link, failures int, err error) {
 	e.mu.Lock()
-	e.reach.set.SetLost(l.registration.Name, true)
+	e.subset.set.SetLost(l.registration.Name, true)
 	e.mu.Unlock()
 	if failures == 1 && ctx.Err() == nil {
 		e.log.Info(event.AgentUnreachable, "agent", l.registration.Name, "error", err.Error())
@@ -90,7 +90,7 @@
 	e.mu.Lock()
 	r := l.registration
 	e.mu.Unlock()
-	if err := e.directory.Forget(ctx, peer.RoleAgent, r); err != nil {
+	if err := e.directory.Unregister(ctx, peer.RoleAgent, r); err != nil {
 		e.log.Info(event.ForgetFailed, "agent", r.Name, "addr", r.Addr, "error", err.Error())
 		return false
 	}
@@ -100,8 +100,8 @@
 		return false
 	}
 	delete(e.links, r.Name)
-	delete(e.reach.addrs, r.Name)
-	e.reach.set.Remove(r.Name)
+	delete(e.subset.addrs, r.Name)
+	e.subset.set.Remove(r.Name)
 	e.log.Info(event.AgentForgotten, "agent", r.Name, "addr", r.Addr)
 	return true
 }
@@ -135,12 +135,12 @@
 	if e.links[l.registration.Name] != l {
 		return false
 	}
-	e.reach.set.SetLost(l.registration.Name, false)
+	e.subset.set.SetLost(l.registration.Name, false)
 	l.conn = c
-	l.echo = peer.Echo{}
+	l.agentClock = peer.PeerClock{}
 	e.connectedAgents.Add(1)
-	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.Peers,
-		Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.reach.set.Known()}
+	hello := &peer.Hello{Role: peer.RoleEntry, Name: e.settings.Name, Addr: e.settings.PeerAddr,
+		Level: peer.LevelNewest, Boot: e.bootID, Fleet: e.subset.set.Known()}
 	l.sentAt = e.clock.now()
 	c.Send(&peer.Frame{Hello: hello, Stamp: l.sentAt})
 	e.owner.Connected(l.sentAt, l.registration.Name)
@@ -156,7 +156,7 @@
 	}
 	l.conn = nil
 	e.connectedAgents.Add(-1)
-	e.reach.set.SetLost(l.registration.Name, true)
+	e.subset.set.SetLost(l.registration.Name, true)
 	e.owner.Disconnected(e.clock.now(), l.sentAt, l.registration.Name)
 }
 
@@ -171,10 +171,10 @@
 		return
 	}
 	if f.Hello != nil {
-		e.reach.set.SetFleet(f.Hello.Fleet)
+		e.subset.set.RaiseFleetSize(f.Hello.Fleet)
 	}
 	now := e.clock.now()
-	l.echo.Observe(now, f.Stamp)
+	l.agentClock.Observe(now, f.Stamp)
 	e.exchangeDocument(now, l.registration.Name, f)
 	e.owner.Receive(now, l.registration.Name, f)
 }
@@ -191,7 +191,7 @@
 	}
 	l.sentAt = e.clock.now()
 	f.Stamp = l.sentAt
-	f.Echo = l.echo.At(e.pause.lastAt)
+	f.Echo = l.agentClock.At(e.pause.lastAt)
 	f.Config = e.version()
 	return l.conn.Send(f)
 }
@@ -200,8 +200,8 @@
 // must hold e.mu.
 func (e *Entry) closeSilent(now time.Duration) {
 	for name, l := range e.links {
-		if l.conn != nil && e.owner.SilentTooLong(now, name) {
-			l.conn.CloseFor(errSilenceTimeout)
+		if l.conn != nil && e.owner.ShouldClose(now, name) {
+			l.conn.CloseWithCause(errSilenceTimeout)
 		}
 	}
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -52,7 +52,7 @@
 	register := func(name string, read func() uint64) {
 		set.NewGauge(name, func() float64 { return float64(read()) })
 	}
-	register(`beaconpoint_jobs_total{outcome="accepted"}`, func() uint64 { return e.Stats().Submitted })
+	register(`beaconpoint_jobs_total{outcome="accepted"}`, func() uint64 { return e.Stats().Accepted })
 	register(`beaconpoint_jobs_total{outcome="completed"}`, func() uint64 { return e.Stats().Completed })
 	register(`beaconpoint_jobs_total{outcome="failed"}`, func() uint64 { return e.Stats().Failed })
 	register(`beaconpoint_jobs_total{outcome="given-up"}`, func() uint64 { return e.Stats().GivenUp })
@@ -92,9 +92,9 @@
 
 // answerCodes are the result codes with which an entry answers requests for jobs.
 var answerCodes = []code.Code{
-	code.JobAllDone, code.JobAttempts, code.JobOutOfTime, code.JobTooLate, code.JobCallerLeaves, code.JobCancelled,
-	code.JobUnsupported, code.JobNoConfig, code.JobBehind, code.JobLinkFull, code.JobEvacuated, code.JobHallLost,
-	code.JobCrashes, code.QueueFull,
+	code.JobAllDone, code.JobAttempts, code.JobOutOfTime, code.JobTooLate, code.JobCallerTimeout, code.JobCancelled,
+	code.JobUnsupported, code.JobNoConfig, code.JobBacklogTooLong, code.JobLinkFull, code.JobEvacuated,
+	code.JobHallLost, code.JobCrashes, code.QueueFull,
 }
 
 // CountAnswer counts an answer by its result code, including answers to requests that were refused
--- a/node/session.go
+++ b/node/session.go
@@ -14,7 +14,7 @@
 
 // listen accepts connections from entries until ctx is done.
 func (a *Agent) listen(ctx context.Context) error {
-	return listen(ctx, a.settings.Peers, a.accept)
+	return listen(ctx, a.settings.PeerAddr, a.accept)
 }
 
 // accept handles a connection from an entry, or another agent's request for a spec.
@@ -22,7 +22,7 @@
 	c := peer.NewConn(raw)
 	defer c.Close()
 	defer context.AfterFunc(ctx, c.Close)()
-	watchdog := time.AfterFunc(peer.Silence, func() { c.CloseFor(errSilenceTimeout) })
+	watchdog := time.AfterFunc(peer.SilenceTimeout, func() { c.CloseWithCause(errSilenceTimeout) })
 	f, err := c.Receive()
 	watchdog.Stop()
 	if err == nil && f.AskSpec != "" {
@@ -106,7 +106,7 @@
 // are being lost. It must be called after calls to the supervisor that may change a state; the next
 // tick does so for connect and stop. The caller must hold a.mu.
 func (a *Agent) scheduleFlush(now time.Duration) {
-	if a.supervisor.LosingReplies(now) {
+	if a.supervisor.NeedsSecondRenewal(now) {
 		notify(a.repliesLost)
 	}
 	wait, ok := a.supervisor.Pending(now)
@@ -129,7 +129,7 @@
 func (a *Agent) closeSilent(now time.Duration) {
 	for id, c := range a.conns {
 		if a.supervisor.SilentTooLong(now, id) {
-			c.conn.CloseFor(errSilenceTimeout)
+			c.conn.CloseWithCause(errSilenceTimeout)
 		}
 	}
 }
--- a/owner/agent.go
+++ b/owner/agent.go
@@ -20,8 +20,8 @@
 type agent struct {
 	name        string
 	connected   bool
-	level       peer.Level    // protocol level of the agent
-	lastFrameAt time.Duration // when its last frame arrived
+	level       peer.ProtocolLevel // protocol level of the agent
+	lastFrameAt time.Duration      // when its last frame arrived
 	// connectedAt is when the connection was made.
 	connectedAt time.Duration
 	sentAt      time.Duration // when the last frame was sent to it
@@ -30,7 +30,7 @@
 	// when the watch began, or when an order or a room request was last sent.
 	watching             bool
 	watchedSince, usedAt time.Duration
-	specs                peer.Specs // specs that the agent has stored
+	specs                peer.SpecCache // specs that the agent has stored
 
 	// knownEvacuations is the latest revision of the evacuated halls that the agent has sent or
 	// received on this connection. evacuated reports whether its target's hall is one of them.
@@ -56,9 +56,9 @@
 	lastHall string
 	// eligibleHome reports whether jobs may be claimed there, by IsHome.
 	eligibleHome bool
-	// own reports whether this entry prefers the agent, by IsOwn. Other agents are watched only
-	// if no own agent is left.
-	own bool
+	// preferred reports whether this entry prefers the agent, by IsPreferred. Other agents are watched only
+	// if no preferred agent is left.
+	preferred bool
 	// supportsClaims reports whether its last Hello, on this or an earlier connection, had at
 	// least peer.LevelClaim.
 	supportsClaims bool
@@ -83,7 +83,7 @@
 // pendingOrder is room taken by an order that the agent's state may not include yet.
 type pendingOrder struct {
 	seq   uint64 // sequence number of the frame with the order; zero until sent
-	needs task.Needs
+	needs task.Resources
 }
 
 // speed returns the target's speed relative to the reference speed 1, at least minSpeed.
@@ -92,7 +92,7 @@
 }
 
 // freeRoom returns the target's reported free room less pending orders.
-func (a *agent) freeRoom() task.Needs {
+func (a *agent) freeRoom() task.Resources {
 	free := a.state.Free
 	for _, p := range a.pending {
 		free = free.Minus(p.needs)
--- a/owner/evacuation_test.go
+++ b/owner/evacuation_test.go
@@ -17,8 +17,8 @@
 func (b *harness) reportStateIn(agent, hall string, labels ...string) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Hall: hall, Labels: labels,
-			Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free: task.Needs{CPU: 4000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+			Capacity: task.Resources{CPU: 4000, MemoryMB: 100}},
+		Free: task.Resources{CPU: 4000, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
 // newHallHarness returns an owner with one agent in each hall, named after the hall.
@@ -83,7 +83,7 @@
 	}
 	o := b.starts(name)[0]
 	set := evacuation.NewSet(7, []string{name})
-	b.Receive(b.now, name, &peer.Frame{Evacuations: &set, Ended: []peer.Ended{{
+	b.Receive(b.now, name, &peer.Frame{Evacuations: &set, Ended: []peer.RunEnd{{
 		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: task.EndRejected, Reason: code.RunHallEvacuated,
 		TargetFault: true}}})
 	assert.Equal(t, len(b.starts(other)), 1)
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -46,15 +46,15 @@
 // reportState has an agent report its target's state, which includes all orders sent so far.
 func (b *harness) reportState(agent string, cpu int, speed float64, health peer.Health) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
-		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free:    task.Needs{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true,
+		Profile: &peer.Profile{Target: "i", Service: "trackd", Capacity: task.Resources{CPU: 4000, MemoryMB: 100}},
+		Free:    task.Resources{CPU: cpu, MemoryMB: 100}, Speed: speed, Health: health, Accepting: true, Cleared: true,
 		SeenSeq: b.seq}})
 }
 
 // jobOf returns a job of one step with the given number of tasks of one core and 100 ms each.
 func jobOf(id string, tasks int) task.Job {
 	return task.Job{ID: id, Queue: "q", Service: "trackd", Attempts: 2, ObjectiveFactor: 1.6, ObjectiveSlack: 60 * ms,
-		Steps: []task.Step{{Count: tasks, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}}}
+		Steps: []task.Step{{Count: tasks, Needs: task.Resources{CPU: 1000}, Estimate: 100 * ms}}}
 }
 
 // submit submits a job and records its answer.
@@ -79,7 +79,7 @@
 
 // reportEnd has an agent report the end of a run.
 func (b *harness) reportEnd(agent string, o task.Order, end task.End, why code.Code) {
-	b.Receive(b.now, agent, &peer.Frame{Ended: []peer.Ended{{
+	b.Receive(b.now, agent, &peer.Frame{Ended: []peer.RunEnd{{
 		Ref: task.Ref{Task: o.Task, Run: o.Run}, End: end, Reason: why, Took: 100 * ms}}})
 }
 
@@ -131,7 +131,7 @@
 	assert.Assert(t, last.RoomRequest != nil)
 	assert.Equal(t, last.RoomRequest.Total.CPU, 2000)
 	b.Receive(b.now, "a",
-		&peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Needs{CPU: 1500, MemoryMB: 100}}})
+		&peer.Frame{Reservation: &peer.Reservation{ID: 7, Room: task.Resources{CPU: 1500, MemoryMB: 100}}})
 	last = b.frames["a"][len(b.frames["a"])-1]
 	assert.Equal(t, last.UsedReservation, uint64(7))
 	assert.Equal(t, len(last.Starts), 1)      // the second task does not fit
@@ -147,7 +147,7 @@
 	b.submit(long)
 	b.submit(jobOf("short", 1))
 	b.Receive(b.now, "a",
-		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: 1000, MemoryMB: 100}}})
+		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Resources{CPU: 1000, MemoryMB: 100}}})
 	orders := b.starts("a")
 	assert.Equal(t, orders[len(orders)-1].Task.Job, "short")
 }
@@ -156,7 +156,7 @@
 	b := newHarness(t, "a")
 	j := jobOf("1", 2)
 	j.Steps = append(j.Steps,
-		task.Step{Count: 1, Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
+		task.Step{Count: 1, Needs: task.Resources{CPU: 1000}, Estimate: 100 * ms, DependsOn: []int{0}})
 	b.submit(j)
 	assert.Equal(t, len(b.starts("a")), 2)
 	b.reportEnd("a", b.starts("a")[0], task.EndDone, code.RunListed)
@@ -196,7 +196,7 @@
 	b := newHarness(t, "a", "b")
 	b.reportState("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
-	b.reportEnd("a", b.starts("a")[0], task.EndRejected, code.RunOld)
+	b.reportEnd("a", b.starts("a")[0], task.EndRejected, code.RunStaleNumber)
 	assert.Equal(t, b.starts("b")[0].Run, 3)
 }
 
@@ -235,7 +235,7 @@
 	j := jobOf("1", 1)
 	caller := b.submit(j)
 	b.Disconnected(b.now, b.now, "a")
-	b.Cancel(b.now, "1", caller)
+	b.RemoveCaller(b.now, "1", caller)
 	b.advance(500 * ms)
 	j.ObjectiveFactor = 100
 	b.submit(j)
@@ -247,7 +247,7 @@
 func TestRunsStopWhenCallerDisconnects(t *testing.T) {
 	b := newHarness(t, "a")
 	caller := b.submit(jobOf("1", 2))
-	b.Cancel(b.now, "1", caller)
+	b.RemoveCaller(b.now, "1", caller)
 	var stops []task.Ref
 	for _, f := range b.frames["a"] {
 		stops = append(stops, f.Stops...)
@@ -324,7 +324,7 @@
 	j.CallerTimeout = 50 * ms // its tasks take 100 ms
 	b.submit(j)
 	assert.Equal(t, b.answers["1"].Kind, Refused)
-	assert.Equal(t, b.answers["1"].Why, code.JobCallerLeaves)
+	assert.Equal(t, b.answers["1"].Why, code.JobCallerTimeout)
 	assert.Equal(t, len(b.starts("a")), 0)
 	j = jobOf("2", 2)
 	j.CallerTimeout = 150 * ms
@@ -335,8 +335,9 @@
 // A rejection by the agent itself means that nothing ran, so the job may still be refused.
 func TestJobWithOnlyRejectedOrdersIsRefused(t *testing.T) {
 	for why, kind := range map[code.Code]Kind{
-		code.RunNoRoom: Refused, code.RunNotTaking: Refused, code.RunStaleOwner: Refused,
-		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunOld: GivenUp, // the order may have reached a target
+		code.RunNoRoom: Refused, code.RunTargetNotAccepting: Refused, code.RunStaleOwner: Refused,
+		// the order may have reached a target
+		code.RunAbsent: GivenUp, code.RunPresent: GivenUp, code.RunStaleNumber: GivenUp,
 	} {
 		b := newHarness(t, "a")
 		b.submit(jobOf("1", 1))
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -22,24 +22,24 @@
 
 // candidate is a target that may run a task and has room for it.
 type candidate struct {
-	speed          float64    // relative to the reference speed 1
-	capacity, free task.Needs // as last reported; pending orders are subtracted from free
-	far            bool       // the task's data is elsewhere
+	speed          float64        // relative to the reference speed 1
+	capacity, free task.Resources // as last reported; pending orders are subtracted from free
+	far            bool           // the task's data is elsewhere
 	ejected        bool
 }
 
 // cost returns the weighted duration of a task of the step on the target, in seconds. farFactor
 // is the factor by which the task takes longer away from its data.
 func (c candidate) cost(s task.Step, farFactor float64) float64 {
-	likely := s.Estimate.Seconds() / c.speed
+	expected := s.Estimate.Seconds() / c.speed
 	if c.far {
-		likely *= farFactor
+		expected *= farFactor
 	}
 	load := 0.0
 	if c.capacity.CPU > 0 {
 		load = 1 - float64(c.free.CPU)/float64(c.capacity.CPU)
 	}
-	cost := likely * (1 + loadWeight*load + lastRoomWeight*lastRoomShare(s.Needs, c.free))
+	cost := expected * (1 + loadWeight*load + lastRoomWeight*lastRoomShare(s.Needs, c.free))
 	if c.ejected {
 		cost += ejectedPenalty
 	}
@@ -48,7 +48,7 @@
 
 // lastRoomShare returns 1 if the task would take the last room, and a smaller share the more
 // such tasks fit.
-func lastRoomShare(needs, room task.Needs) float64 {
+func lastRoomShare(needs, room task.Resources) float64 {
 	if needs.CPU <= 0 {
 		return 0
 	}
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -30,7 +30,7 @@
 	minRefusalShare = 0.10
 	refuseMargin    = 1.0
 
-	// maxRefusalShare is the share of its objective after which MostServed no longer refuses a
+	// maxRefusalShare is the share of its objective after which GoalServed no longer refuses a
 	// job because of the backlog.
 	maxRefusalShare = 0.25
 )
@@ -42,7 +42,7 @@
 	lateObjectiveAt time.Duration // completion is worthless after this time
 	callerDeadline  time.Duration // when the caller stops waiting; zero for never
 	started         bool          // one of its orders may have reached a target
-	// remaining is the estimate of the longest chain of unfinished steps. It is used for jobs
+	// remaining is the estimate of the critical path of the unfinished steps. It is used for jobs
 	// that are not started.
 	remaining time.Duration
 	// hasStartable reports whether the job has startable tasks. It is used for started jobs.
@@ -54,7 +54,7 @@
 func (p deadlineState) refusalCause() code.Code {
 	switch {
 	case p.callerDeadline > 0 && p.now >= p.callerDeadline-answerMargin:
-		return code.JobCallerLeaves
+		return code.JobCallerTimeout
 	case p.started:
 		if p.now > p.arrived+p.allowance() {
 			return code.JobTooLate
@@ -62,7 +62,7 @@
 	case p.now+p.minRemaining() > p.lateObjectiveAt:
 		return code.JobOutOfTime
 	case p.callerDeadline > 0 && p.now+p.minRemaining() > p.callerDeadline:
-		return code.JobCallerLeaves
+		return code.JobCallerTimeout
 	}
 	return code.OK
 }
@@ -108,10 +108,10 @@
 	return p.wait > time.Duration(refuseMargin*float64(p.untilLatestStart))
 }
 
-// shouldRefuseMostServed is shouldRefuse under MostServed: a job is refused only if it would
+// shouldRefuseGoalServed is shouldRefuse under GoalServed: a job is refused only if it would
 // miss even its late objective, and only within the window from minRefusalShare to
 // maxRefusalShare of its objective.
-func (p queuePosition) shouldRefuseMostServed() bool {
+func (p queuePosition) shouldRefuseGoalServed() bool {
 	if p.waited < time.Duration(minRefusalShare*float64(p.objective)) ||
 		p.waited > time.Duration(maxRefusalShare*float64(p.objective)) {
 		return false
@@ -168,7 +168,7 @@
 	for _, j := range order {
 		wait := time.Duration(ahead / q.workRate * float64(time.Second))
 		if !j.mayHaveRun() && o.claimed(j) && o.shouldRefuse(j.position(now, wait, earlierJobMeets)) {
-			o.giveUp(now, j, code.JobBehind)
+			o.giveUp(now, j, code.JobBacklogTooLong)
 			continue
 		}
 		earlierJobMeets = earlierJobMeets || !j.missesObjective()
@@ -177,10 +177,10 @@
 	q.reorder()
 }
 
-// shouldRefuse applies the refusal rule of the configured term.
+// shouldRefuse applies the refusal rule of the configured goal.
 func (o *Owner) shouldRefuse(p queuePosition) bool {
-	if o.Term == MostServed {
-		return p.shouldRefuseMostServed()
+	if o.Goal == GoalServed {
+		return p.shouldRefuseGoalServed()
 	}
 	return p.shouldRefuse()
 }
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -38,9 +38,9 @@
 // estimate, and overdueStops is the number of earlier runs of the task that were stopped as
 // overdue.
 func runOverdue(age, estimate time.Duration, speed, spread float64, overdueStops int) bool {
-	likely := float64(estimate) / speed
+	expected := float64(estimate) / speed
 	factor := math.Ldexp(max(overdueFactor, math.Exp(overdueDeviations*spread)), overdueStops)
-	return age > time.Duration(factor*likely)+overdueSlack
+	return age > time.Duration(factor*expected)+overdueSlack
 }
 
 // attemptsUsedUp reports whether a task has failed too often to run again. failures counts all
@@ -54,7 +54,7 @@
 // forwarded to the target.
 func neverReachedTarget(why code.Code) bool {
 	switch why {
-	case code.RunNoRoom, code.RunNotTaking, code.RunStaleOwner, code.RunSpecUnknown, code.RunHallEvacuated:
+	case code.RunNoRoom, code.RunTargetNotAccepting, code.RunStaleOwner, code.RunSpecUnknown, code.RunHallEvacuated:
 		return true
 	}
 	return false
@@ -95,7 +95,7 @@
 // runEnded handles the reported end of a run: it answers the job or queues the task again.
 // Reports of unknown runs are ignored: the job was answered, or the run was ordered on an earlier
 // connection.
-func (o *Owner) runEnded(now time.Duration, a *agent, e peer.Ended) {
+func (o *Owner) runEnded(now time.Duration, a *agent, e peer.RunEnd) {
 	id := e.Ref.Task
 	j := a.tasks[id]
 	if j == nil {
@@ -169,10 +169,10 @@
 		t.avoidAgent(a, now+rejectionBackoff)
 	}
 	if why == code.RunSpecUnknown {
-		a.specs = peer.Specs{} // the next order includes the spec
+		a.specs = peer.SpecCache{} // the next order includes the spec
 		j.specAgent = ""
 	}
-	if why == code.RunOld {
+	if why == code.RunStaleNumber {
 		t.run *= 2 // the target has seen this run number or a higher one
 	}
 }
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -19,9 +19,9 @@
 	assert.Equal(t, admit(0, maxLinkDelay+1), code.JobLinkFull)
 }
 
-// Under MostServed, a job must not be refused while it can meet its late objective, nor after it
+// Under GoalServed, a job must not be refused while it can meet its late objective, nor after it
 // has waited for maxRefusalShare of its objective.
-func TestMostServedRefusesOnlyLateJobsWithinWindow(t *testing.T) {
+func TestGoalServedRefusesOnlyLateJobsWithinWindow(t *testing.T) {
 	usual := queuePosition{waited: 100 * ms, objective: 500 * ms, untilLatestStart: 100 * ms,
 		untilLatestLateStart: 900 * ms}
 	with := func(change func(*queuePosition)) queuePosition {
@@ -44,7 +44,7 @@
 			with(func(p *queuePosition) { p.wait, p.waited = time.Second, 130*ms }), true, false},
 	} {
 		assert.Equal(t, c.p.shouldRefuse(), c.worth, c.name)
-		assert.Equal(t, c.p.shouldRefuseMostServed(), c.served, c.name)
+		assert.Equal(t, c.p.shouldRefuseGoalServed(), c.served, c.name)
 	}
 }
 
@@ -82,8 +82,8 @@
 
 // Guards against placing a task on a worse target while a better one has room.
 func TestBetterTargetCostsLess(t *testing.T) {
-	s := task.Step{Needs: task.Needs{CPU: 1000}, Estimate: 100 * ms}
-	usual := candidate{speed: 1, capacity: task.Needs{CPU: 16000}, free: task.Needs{CPU: 16000}}
+	s := task.Step{Needs: task.Resources{CPU: 1000}, Estimate: 100 * ms}
+	usual := candidate{speed: 1, capacity: task.Resources{CPU: 16000}, free: task.Resources{CPU: 16000}}
 	with := func(change func(*candidate)) candidate {
 		c := usual
 		change(&c)
@@ -120,12 +120,12 @@
 		{"optimistic remaining time just fits", 1790 * ms, nil, code.OK},
 		{"misses its late objective", 1791 * ms, nil, code.JobOutOfTime},
 		{"caller deadline before the end", 1100 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms },
-			code.JobCallerLeaves},
+			code.JobCallerTimeout},
 		{"caller deadline after the end", 1090 * ms, func(p *deadlineState) { p.callerDeadline = 1300 * ms }, code.OK},
 		{"started, before the answer margin", 1279 * ms,
 			func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.OK},
 		{"started, at the answer margin", 1280 * ms,
-			func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerLeaves},
+			func(p *deadlineState) { p.started, p.callerDeadline = true, 1300*ms }, code.JobCallerTimeout},
 		{"started, tasks wait, at the limit", 2200 * ms,
 			func(p *deadlineState) { p.started, p.hasStartable = true, true }, code.OK},
 		{"started, tasks wait, past the limit", 2201 * ms,
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -41,8 +41,8 @@
 	if a.level < peer.LevelWatch {
 		return
 	}
-	a.state.Free = task.Needs{}
-	a.out.Watch = peer.WatchBegins
+	a.state.Free = task.Resources{}
+	a.out.Watch = peer.WatchStart
 	o.markDirty(a)
 }
 
@@ -58,7 +58,7 @@
 		a.reserved = nil
 	}
 	o.watched = deleteAgent(o.watched, a)
-	a.out.Watch = peer.WatchEnds
+	a.out.Watch = peer.WatchStop
 	o.markDirty(a)
 }
 
@@ -128,7 +128,7 @@
 	return least
 }
 
-// pickUnwatched returns an unwatched agent that meets the condition, own agents first, or nil.
+// pickUnwatched returns an unwatched agent that meets the condition, preferred agents first, or nil.
 // The search starts at a random agent so that entries spread over the agents.
 func (o *Owner) pickUnwatched(condition func(*agent) bool) *agent {
 	if len(o.watched) == len(o.byName) {
@@ -141,7 +141,7 @@
 		if a.watching || !condition(a) {
 			continue
 		}
-		if a.own {
+		if a.preferred {
 			return a
 		}
 		if other == nil {
@@ -152,19 +152,19 @@
 }
 
 // Level returns the protocol level of an agent.
-func (o *Owner) Level(agent string) peer.Level {
+func (o *Owner) Level(agent string) peer.ProtocolLevel {
 	if a := o.agents[agent]; a != nil {
 		return a.level
 	}
 	return peer.LevelBase
 }
 
-// SilentTooLong reports whether the connection to an agent should be closed. Connections made
+// ShouldClose reports whether the connection to an agent should be closed. Connections made
 // before the last suspension and those to unresponsive agents of a suspected hall are closed at
 // once. If the agent is silent and runs no task, the connection is closed after ClaimTimeout,
 // since a new connection may work where the old one has stalled. peer.SilentTooLong decides on
 // all others.
-func (o *Owner) SilentTooLong(now time.Duration, name string) bool {
+func (o *Owner) ShouldClose(now time.Duration, name string) bool {
 	a := o.agents[name]
 	if a == nil || !a.connected {
 		return false
--- a/owner/watch_test.go
+++ b/owner/watch_test.go
@@ -43,7 +43,7 @@
 // reserve has an agent send a reservation.
 func (b *harness) reserve(agent string, cpu int) {
 	b.Receive(b.now, agent,
-		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Needs{CPU: cpu, MemoryMB: 100}}})
+		&peer.Frame{Reservation: &peer.Reservation{ID: 1, Room: task.Resources{CPU: cpu, MemoryMB: 100}}})
 }
 
 // Guards against requests to all agents: two at first, and one more per requestInterval.
@@ -107,12 +107,12 @@
 	b := newWatchHarness(t, 1)
 	const name = "side-000"
 	lastFrameAt := b.now
-	assert.Assert(t, !b.SilentTooLong(lastFrameAt+peer.IdleSilence, name))
-	assert.Assert(t, b.SilentTooLong(lastFrameAt+peer.IdleSilence+1, name))
+	assert.Assert(t, !b.ShouldClose(lastFrameAt+peer.IdleSilenceTimeout, name))
+	assert.Assert(t, b.ShouldClose(lastFrameAt+peer.IdleSilenceTimeout+1, name))
 	b.now += time.Second
 	b.submit(jobOf("j", 1))
-	assert.Assert(t, !b.SilentTooLong(b.now+peer.Silence, name))
-	assert.Assert(t, b.SilentTooLong(b.now+peer.Silence+1, name))
+	assert.Assert(t, !b.ShouldClose(b.now+peer.SilenceTimeout, name))
+	assert.Assert(t, b.ShouldClose(b.now+peer.SilenceTimeout+1, name))
 }
 
 // Guards against a narrow link filled with copies of a spec that agents can fetch from each
@@ -177,8 +177,8 @@
 func (b *harness) reportLabel(agent, label string, cpu int) {
 	b.Receive(b.now, agent, &peer.Frame{State: &peer.State{
 		Profile: &peer.Profile{Target: "i", Service: "trackd", Labels: []string{label},
-			Capacity: task.Needs{CPU: 4000, MemoryMB: 100}},
-		Free: task.Needs{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
+			Capacity: task.Resources{CPU: 4000, MemoryMB: 100}},
+		Free: task.Resources{CPU: cpu, MemoryMB: 100}, Speed: 1, Accepting: true, Cleared: true, SeenSeq: b.seq}})
 }
 
 // Guards against requests to watched agents far from the data while others hold it.
--- a/peer/array.go
+++ b/peer/array.go
@@ -23,7 +23,7 @@
 	UsedReservation uint64
 	RoomRequest     *RoomRequest
 	State           *State
-	Ended           []Ended
+	Ended           []RunEnd
 	Reservation     *Reservation
 }
 
@@ -40,7 +40,7 @@
 	Task            task.ID
 	Run             int
 	Spec            string
-	Needs           task.Needs
+	Needs           task.Resources
 	Estimate, Guess time.Duration
 	FailedElsewhere bool
 	TimeLeft        time.Duration
--- a/seats/home/place.go
+++ b/seats/home/place.go
@@ -273,7 +273,7 @@
 		l.backoffUntil = h.now.Mono + slotsFullBackoff
 	case code.TargetUnreachable:
 		l.backoffUntil = h.now.Mono + unreachableBackoff
-	case code.AgentLeaving, code.AgentDraining:
+	case code.AgentStopping, code.AgentDraining:
 		l.leaving = true
 	case code.StartExpired, code.NoRecord:
 	default:
--- a/supervisor/evacuation_test.go
+++ b/supervisor/evacuation_test.go
@@ -69,12 +69,12 @@
 	b := newHarness(t)
 	b.reportHall("mtm")
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now,
-		RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 1000}, Total: task.Needs{CPU: 1000}}})
+		RoomRequest: &peer.RoomRequest{Needs: task.Resources{CPU: 1000}, Total: task.Resources{CPU: 1000}}})
 	assert.Equal(t, len(b.room.reservations), 1)
 	b.sendEvacuations(7, "mtm")
 	assert.Equal(t, len(b.room.reservations), 0)
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, UsedReservation: 1, Starts: []task.Order{order(0, 1000)},
-		RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 1000}, Total: task.Needs{CPU: 1000}}})
+		RoomRequest: &peer.RoomRequest{Needs: task.Resources{CPU: 1000}, Total: task.Resources{CPU: 1000}}})
 	assert.Equal(t, len(b.starts), 0)
 	assert.Equal(t, len(b.room.reservations), 0)
 	b.sendEvacuations(8)
@@ -111,10 +111,10 @@
 	b.sendEvacuations(7, "mtm")
 	b.Connected(b.now, 3, peer.Hello{Name: "third", Level: peer.LevelNewest})
 	b.now += peer.IdleHeartbeatInterval
-	b.Heartbeats(b.now)
+	b.SendHeartbeats(b.now)
 	assert.DeepEqual(t, received, map[ConnID][]uint64{2: {7}, 3: {7}})
 	b.sendEvacuations(7, "mtm")
 	b.now += peer.IdleHeartbeatInterval
-	b.Heartbeats(b.now)
+	b.SendHeartbeats(b.now)
 	assert.DeepEqual(t, received, map[ConnID][]uint64{2: {7}, 3: {7}})
 }
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -81,7 +81,7 @@
 	spec := s.completeSpec(c, &order)
 	if reason := s.rejection(now, c, order, name, spec); reason != code.OK {
 		s.logOrderRejected(now, c, order, reason)
-		c.reportEnd(order, peer.Ended{End: task.EndRejected, Reason: reason, TargetFault: true})
+		c.reportEnd(order, peer.RunEnd{End: task.EndRejected, Reason: reason, TargetFault: true})
 		return
 	}
 	r := &run{order: order, name: name, session: c, startedAt: now}
@@ -113,7 +113,7 @@
 	case s.evacuated():
 		return code.RunHallEvacuated
 	case !s.accepting(now):
-		return code.RunNotTaking
+		return code.RunTargetNotAccepting
 	case s.runs[name] != nil:
 		return code.RunPresent
 	case !order.Needs.Fits(s.freeRoom(now, c)):
@@ -133,7 +133,7 @@
 		s.stop(now, r, code.RunOwnerSilent)
 	}
 	if r.endBy > 0 && now >= r.endBy && !r.stopping {
-		s.stop(now, r, code.RunOverLimit)
+		s.stop(now, r, code.RunCallerTimeout)
 	}
 	if s.checkSpec(now, r) {
 		return
@@ -168,7 +168,7 @@
 	targetFault := s.recordHealth(now, r, end)
 	if s.sessions[r.session.id] == r.session {
 		r.session.reportEnd(r.order,
-			peer.Ended{End: end, Reason: reason, Took: now - r.startedAt, TargetFault: targetFault})
+			peer.RunEnd{End: end, Reason: reason, Took: now - r.startedAt, TargetFault: targetFault})
 	} else if s.orphanRuns[r.session.name]--; s.orphanRuns[r.session.name] <= 0 {
 		delete(s.orphanRuns, r.session.name)
 	}
--- a/supervisor/supervisor_test.go
+++ b/supervisor/supervisor_test.go
@@ -41,7 +41,7 @@
 
 func (b *harness) report(id string, seq uint64) Report {
 	return Report{
-		ID: id, Service: "trackd", Capacity: task.Needs{CPU: 4000, MemoryMB: 1000},
+		ID: id, Service: "trackd", Capacity: task.Resources{CPU: 4000, MemoryMB: 1000},
 		Clock: b.targetClock(), HasClock: true, Seq: seq,
 	}
 }
@@ -51,7 +51,7 @@
 }
 
 // answerRenewal sends a renewal and answers it with the given lists.
-func (b *harness) answerRenewal(running []RunningRow, ended []EndedRow) {
+func (b *harness) answerRenewal(running []ListedRun, ended []ListedEnd) {
 	c, _ := b.NextRenewal(b.now)
 	b.now += ms
 	b.RenewalAnswered(b.now, c, b.reply(Accepted), &RunLists{Running: running, Ended: ended})
@@ -62,7 +62,7 @@
 }
 
 func order(index, cpu int) task.Order {
-	return task.Order{Task: task.ID{Job: "0123456789abcdef", Index: index}, Run: 1, Needs: task.Needs{CPU: cpu},
+	return task.Order{Task: task.ID{Job: "0123456789abcdef", Index: index}, Run: 1, Needs: task.Resources{CPU: cpu},
 		Estimate: 100 * ms, Guess: 100 * ms}
 }
 
@@ -81,8 +81,8 @@
 }
 
 // sentEnds returns the ends of runs sent to entries.
-func (b *harness) sentEnds() []peer.Ended {
-	var list []peer.Ended
+func (b *harness) sentEnds() []peer.RunEnd {
+	var list []peer.RunEnd
 	for _, f := range b.frames {
 		list = append(list, f.Ended...)
 	}
@@ -171,7 +171,7 @@
 	assert.Equal(t, b.sentEnds()[0].Reason, code.RunTargetGone)
 	assert.Equal(t, b.target.id(), "i-2")
 	b.sendOrders(order(1, 1000))
-	assert.Equal(t, b.sentEnds()[1].Reason, code.RunNotTaking) // until the target is cleared
+	assert.Equal(t, b.sentEnds()[1].Reason, code.RunTargetNotAccepting) // until the target is cleared
 }
 
 // TestNewAgentWaitsForClearedTarget guards against starts by a new agent before the orders of
@@ -184,9 +184,9 @@
 	again.Stop = func(c StopCall) { again.stops = append(again.stops, c) }
 	again.Send = func(ConnID, *peer.Frame) {}
 	again.Heartbeat(again.now, again.report("i-1", 9))
-	again.answerRenewal([]RunningRow{{Name: "old", Run: 3}}, nil)
+	again.answerRenewal([]ListedRun{{Name: "old", Run: 3}}, nil)
 	assert.Assert(t, again.target.token > earlier)
-	again.answerRenewal([]RunningRow{{Name: "old", Run: 3}}, nil)
+	again.answerRenewal([]ListedRun{{Name: "old", Run: 3}}, nil)
 	assert.Assert(t, !again.target.cleared)
 	assert.Assert(t, len(again.stops) > 0)
 	assert.Equal(t, again.stops[0].Name, "old")
@@ -213,7 +213,7 @@
 	b.Connected(b.now, 2, peer.Hello{Name: "other", Level: peer.LevelBase})
 	b.sendOrders(order(0, 4000))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
-	need := task.Needs{CPU: 3000}
+	need := task.Resources{CPU: 3000}
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now,
 		RoomRequest: &peer.RoomRequest{Slack: 80 * ms, Needs: need, Total: need}})
 	b.Receive(b.now, 2, &peer.Frame{Echo: b.now,
@@ -225,7 +225,7 @@
 			first = id
 		}
 	}
-	b.answerRenewal(nil, []EndedRow{{N: 1, Name: order(0, 0).Task.String(), Run: 1, End: task.EndDone}})
+	b.answerRenewal(nil, []ListedEnd{{N: 1, Name: order(0, 0).Task.String(), Run: 1, End: task.EndDone}})
 	assert.Equal(t, first, ConnID(2))
 	b.Receive(b.now, 1, &peer.Frame{Echo: b.now, Starts: []task.Order{order(1, 2000)}})
 	assert.Equal(t, len(b.starts), 1) // three cores are reserved for the other entry
@@ -294,20 +294,20 @@
 func TestLostReplyStartsSecondRenewal(t *testing.T) {
 	b := newHarness(t)
 	b.sendOrders(order(1, 1000))
-	assert.Assert(t, !b.LosingReplies(b.now))
+	assert.Assert(t, !b.NeedsSecondRenewal(b.now))
 	c, _ := b.NextRenewal(b.now)
 	b.now += 70 * ms
 	b.RenewalAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
-	assert.Assert(t, b.LosingReplies(b.now))
+	assert.Assert(t, b.NeedsSecondRenewal(b.now))
 	first, _ := b.NextRenewal(b.now)
 	second, _ := b.NextRenewal(b.now)
 	b.now += 5 * ms
-	lists := &RunLists{Ended: []EndedRow{{N: 1, Name: b.starts[0].Order.Task.String(), Run: 1, End: task.EndDone}}}
+	lists := &RunLists{Ended: []ListedEnd{{N: 1, Name: b.starts[0].Order.Task.String(), Run: 1, End: task.EndDone}}}
 	b.RenewalAnswered(b.now, second, b.reply(Accepted), lists)
 	b.RenewalAnswered(b.now, first, b.reply(Accepted), lists)
-	assert.Equal(t, len(b.sentEnds()), 1)     // reported once
-	assert.Assert(t, !b.LosingReplies(b.now)) // no active runs
-	assert.Assert(t, !b.LosingReplies(b.now+lossyDuration))
+	assert.Equal(t, len(b.sentEnds()), 1)          // reported once
+	assert.Assert(t, !b.NeedsSecondRenewal(b.now)) // no active runs
+	assert.Assert(t, !b.NeedsSecondRenewal(b.now+lossyDuration))
 }
 
 // TestSilentTargetGetsNoSecondRenewal guards against useless extra calls to a target that
@@ -318,7 +318,7 @@
 	c, _ := b.NextRenewal(b.now)
 	b.advance(silenceLimit + 10*ms)
 	b.RenewalAnswered(b.now, c, Reply{Outcome: NoAnswer}, nil)
-	assert.Assert(t, !b.LosingReplies(b.now))
+	assert.Assert(t, !b.NeedsSecondRenewal(b.now))
 }
 
 // TestShrunkCapacityNotOverallocated guards against starts beyond a reduced capacity, also
@@ -328,7 +328,7 @@
 	b.sendOrders(order(0, 1500))
 	b.StartAnswered(b.now, b.starts[0], b.reply(Accepted))
 	b.Receive(b.now, 1, &peer.Frame{Seq: 2, Echo: b.now,
-		RoomRequest: &peer.RoomRequest{Needs: task.Needs{CPU: 2000}, Total: task.Needs{CPU: 2000}}})
+		RoomRequest: &peer.RoomRequest{Needs: task.Resources{CPU: 2000}, Total: task.Resources{CPU: 2000}}})
 	reserved := b.frames[len(b.frames)-1].Reservation
 	assert.Equal(t, reserved.Room.CPU, 2000)
 	shrunk := b.report("i-1", 2)
--- a/testutil/fleet/caller.go
+++ b/testutil/fleet/caller.go
@@ -63,7 +63,7 @@
 		if w.now() > end {
 			return
 		}
-		w.submitRandomJob(w.now() > end-w.cfg.Calm+faultEffectTime)
+		w.submitRandomJob(w.now() > end-w.cfg.FaultFreeTail+faultEffectTime)
 		w.after(w.randomUpTo(2*w.cfg.Interval), next)
 	}
 	w.after(300*time.Millisecond, next)
@@ -83,21 +83,21 @@
 	c.spec = task.Job{
 		ID: id, Queue: "q", Service: service, Spec: w.specOf(id), Attempts: attempts,
 		ObjectiveFactor: 1.6, ObjectiveSlack: 60 * time.Millisecond,
-		CallerTimeout: w.cfg.Patience, Priority: w.rng.IntN(3),
-		Steps: []task.Step{{Count: count, Needs: task.Needs{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64},
+		CallerTimeout: w.cfg.CallerTimeout, Priority: w.rng.IntN(3),
+		Steps: []task.Step{{Count: count, Needs: task.Resources{CPU: 1000 + w.rng.IntN(1000), MemoryMB: 64},
 			Estimate: guess}},
 	}
 	if w.rng.IntN(4) == 0 {
 		c.spec.Steps = append(c.spec.Steps,
-			task.Step{Count: 1, Needs: task.Needs{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
+			task.Step{Count: 1, Needs: task.Resources{CPU: 500}, Estimate: guess, DependsOn: []int{0}})
 	}
 	w.alwaysFails[id] = w.rng.IntN(30) == 0 && !afterFaults
 	w.jobs[id] = c
 	if afterFaults {
-		w.Counts.Calm++
+		w.Counts.SubmittedAfterFaults++
 	}
 	c.send()
-	if w.cfg.Leaving > 0 && w.rng.Float64() < w.cfg.Leaving {
+	if w.cfg.AbandonShare > 0 && w.rng.Float64() < w.cfg.AbandonShare {
 		w.after(w.randomUpTo(guess), c.abandon)
 	}
 }
@@ -111,7 +111,7 @@
 	c.answered = true
 	c.abandonedAt = c.w.now()
 	if c.afterFaults {
-		c.w.Counts.Calm--
+		c.w.Counts.SubmittedAfterFaults--
 	}
 	c.w.after(callerLatency, c.disconnect) // after the submission has arrived
 }
@@ -140,14 +140,14 @@
 			}
 			*waiter = e.owner.Submit(e.clock(), c.spec, func(a owner.Answer) {
 				if c.afterFaults && a.Kind == owner.Refused && !w.hasRoomFor(c.spec) {
-					w.Counts.CalmFull++
+					w.Counts.RefusedFullAfterFaults++
 				}
 				w.after(callerLatency, func() { c.handleAnswer(tries, a) })
 			})
 			e.callers[c.spec.ID] = c
 		})
 	})
-	if w.cfg.Strays > 0 {
+	if w.cfg.DuplicateShare > 0 {
 		c.sendDuplicate()
 	}
 	submission := c.submissions
@@ -159,7 +159,7 @@
 	})
 }
 
-// sendDuplicate sends, with probability Config.Strays, a copy of the submission to another
+// sendDuplicate sends, with probability Config.DuplicateShare, a copy of the submission to another
 // entry: either within 10 ms, as by a caller whose connection broke, or up to 4 s later. The
 // copy is cancelled within 40 ms.
 func (c *caller) sendDuplicate() {
@@ -169,7 +169,7 @@
 		maxCancelDelay    = 40 * time.Millisecond
 	)
 	w := c.w
-	if w.rng.Float64() >= w.cfg.Strays {
+	if w.rng.Float64() >= w.cfg.DuplicateShare {
 		return
 	}
 	maxDelay := maxImmediateDelay
@@ -182,7 +182,7 @@
 		if e.dead || e == c.entry {
 			return
 		}
-		w.Counts.Strays++
+		w.Counts.Duplicates++
 		c.duplicates++
 		incarnation := e.incarnation
 		e.execute(incarnation, func() {
@@ -192,7 +192,7 @@
 				}
 			})
 			w.after(cancelDelay,
-				func() { e.execute(incarnation, func() { e.owner.Cancel(e.clock(), c.spec.ID, waiter) }) })
+				func() { e.execute(incarnation, func() { e.owner.RemoveCaller(e.clock(), c.spec.ID, waiter) }) })
 		})
 	})
 }
@@ -202,7 +202,7 @@
 	e, incarnation, id, waiter := c.entry, c.incarnation, c.spec.ID, c.waiter
 	delete(e.callers, id)
 	// A frozen entry processes the submission first.
-	e.execute(incarnation, func() { e.owner.Cancel(e.clock(), id, *waiter) })
+	e.execute(incarnation, func() { e.owner.RemoveCaller(e.clock(), id, *waiter) })
 }
 
 // resend submits the job again after resendDelay.
@@ -229,10 +229,10 @@
 	switch a.Kind {
 	case owner.Completed:
 		w.Counts.Completed++
-		w.Returned.recordCompleted(c, w.now()-c.sentAt)
+		w.Retries.recordCompleted(c, w.now()-c.sentAt)
 		c.recordEarnings()
 		if c.afterFaults {
-			w.Counts.CalmCompleted++
+			w.Counts.CompletedAfterFaults++
 		}
 		for k, s := range c.spec.Steps {
 			for n := range s.Count {
@@ -261,8 +261,8 @@
 	}
 }
 
-// Returns holds the results of callers that retry refused jobs.
-type Returns struct {
+// RetryStats holds the results of callers that retry refused jobs.
+type RetryStats struct {
 	Refused, Gone int // refusals, and callers that gave up
 	// Served is the number of completed jobs, Taken the sum of the times from their first
 	// submissions to their completions.
@@ -271,7 +271,7 @@
 }
 
 // recordCompleted records the completion of a workload job.
-func (r *Returns) recordCompleted(c *caller, took time.Duration) {
+func (r *RetryStats) recordCompleted(c *caller, took time.Duration) {
 	if c.typicalDuration > 0 {
 		r.Served++
 		r.Taken += took
@@ -279,15 +279,15 @@
 }
 
 // retryAfterRefusal submits a refused job again after the delay given in the refusal, unless
-// the retry would be later than Config.ComeBack after the first submission.
+// the retry would be later than Config.RetryFor after the first submission.
 func (c *caller) retryAfterRefusal(delay time.Duration) {
 	w := c.w
-	if w.cfg.ComeBack == 0 || c.typicalDuration == 0 {
+	if w.cfg.RetryFor == 0 || c.typicalDuration == 0 {
 		return
 	}
-	w.Returned.Refused++
-	if w.now()+delay-c.sentAt > w.cfg.ComeBack {
-		w.Returned.Gone++
+	w.Retries.Refused++
+	if w.now()+delay-c.sentAt > w.cfg.RetryFor {
+		w.Retries.Gone++
 		return
 	}
 	c.answered = false
--- a/testutil/fleet/drawn_test.go
+++ b/testutil/fleet/drawn_test.go
@@ -12,8 +12,8 @@
 
 // Bounds for random scenes without faults.
 const (
-	// maxSoundEjected bounds the total time for which healthy targets of a scene are ejected.
-	maxSoundEjected = 6 * time.Second
+	// maxHealthyEjectedTime bounds the total time for which healthy targets of a scene are ejected.
+	maxHealthyEjectedTime = 6 * time.Second
 	// maxRefusedShare bounds the share of refused jobs.
 	maxRefusedShare = 0.01
 	// minCompletedShare is the lowest share of completed jobs.
@@ -38,9 +38,9 @@
 			refused := float64(stats.Refused) / float64(total.Jobs)
 			completed := float64(stats.Completed) / float64(total.Jobs)
 			t.Logf("%s: earned %.3f, completed %.3f, refused %.3f, ejected %s", scene.Name, total.Share(), completed,
-				refused, w.SoundEjected)
-			assert.Equal(t, w.Broken, "")
-			assert.Check(t, w.SoundEjected <= maxSoundEjected)
+				refused, w.HealthyEjectedTime)
+			assert.Equal(t, w.Violation, "")
+			assert.Check(t, w.HealthyEjectedTime <= maxHealthyEjectedTime)
 			assert.Check(t, refused <= maxRefusedShare)
 			assert.Check(t, completed >= minCompletedShare)
 		})
--- a/testutil/fleet/growth_test.go
+++ b/testutil/fleet/growth_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/beaconpoint/beaconpoint/reach"
+	"github.com/beaconpoint/beaconpoint/subset"
 )
 
 // fleetCost holds the connections and frames of a fleet in two seconds at 25% load.
@@ -22,7 +22,7 @@
 
 // measureFleet returns the cost of a fleet of the given size.
 func measureFleet(entries, agents int) fleetCost {
-	cfg := PolicyConfig(1, entries, agents, Tracking(agents, 0.25))
+	cfg := WorkloadConfig(1, entries, agents, TrackingWorkload(agents, 0.25))
 	cfg.Length = 2 * time.Second
 	w := New(cfg)
 	maxOpen := 0
@@ -41,7 +41,7 @@
 	homes, startsAtHomes, starts := 0, 0, 0
 	for _, a := range w.agents {
 		starts += a.target.startCount
-		if w.entries[0].reach.Home(a.name) {
+		if w.entries[0].subset.Home(a.name) {
 			homes++
 			startsAtHomes += a.target.startCount
 		}
@@ -63,8 +63,8 @@
 func TestFleetCostGrowsLinearly(t *testing.T) {
 	once, twice := measureFleet(20, 140), measureFleet(40, 280)
 	t.Logf("%+v, %+v", once, twice)
-	assert.Assert(t, once.connections <= 20*reach.FullMesh)
-	assert.Assert(t, twice.connections <= 40*reach.FullMesh)
+	assert.Assert(t, once.connections <= 20*subset.FullMesh)
+	assert.Assert(t, twice.connections <= 40*subset.FullMesh)
 	assert.Assert(t, float64(twice.frames) <= 2*maxGrowthPerHost*float64(once.frames))
 	assert.Assert(t, max(once.homeStartRatio, twice.homeStartRatio) <= maxHomeStartRatio,
 		"targets of home agents get more work than others")
--- a/testutil/fleet/link.go
+++ b/testutil/fleet/link.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/beaconpoint/beaconpoint/peer"
-	"github.com/beaconpoint/beaconpoint/reach"
+	"github.com/beaconpoint/beaconpoint/subset"
 	"github.com/beaconpoint/beaconpoint/supervisor"
 )
 
@@ -21,13 +21,13 @@
 	openAtEntry        bool              // connection state at the entry
 	openAtAgent        bool              // connection state at the agent
 	dialing            bool
-	cutUntil           time.Duration // no traffic passes before this time
-	lastArrivalAtEntry time.Duration // of the last frame
-	lastArrivalAtAgent time.Duration // of the last frame
-	echoAtEntry        peer.Echo     // the agent's latest stamp, as received by the entry
-	echoAtAgent        time.Duration // the entry's latest stamp, as received by the agent
-	sentAt             time.Duration // last send by the entry, on its clock
-	lastSeq            uint64        // of the frames to the agent
+	cutUntil           time.Duration  // no traffic passes before this time
+	lastArrivalAtEntry time.Duration  // of the last frame
+	lastArrivalAtAgent time.Duration  // of the last frame
+	echoAtEntry        peer.PeerClock // the agent's latest stamp, as received by the entry
+	echoAtAgent        time.Duration  // the entry's latest stamp, as received by the agent
+	sentAt             time.Duration  // last send by the entry, on its clock
+	lastSeq            uint64         // of the frames to the agent
 	// silentToAgent and silentToEntry are set if the current connection drops all frames in
 	// that direction.
 	silentToAgent, silentToEntry bool
@@ -37,7 +37,7 @@
 type linkKey struct{ entry, agent string }
 
 // commonLevel returns the highest protocol level that both sides support.
-func (l *link) commonLevel() peer.Level {
+func (l *link) commonLevel() peer.ProtocolLevel {
 	if l.e.previousVersion() || l.a.previousVersion() {
 		return peer.LevelBase
 	}
@@ -111,7 +111,7 @@
 			return
 		}
 		if l.e.dead || l.a.dead || l.w.now() < l.cutUntil || l.w.now() < l.a.frozenUntil {
-			l.e.reach.SetLost(l.a.name, true)
+			l.e.subset.SetLost(l.a.name, true)
 			l.dial()
 			return
 		}
@@ -127,7 +127,7 @@
 	id := supervisor.ConnID(w.lastConn)
 	entryIncarnation, agentIncarnation := l.e.incarnation, l.a.incarnation
 	l.openAtEntry = true
-	l.echoAtEntry, l.echoAtAgent, l.lastSeq = peer.Echo{}, 0, 0
+	l.echoAtEntry, l.echoAtAgent, l.lastSeq = peer.PeerClock{}, 0, 0
 	l.silentToAgent, l.silentToEntry = false, false
 	l.e.execute(entryIncarnation, func() {
 		if !l.openAtEntry {
@@ -135,7 +135,7 @@
 		}
 		l.sentAt = l.e.clock()
 		l.w.Connections++
-		l.e.reach.SetLost(l.a.name, false)
+		l.e.subset.SetLost(l.a.name, false)
 		l.e.owner.Connected(l.sentAt, l.a.name)
 	})
 	w.after(l.arrivalDelay(&l.lastArrivalAtAgent), func() {
@@ -157,7 +157,7 @@
 			if !l.openAtEntry {
 				return
 			}
-			if !l.w.cfg.Lasting && l.e.owner.SilentTooLong(l.e.clock(), l.a.name) {
+			if !l.w.cfg.KeepSilentConnections && l.e.owner.ShouldClose(l.e.clock(), l.a.name) {
 				l.closeAtEntry()
 				l.notifyAgentClosed(id)
 				return
@@ -174,7 +174,7 @@
 			if l.id != id || !l.openAtAgent {
 				return
 			}
-			if !l.w.cfg.Lasting && l.a.supervisor.SilentTooLong(l.a.clock(), id) {
+			if !l.w.cfg.KeepSilentConnections && l.a.supervisor.SilentTooLong(l.a.clock(), id) {
 				l.closeAtAgent(id)
 				return
 			}
@@ -185,7 +185,7 @@
 
 // wanted reports whether the entry should be connected to the agent.
 func (l *link) wanted() bool {
-	return l.w.cfg.Agents <= reach.FullMesh || l.e.reach.Wanted(l.a.name)
+	return l.w.cfg.Agents <= subset.FullMesh || l.e.subset.Wanted(l.a.name)
 }
 
 // release closes a connection that the entry no longer needs.
@@ -210,7 +210,7 @@
 		return
 	}
 	l.openAtEntry = false
-	l.e.reach.SetLost(l.a.name, true)
+	l.e.subset.SetLost(l.a.name, true)
 	l.e.owner.Disconnected(l.e.clock(), l.sentAt, l.a.name)
 	l.dial()
 }
--- a/testutil/fleet/process.go
+++ b/testutil/fleet/process.go
@@ -9,7 +9,7 @@
 
 	"github.com/beaconpoint/beaconpoint/owner"
 	"github.com/beaconpoint/beaconpoint/peer"
-	"github.com/beaconpoint/beaconpoint/reach"
+	"github.com/beaconpoint/beaconpoint/subset"
 	"github.com/beaconpoint/beaconpoint/supervisor"
 	"github.com/beaconpoint/beaconpoint/task"
 )
@@ -70,7 +70,7 @@
 type entryProcess struct {
 	process
 	owner                 *owner.Owner
-	reach                 *reach.Set
+	subset                *subset.Set
 	callers               map[string]*caller
 	lastTick              time.Duration
 	linkFreeAt            time.Duration // end of the transmission of all queued frames
@@ -79,7 +79,7 @@
 
 // previousVersion reports whether the entry runs the previous version.
 func (e *entryProcess) previousVersion() bool {
-	return slices.Index(e.w.entries, e) < e.w.cfg.OldEntries
+	return slices.Index(e.w.entries, e) < e.w.cfg.PreviousVersionEntries
 }
 
 // newEntry returns entry k in its first incarnation.
@@ -98,18 +98,18 @@
 		e.w.pastStats = addStats(e.w.pastStats, e.owner.Stats())
 	}
 	e.owner = owner.NewOwner(e.w.cfg.Log.With("node", e.name))
-	e.owner.ClearTime = e.w.cfg.Clear
+	e.owner.ClearTime = e.w.cfg.ClearTime
 	e.owner.Homes = e.w.cfg.Homes
-	e.owner.Term = e.w.cfg.Term
-	e.owner.TrustStopped = e.w.cfg.TrustStopped
-	e.owner.AwaitEndings = !e.w.cfg.ForgetEndings
-	e.reach = reach.NewSet(e.name)
-	e.reach.SetEntries(e.w.cfg.Entries)
+	e.owner.Goal = e.w.cfg.Goal
+	e.owner.SkipSuspendRecovery = e.w.cfg.SkipSuspendRecovery
+	e.owner.WaitForDroppedRuns = !e.w.cfg.SkipDroppedRunWait
+	e.subset = subset.NewSet(e.name)
+	e.subset.SetEntries(e.w.cfg.Entries)
 	for k := range e.w.cfg.Agents {
-		e.reach.Add(agentName(k))
+		e.subset.Add(agentName(k))
 	}
-	e.owner.IsHome = e.reach.Home
-	e.owner.IsOwn = e.reach.Own
+	e.owner.IsHome = e.subset.Home
+	e.owner.IsPreferred = e.subset.Preferred
 	e.owner.Addr = func(agent string) string { return agent }
 	e.owner.SetLink(e.w.cfg.LinkMbps)
 	e.owner.Random = e.w.ownerRand.IntN
@@ -121,7 +121,7 @@
 			now := e.clock()
 			e.lastTick = now
 			e.owner.Tick(now)
-			e.adjustReach(now)
+			e.adjustSubset(now)
 			e.owner.Heartbeats(now)
 			e.w.after(owner.TickInterval, tick)
 		})
@@ -130,30 +130,30 @@
 	e.w.operator.notify(e)
 }
 
-// adjustReach opens connections to wanted agents and releases unneeded ones, as node.Entry
+// adjustSubset opens connections to wanted agents and releases unneeded ones, as node.Entry
 // does.
-func (e *entryProcess) adjustReach(now time.Duration) {
+func (e *entryProcess) adjustSubset(now time.Duration) {
 	if e.owner.TakeMissingLabel() {
-		e.reach.Widen(now)
+		e.subset.WantAll(now)
 	}
-	if e.owner.Short(now) {
-		e.reach.Short(now, e.owner.Busy)
+	if e.owner.Backlogged(now) {
+		e.subset.RecordShortage(now, e.owner.HasTasks)
 	}
-	changed := e.reach.Update(now)
+	changed := e.subset.Update(now)
 	if changed {
-		e.owner.Partial = e.reach.Partial()
+		e.owner.PartiallyConnected = e.subset.Partial()
 		e.owner.RefreshRoles()
 	}
-	if e.w.cfg.Agents <= reach.FullMesh {
+	if e.w.cfg.Agents <= subset.FullMesh {
 		return // dial retries until it succeeds
 	}
 	for k := range e.w.cfg.Agents {
 		l := e.w.linkOf[linkKey{e.name, agentName(k)}]
 		switch {
 		case l == nil:
-		case changed && e.reach.Wanted(l.a.name):
+		case changed && e.subset.Wanted(l.a.name):
 			l.dial()
-		case l.openAtEntry && !e.reach.Wanted(l.a.name) && e.owner.Releasable(l.a.name):
+		case l.openAtEntry && !e.subset.Wanted(l.a.name) && e.owner.Releasable(l.a.name):
 			l.release()
 		}
 	}
@@ -198,7 +198,7 @@
 // newAgent returns agent k in its first incarnation.
 func (w *World) newAgent(k int) *agentProcess {
 	a := &agentProcess{process: process{w: w, name: agentName(k)}}
-	a.target = newEmulatedTarget(w, task.Needs{CPU: w.cfg.CPU, MemoryMB: 4096})
+	a.target = newEmulatedTarget(w, task.Resources{CPU: w.cfg.CPU, MemoryMB: 4096})
 	if w.cfg.Halls > 0 {
 		a.target.hall = hallName(k % w.cfg.Halls)
 	}
@@ -212,7 +212,7 @@
 
 // previousVersion reports whether the agent runs the previous version.
 func (a *agentProcess) previousVersion() bool {
-	return slices.Index(a.w.agents, a) < a.w.cfg.OldAgents
+	return slices.Index(a.w.agents, a) < a.w.cfg.PreviousVersionAgents
 }
 
 // sendHeartbeats delivers the target's heartbeats every heartbeatInterval.
@@ -276,10 +276,10 @@
 	a.execute(incarnation, func() {
 		now := a.clock()
 		a.supervisor.Tick(now)
-		a.supervisor.Heartbeats(now)
+		a.supervisor.SendHeartbeats(now)
 		a.scheduleFlush()
 		if now < a.w.cfg.Length && a.target.behaviour == (Behaviour{}) && a.supervisor.Stats(now).Ejected > 0 {
-			a.w.SoundEjected += supervisor.TickInterval
+			a.w.HealthyEjectedTime += supervisor.TickInterval
 		}
 		a.w.after(supervisor.TickInterval, func() { a.tick(incarnation) })
 	})
@@ -288,7 +288,7 @@
 // scheduleFlush schedules the sending of pending state changes. It also starts a second renewal
 // while replies get lost.
 func (a *agentProcess) scheduleFlush() {
-	if !a.secondRenewal && a.supervisor.LosingReplies(a.clock()) {
+	if !a.secondRenewal && a.supervisor.NeedsSecondRenewal(a.clock()) {
 		a.secondRenewal = true
 		a.renewSecond(a.incarnation)
 	}
@@ -315,7 +315,7 @@
 // renewSecond makes further renewals beside those of renew while replies get lost.
 func (a *agentProcess) renewSecond(incarnation int) {
 	a.renewOnce(incarnation, func(wait time.Duration) {
-		if !a.supervisor.LosingReplies(a.clock()) {
+		if !a.supervisor.NeedsSecondRenewal(a.clock()) {
 			a.secondRenewal = false
 			return
 		}
--- a/testutil/fleet/target.go
+++ b/testutil/fleet/target.go
@@ -56,17 +56,17 @@
 	up              bool
 	clockRate       float64       // relative to virtual time
 	startedAt       time.Duration // start of the incarnation
-	capacity        task.Needs
+	capacity        task.Resources
 	startCount      int           // runs started by all incarnations
 	shrunkAt        time.Duration // last reduction of the capacity
 	speed           float64       // 1 is normal
 	leaseDeadline   time.Duration // on the target's clock
 	highestToken    uint64
 	runs            map[string]*emulatedRun
-	endedRuns       []supervisor.EndedRow // not yet acknowledged by a renewal
-	endCount        uint64                // in this incarnation
-	lastFinishedRun map[string]int        // by task name, the number of the last run that was stopped or ended
-	drainingSince   time.Duration         // zero if not draining
+	endedRuns       []supervisor.ListedEnd // not yet acknowledged by a renewal
+	endCount        uint64                 // in this incarnation
+	lastFinishedRun map[string]int         // by task name, the number of the last run that was stopped or ended
+	drainingSince   time.Duration          // zero if not draining
 	behaviour       Behaviour
 	coldUntil       time.Duration
 	// startDelay, if set, delays starts. Starts are then not answered and stops are dropped.
@@ -83,7 +83,7 @@
 }
 
 // newEmulatedTarget returns a target in its first incarnation.
-func newEmulatedTarget(w *World, capacity task.Needs) *emulatedTarget {
+func newEmulatedTarget(w *World, capacity task.Resources) *emulatedTarget {
 	t := &emulatedTarget{w: w, capacity: capacity, speed: 1, clockRate: 0.98 + 0.02*w.rng.Float64()}
 	t.startIncarnation()
 	return t
@@ -98,7 +98,7 @@
 	} else {
 		t.id = fmt.Sprintf("i-%d", t.w.lastInstance)
 	}
-	if !t.w.cfg.UntoldBirths {
+	if !t.w.cfg.OmitStartTime {
 		t.startedMS = int64(t.w.now() / time.Millisecond)
 	}
 	t.up = true
@@ -129,10 +129,10 @@
 
 // heartbeat returns the content of a heartbeat.
 func (t *emulatedTarget) heartbeat(seq uint64) supervisor.Report {
-	return supervisor.Report{ID: t.id, Born: t.startedMS, Service: service, Hall: t.hall, Capacity: t.capacity,
-		Draining: t.drainingSince > 0,
-		Cold:     max(0, t.coldUntil-t.w.now()),
-		Clock:    t.clock(), HasClock: true, Seq: seq}
+	return supervisor.Report{ID: t.id, StartedUnixMS: t.startedMS, Service: service, Hall: t.hall, Capacity: t.capacity,
+		Draining:   t.drainingSince > 0,
+		WarmupLeft: max(0, t.coldUntil-t.w.now()),
+		Clock:      t.clock(), HasClock: true, Seq: seq}
 }
 
 // call carries out do as a remote call subject to the target's behaviour: the answer may be
@@ -188,18 +188,18 @@
 func (t *emulatedTarget) start(c supervisor.StartCall) supervisor.Reply {
 	name := c.Order.Task.String()
 	if c.Token < t.highestToken {
-		return supervisor.Reply{Outcome: supervisor.RefusedToken}
+		return supervisor.Reply{Outcome: supervisor.RejectedToken}
 	}
 	t.highestToken = c.Token
 	if r := t.runs[name]; r != nil && r.order.Run == c.Order.Run {
 		return supervisor.Reply{}
 	}
 	if c.Deadline < t.clock() {
-		return supervisor.Reply{Outcome: supervisor.RefusedLate}
+		return supervisor.Reply{Outcome: supervisor.RejectedDeadline}
 	}
 	t.extendLease(c.Deadline)
 	if c.Order.Run <= t.lastFinishedRun[name] {
-		return supervisor.Reply{Outcome: supervisor.RefusedOld}
+		return supervisor.Reply{Outcome: supervisor.RejectedStaleRun}
 	}
 	r := &emulatedRun{order: c.Order, name: name}
 	t.w.checkRunStart(t, r)
@@ -272,7 +272,7 @@
 	r.ended = true
 	t.lastFinishedRun[r.name] = max(t.lastFinishedRun[r.name], r.order.Run)
 	t.endCount++
-	t.endedRuns = append(t.endedRuns, supervisor.EndedRow{N: t.endCount, Name: r.name, Run: r.order.Run, End: end})
+	t.endedRuns = append(t.endedRuns, supervisor.ListedEnd{N: t.endCount, Name: r.name, Run: r.order.Run, End: end})
 	t.w.recordRunEnd(r, end)
 	pending := t.pendingRenewals
 	t.pendingRenewals = nil
@@ -284,7 +284,7 @@
 // stop carries out an order to stop a run.
 func (t *emulatedTarget) stop(c supervisor.StopCall) supervisor.Reply {
 	if c.Token < t.highestToken {
-		return supervisor.Reply{Outcome: supervisor.RefusedToken}
+		return supervisor.Reply{Outcome: supervisor.RejectedToken}
 	}
 	t.highestToken = c.Token
 	t.lastFinishedRun[c.Name] = max(t.lastFinishedRun[c.Name], c.Ref.Run)
@@ -302,13 +302,13 @@
 	var lists *supervisor.RunLists
 	t.call(c.Incarnation, c.Wait+renewalTimeout, func() supervisor.Reply {
 		if c.Token < t.highestToken {
-			return supervisor.Reply{Outcome: supervisor.RefusedToken}
+			return supervisor.Reply{Outcome: supervisor.RejectedToken}
 		}
 		t.highestToken = c.Token
 		if c.Deadline > 0 {
 			t.extendLease(c.Deadline)
 		}
-		t.endedRuns = slices.DeleteFunc(t.endedRuns, func(r supervisor.EndedRow) bool { return r.N <= c.LastSeen })
+		t.endedRuns = slices.DeleteFunc(t.endedRuns, func(r supervisor.ListedEnd) bool { return r.N <= c.LastSeen })
 		lists = t.runLists()
 		return supervisor.Reply{}
 	}, func(reply supervisor.Reply) {
@@ -345,9 +345,9 @@
 
 // runLists returns the running runs and the unacknowledged ended ones.
 func (t *emulatedTarget) runLists() *supervisor.RunLists {
-	a := &supervisor.RunLists{Born: t.startedMS, Ended: slices.Clone(t.endedRuns)}
+	a := &supervisor.RunLists{StartedUnixMS: t.startedMS, Ended: slices.Clone(t.endedRuns)}
 	for _, r := range t.sortedRuns() {
-		a.Running = append(a.Running, supervisor.RunningRow{Name: r.name, Run: r.order.Run})
+		a.Running = append(a.Running, supervisor.ListedRun{Name: r.name, Run: r.order.Run})
 	}
 	return a
 }
--- a/testutil/fleet/workload.go
+++ b/testutil/fleet/workload.go
@@ -59,9 +59,9 @@
 	maxWorthFactor = 4
 )
 
-// Tracking returns a workload of three classes whose arrival rates produce the given load on
+// TrackingWorkload returns a workload of three classes whose arrival rates produce the given load on
 // the given number of 16-core targets.
-func Tracking(targets int, load float64) []Class {
+func TrackingWorkload(targets int, load float64) []Class {
 	const coresEach, baseLoad = 16, 0.73 // baseLoad is the load of the rates below on 11 targets
 	scale := load / baseLoad * float64(targets) / 11
 	return []Class{
@@ -74,12 +74,12 @@
 	}
 }
 
-// PolicyConfig returns the configuration of a world without faults that plays a workload of the
+// WorkloadConfig returns the configuration of a world without faults that plays a workload of the
 // given classes on 16-core targets of different speeds.
-func PolicyConfig(seed uint64, entries, agents int, classes []Class) Config {
+func WorkloadConfig(seed uint64, entries, agents int, classes []Class) Config {
 	cfg := DefaultConfig(seed)
 	cfg.Entries, cfg.Agents = entries, agents
-	cfg.Faults, cfg.Calm = 0, 0
+	cfg.Faults, cfg.FaultFreeTail = 0, 0
 	cfg.Length = 12 * time.Second
 	cfg.Classes = classes
 	cfg.Shape = UsualShape()
@@ -90,8 +90,8 @@
 
 // Credit holds the earnings of the jobs of one class.
 type Credit struct {
-	Jobs, InAim, Late int
-	Owed, Earned      float64
+	Jobs, InObjective, Late int
+	Owed, Earned            float64
 	// Held is the worth of jobs that were refused or given up after heldThreshold, with none of
 	// their tasks started.
 	Held float64
@@ -107,7 +107,8 @@
 
 // Plus returns the sum of c and o.
 func (c Credit) Plus(o Credit) Credit {
-	return Credit{Jobs: c.Jobs + o.Jobs, InAim: c.InAim + o.InAim, Late: c.Late + o.Late, Owed: c.Owed + o.Owed,
+	return Credit{Jobs: c.Jobs + o.Jobs, InObjective: c.InObjective + o.InObjective, Late: c.Late + o.Late,
+		Owed:   c.Owed + o.Owed,
 		Earned: c.Earned + o.Earned, Held: c.Held + o.Held}
 }
 
@@ -122,7 +123,7 @@
 
 // addStats returns the sum of two statistics.
 func addStats(a, b owner.Stats) owner.Stats {
-	a.Submitted += b.Submitted
+	a.Accepted += b.Accepted
 	a.Completed += b.Completed
 	a.Failed += b.Failed
 	a.GivenUp += b.GivenUp
@@ -184,7 +185,7 @@
 		ID: id, Queue: class.Name, Service: service, Spec: w.specOf(id), Attempts: class.Attempts,
 		ObjectiveFactor: shape.Stretch, ObjectiveSlack: shape.Slack, Priority: class.Priority,
 		CallerTimeout: 3*c.objective() + 1500*time.Millisecond,
-		Steps:         []task.Step{{Count: count, Needs: task.Needs{CPU: taskCPU, MemoryMB: 64}, Estimate: guess}},
+		Steps:         []task.Step{{Count: count, Needs: task.Resources{CPU: taskCPU, MemoryMB: 64}, Estimate: guess}},
 	}
 	if c.crashesTargets = w.crashRand.Float64() < w.cfg.Crashing; c.crashesTargets {
 		w.Crashes.Jobs++
@@ -234,7 +235,7 @@
 	c.Earned += share * job.worth
 	switch share {
 	case 1:
-		c.InAim++
+		c.InObjective++
 	case lateShare:
 		c.Late++
 	}
--- a/testutil/fleet/world.go
+++ b/testutil/fleet/world.go
@@ -36,16 +36,16 @@
 type Config struct {
 	Seed            uint64
 	Entries, Agents int
-	// Jobs arrive every Interval on average for Length. The last fault begins at least Calm
+	// Jobs arrive every Interval on average for Length. The last fault begins at least FaultFreeTail
 	// before the end of Length.
-	Length, Interval, Calm time.Duration
+	Length, Interval, FaultFreeTail time.Duration
 	// Faults is the number of injected faults. Kinds limits their kinds; if empty, all kinds
 	// before randomKinds are used.
 	Faults int
-	Kinds  []Kind
-	// Lasting keeps silent connections open forever. NothingLeft and Recovery are then not
+	Kinds  []FaultKind
+	// KeepSilentConnections keeps silent connections open forever. NothingLeft and Recovery are then not
 	// checked at the end of the history.
-	Lasting bool
+	KeepSilentConnections bool
 	// Classes replaces the default jobs with a workload, and Shape has the properties common to
 	// its jobs. CPU is the capacity of each target; Speeds are assigned to the targets round
 	// robin.
@@ -53,11 +53,11 @@
 	Shape   Shape
 	CPU     int
 	Speeds  []float64
-	// Rules are the rules of the supervisors. Clear is the ClearTime of the owners.
-	Rules supervisor.Rules
-	Clear time.Duration
-	// UntoldBirths makes targets omit their start time from reports.
-	UntoldBirths bool
+	// Rules are the rules of the supervisors. ClearTime is the ClearTime of the owners.
+	Rules     supervisor.Rules
+	ClearTime time.Duration
+	// OmitStartTime makes targets omit their start time from reports.
+	OmitStartTime bool
 	// ClocksStop makes the clocks of processes stop during suspensions.
 	ClocksStop bool
 	// Crashing is the share of the jobs whose tasks crash each target that starts them.
@@ -72,31 +72,31 @@
 	// SpecBytes is the length of job specs.
 	LinkMbps  float64
 	SpecBytes int
-	// OldEntries and OldAgents are the numbers of processes that run the previous version,
-	// which does not support watches.
-	OldEntries, OldAgents int
+	// PreviousVersionEntries and PreviousVersionAgents are the numbers of processes that run the
+	// previous version, which does not support watches.
+	PreviousVersionEntries, PreviousVersionAgents int
 	// Halls is the number of data halls, to which targets are assigned round robin; zero means
 	// that targets report no hall. Evacuations is the number of hall evacuations.
 	Halls, Evacuations int
-	// Strays is the share of submissions that are duplicated to another entry, either at once,
+	// DuplicateShare is the share of submissions that are duplicated to another entry, either at once,
 	// as after a broken connection, or seconds later. Homes is the number of homes that the
 	// entries assign to a job.
-	Strays float64
-	Homes  int
-	// ForgetEndings disables waiting for the runs of a dropped job to end.
-	ForgetEndings bool
-	// TrustStopped disables renewing the claims of an entry after it was suspended.
-	TrustStopped bool
-	// Term is the objective that entries optimise.
-	Term owner.Term
-	// Leaving is the share of callers that abandon their job before it completes.
-	Leaving float64
-	// Patience is the timeout of callers. Guess is the typical task estimate of two thirds of
+	DuplicateShare float64
+	Homes          int
+	// SkipDroppedRunWait disables waiting for the runs of a dropped job to end.
+	SkipDroppedRunWait bool
+	// SkipSuspendRecovery disables renewing the claims of an entry after it was suspended.
+	SkipSuspendRecovery bool
+	// Goal is the objective that entries optimise.
+	Goal owner.Goal
+	// AbandonShare is the share of callers that abandon their job before it completes.
+	AbandonShare float64
+	// CallerTimeout is the timeout of callers. Guess is the typical task estimate of two thirds of
 	// the jobs, LongGuess that of the others.
-	Patience, Guess, LongGuess time.Duration
-	// ComeBack is how long callers retry refused jobs. Each retry follows after the delay given
+	CallerTimeout, Guess, LongGuess time.Duration
+	// RetryFor is how long callers retry refused jobs. Each retry follows after the delay given
 	// in the refusal. Zero disables retries.
-	ComeBack time.Duration
+	RetryFor time.Duration
 	// Log receives the log records of all processes.
 	Log *slog.Logger
 }
@@ -105,11 +105,11 @@
 func DefaultConfig(seed uint64) Config {
 	return Config{
 		Seed: seed, Entries: 2, Agents: 3,
-		Length: 14 * time.Second, Interval: 180 * time.Millisecond, Calm: 8 * time.Second,
+		Length: 14 * time.Second, Interval: 180 * time.Millisecond, FaultFreeTail: 8 * time.Second,
 		CPU: 8000, Faults: 5, HoldMax: time.Second, BackAfter: 500 * time.Millisecond,
-		Rules: supervisor.DefaultRules(), Clear: owner.ClearTime,
-		Homes:    owner.DefaultHomes,
-		Patience: 3 * time.Second, Guess: 150 * time.Millisecond, LongGuess: 700 * time.Millisecond,
+		Rules: supervisor.DefaultRules(), ClearTime: owner.ClearTime,
+		Homes:         owner.DefaultHomes,
+		CallerTimeout: 3 * time.Second, Guess: 150 * time.Millisecond, LongGuess: 700 * time.Millisecond,
 		Log: slog.New(slog.DiscardHandler),
 	}
 }
@@ -117,14 +117,14 @@
 // Counts holds counters of a history.
 type Counts struct {
 	Jobs, Completed, Failed, GivenUp, Refused, Resent, Starts int
-	// CalmFull counts refusals of jobs submitted after the faults while no target had room for
+	// RefusedFullAfterFaults counts refusals of jobs submitted after the faults while no target had room for
 	// any of their tasks.
-	CalmFull int
-	// Calm counts the jobs submitted after the faults, CalmCompleted the completed ones.
-	Calm, CalmCompleted int
-	// Strays counts duplicate submissions that reached another entry. Again counts jobs with a
+	RefusedFullAfterFaults int
+	// SubmittedAfterFaults counts the jobs submitted after the faults, CompletedAfterFaults the completed ones.
+	SubmittedAfterFaults, CompletedAfterFaults int
+	// Duplicates counts duplicate submissions that reached another entry. Rerun counts jobs with a
 	// task that started again after it had completed.
-	Strays, Again int
+	Duplicates, Rerun int
 }
 
 // Crashes holds counters on jobs that crash targets.
@@ -163,18 +163,18 @@
 	// Connections counts the connections that were opened.
 	Connections int
 	Frames      int // sent between entries and agents
-	// SoundEjected is the total time, while jobs arrived, for which healthy targets were
+	// HealthyEjectedTime is the total time, while jobs arrived, for which healthy targets were
 	// ejected.
-	SoundEjected time.Duration
-	// Returned holds the results of callers that retry refused jobs.
-	Returned Returns
-	// Sent, if set, is called with each frame that a process sends.
-	Sent      func(from string, f *peer.Frame)
+	HealthyEjectedTime time.Duration
+	// Retries holds the results of callers that retry refused jobs.
+	Retries RetryStats
+	// OnFrame, if set, is called with each frame that a process sends.
+	OnFrame   func(from string, f *peer.Frame)
 	pastStats owner.Stats // of earlier incarnations of the entries
-	// Broken describes the first violation, BrokenPromise names the violated invariant. Both
+	// Violation describes the first violation, ViolatedInvariant names the violated invariant. Both
 	// are empty if there was none.
-	Broken        string
-	BrokenPromise Promise
+	Violation         string
+	ViolatedInvariant Invariant
 }
 
 // New returns a world at the start of its history.
@@ -212,7 +212,7 @@
 		w.scheduleJobs()
 	}
 	for range cfg.Faults {
-		w.after(w.randomUpTo(cfg.Length-cfg.Calm), w.injectFault)
+		w.after(w.randomUpTo(cfg.Length-cfg.FaultFreeTail), w.injectFault)
 	}
 	return w
 }
@@ -225,8 +225,8 @@
 
 // Run plays the history until it ends or an invariant is violated.
 func (w *World) Run() {
-	w.queue.Run(w.queue.Now()+w.cfg.Length+settleDuration, func() bool { return w.Broken != "" })
-	if w.Broken == "" {
+	w.queue.Run(w.queue.Now()+w.cfg.Length+settleDuration, func() bool { return w.Violation != "" })
+	if w.Violation == "" {
 		w.checkFinalState()
 	}
 }
@@ -250,11 +250,11 @@
 	return time.Duration(w.rng.Int64N(int64(d) + 1))
 }
 
-// recordFrame counts a sent frame and passes it to the Sent hook.
+// recordFrame counts a sent frame and passes it to the OnFrame hook.
 func (w *World) recordFrame(from string, f *peer.Frame) {
 	w.Frames++
-	if w.Sent != nil {
-		w.Sent(from, f)
+	if w.OnFrame != nil {
+		w.OnFrame(from, f)
 	}
 }
 
@@ -263,16 +263,16 @@
 	w.Counts.Starts++
 	c := w.jobs[r.order.Task.Job]
 	if c == nil {
-		w.recordViolation(AskedFor, "%s started for an unknown job", r.name)
+		w.recordViolation(OnlySubmittedRuns, "%s started for an unknown job", r.name)
 		return
 	}
 	c.started = true
 	if c.done[r.order.Task] && !c.startedAgain {
 		c.startedAgain = true
-		w.Counts.Again++
+		w.Counts.Rerun++
 	}
 	if r.order.Spec != c.spec.Spec {
-		w.recordViolation(AskedFor, "%s started with a spec other than the submitted one", r.name)
+		w.recordViolation(OnlySubmittedRuns, "%s started with a spec other than the submitted one", r.name)
 	}
 	c.checkStepOrder(r.order.Task)
 	if c.targetCrashes[r.order.Task] >= crashLimit {
@@ -287,11 +287,11 @@
 		used = used.Plus(o.order.Needs)
 	}
 	if !used.Fits(t.capacity) && w.now()-t.shrunkAt > shrinkGrace {
-		w.recordViolation(WithinRoom, "starting %s on %s raises the used CPU to %d of %d", r.name, t.id, used.CPU,
+		w.recordViolation(WithinCapacity, "starting %s on %s raises the used CPU to %d of %d", r.name, t.id, used.CPU,
 			t.capacity.CPU)
 	}
 	if t.drainingSince > 0 && w.now() > t.drainingSince+drainGrace {
-		w.recordViolation(DrainedInPeace, "%s started on draining target %s", r.name, t.id)
+		w.recordViolation(NoStartsWhileDraining, "%s started on draining target %s", r.name, t.id)
 	}
 	w.checkAbandoned(r)
 	for _, a := range w.agents {
@@ -322,7 +322,7 @@
 // checkAbandoned checks periodically that a run ends after its caller has abandoned the job.
 func (w *World) checkAbandoned(r *emulatedRun) {
 	c := w.jobs[r.order.Task.Job]
-	if w.cfg.Leaving == 0 {
+	if w.cfg.AbandonShare == 0 {
 		return
 	}
 	var check func()
@@ -331,7 +331,7 @@
 			return
 		}
 		if c.abandonedAt > 0 && w.now()-c.abandonedAt > abandonedRunLimit {
-			w.recordViolation(EndsWhenLeft, "%s still runs %s after its caller abandoned the job", r.name,
+			w.recordViolation(AbandonedRunsEnd, "%s still runs %s after its caller abandoned the job", r.name,
 				w.now()-c.abandonedAt)
 			return
 		}
@@ -385,13 +385,13 @@
 		}
 	}
 	for _, a := range w.agents {
-		if !w.cfg.Lasting && len(a.target.runs) > 0 && a.target.up {
-			w.recordViolation(NothingLeft, "%d runs are left on %s", len(a.target.runs), a.target.id)
+		if !w.cfg.KeepSilentConnections && len(a.target.runs) > 0 && a.target.up {
+			w.recordViolation(NoRunsLeft, "%d runs are left on %s", len(a.target.runs), a.target.id)
 		}
 	}
-	if n := w.Counts; !w.cfg.Lasting && ((n.CalmCompleted+n.CalmFull)*10 < n.Calm*9 || n.CalmCompleted*6 < n.Calm*5) {
+	if n := w.Counts; !w.cfg.KeepSilentConnections && ((n.CompletedAfterFaults+n.RefusedFullAfterFaults)*10 < n.SubmittedAfterFaults*9 || n.CompletedAfterFaults*6 < n.SubmittedAfterFaults*5) {
 		w.recordViolation(Recovery,
 			"%d of %d jobs submitted after the faults completed, %d were refused while no target had room",
-			n.CalmCompleted, n.Calm, n.CalmFull)
+			n.CompletedAfterFaults, n.SubmittedAfterFaults, n.RefusedFullAfterFaults)
 	}
 }
--- a/testutil/system/system.go
+++ b/testutil/system/system.go
@@ -125,8 +125,8 @@
 	s.Store.Put("op/evacuate/"+HallOf(k), []byte(`{}`))
 }
 
-// TakeBack requests the end of the evacuation of the hall of target k.
-func (s *System) TakeBack(k int) {
+// EndEvacuation requests the end of the evacuation of the hall of target k.
+func (s *System) EndEvacuation(k int) {
 	s.Store.Remove("op/evacuate/" + HallOf(k))
 }
 
@@ -138,22 +138,22 @@
 	s.tb.Cleanup(server.Close)
 	s.Targets = append(s.Targets, t)
 	n := s.nodeSettings(peer.RoleAgent, fmt.Sprintf("side-%d", k))
-	n.Reports = freeAddr(s.tb)
-	n.Target = strings.TrimPrefix(server.URL, "http://")
+	n.HeartbeatAddr = freeAddr(s.tb)
+	n.TargetAddr = strings.TrimPrefix(server.URL, "http://")
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		a := node.NewAgent(n, platform.NewStore(n.Store, log).Directory(), platform.NewTargetClient(n.Target).Calls(),
+		a := node.NewAgent(n, platform.NewStore(n.StoreAddr, log).Directory(), platform.NewTargetClient(n.TargetAddr).Calls(),
 			log)
-		a.Serve = platform.NewTargetAPI(a, n.Reports, log).Serve
+		a.Serve = platform.NewTargetAPI(a, n.HeartbeatAddr, log).Serve
 		return a.Run(ctx)
 	}}
 	s.Agents = append(s.Agents, p)
-	s.Begin(p)
+	s.StartProcess(p)
 	stop := make(chan struct{})
 	s.tb.Cleanup(func() { close(stop) })
 	go func() {
 		for seq := 1; ; seq++ {
-			_ = t.Report(n.Reports, seq) // the agent may be stopped
+			_ = t.SendHeartbeat(n.HeartbeatAddr, seq) // the agent may be stopped
 			select {
 			case <-stop:
 				return
@@ -166,10 +166,10 @@
 // addEntry starts entry k.
 func (s *System) addEntry(k int) {
 	n := s.nodeSettings(peer.RoleEntry, fmt.Sprintf("edge-%d", k))
-	n.Callers, n.Readiness, n.Metrics = freeAddr(s.tb), freeAddr(s.tb), freeAddr(s.tb)
+	n.CallerAddr, n.ReadinessAddr, n.MetricsAddr = freeAddr(s.tb), freeAddr(s.tb), freeAddr(s.tb)
 	p := &Process{settings: n, run: func(ctx context.Context) error {
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		store := platform.NewStore(n.Store, log)
+		store := platform.NewStore(n.StoreAddr, log)
 		e := node.NewEntry(n, store.Directory(), store.Source(), log)
 		e.ForgetAfter = forgetAfter
 		e.SetClaimTimeout(claimTimeout)
@@ -177,19 +177,19 @@
 		return e.Run(ctx)
 	}}
 	s.Entries = append(s.Entries, p)
-	s.Begin(p)
+	s.StartProcess(p)
 }
 
 // nodeSettings returns default settings with a free address for peers and the address of the
 // store.
 func (s *System) nodeSettings(role peer.Role, name string) settings.Node {
 	n := settings.DefaultNode()
-	n.Role, n.Name, n.Hall, n.Peers, n.Store = role, name, "z", freeAddr(s.tb), s.store
+	n.Role, n.Name, n.Hall, n.PeerAddr, n.StoreAddr = role, name, "z", freeAddr(s.tb), s.store
 	return n
 }
 
-// Begin starts a new incarnation of p. The test fails if the incarnation ends with an error.
-func (s *System) Begin(p *Process) {
+// StartProcess starts a new incarnation of p. The test fails if the incarnation ends with an error.
+func (s *System) StartProcess(p *Process) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	p.cancel, p.done = cancel, done
@@ -206,24 +206,24 @@
 func (s *System) stopAll() {
 	all := append(append([]*Process(nil), s.Entries...), s.Agents...)
 	for _, p := range all {
-		p.Tell()
+		p.SignalStop()
 	}
 	for _, p := range all {
 		<-p.done
 	}
 	for _, t := range s.Targets {
-		assert.Check(s.tb, len(t.Doubled()) == 0, "tasks started twice concurrently: %v", t.Doubled())
+		assert.Check(s.tb, len(t.DuplicateStarts()) == 0, "tasks started twice concurrently: %v", t.DuplicateStarts())
 	}
 }
 
 // Stop signals p to stop and waits until it has stopped.
 func (s *System) Stop(p *Process) {
-	p.Tell()
+	p.SignalStop()
 	<-p.done
 }
 
-// Tell signals p to stop and does not wait.
-func (p *Process) Tell() {
+// SignalStop signals p to stop and does not wait.
+func (p *Process) SignalStop() {
 	p.cancel()
 }
 
@@ -231,7 +231,7 @@
 func (s *System) UntilReady(k int) {
 	s.tb.Helper()
 	s.Until(func() bool {
-		resp, err := http.Get("http://" + s.Entries[k].settings.Readiness + "/beaconpoint/readiness")
+		resp, err := http.Get("http://" + s.Entries[k].settings.ReadinessAddr + "/beaconpoint/readiness")
 		if err != nil {
 			return false
 		}
@@ -240,9 +240,9 @@
 	})
 }
 
-// UntilLinked waits until every entry is connected to every agent. An entry is ready as soon as
+// UntilConnected waits until every entry is connected to every agent. An entry is ready as soon as
 // it is connected to the first agent.
-func (s *System) UntilLinked() {
+func (s *System) UntilConnected() {
 	s.tb.Helper()
 	linked := fmt.Sprintf("beaconpoint_agents %d\n", len(s.Agents))
 	for k := range s.Entries {
@@ -262,13 +262,13 @@
 // Call sends a request to entry k and returns the status and the body, or zero values if there
 // was no answer.
 func (s *System) Call(k int, method, path, body string) (int, string) {
-	return s.CallUntil(context.Background(), k, method, path, body)
+	return s.CallContext(context.Background(), k, method, path, body)
 }
 
-// CallUntil is like Call, but aborts the request when ctx ends.
-func (s *System) CallUntil(ctx context.Context, k int, method, path, body string) (int, string) {
+// CallContext is like Call, but aborts the request when ctx ends.
+func (s *System) CallContext(ctx context.Context, k int, method, path, body string) (int, string) {
 	req, err := http.NewRequestWithContext(ctx, method,
-		"http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
+		"http://"+s.Entries[k].settings.CallerAddr+path, strings.NewReader(body))
 	assert.NilError(s.tb, err)
 	req.Host = Host
 	resp, err := http.DefaultClient.Do(req)
@@ -285,7 +285,7 @@
 
 // Metrics returns the metrics of entry k, or an empty string if it can't be reached.
 func (s *System) Metrics(k int) string {
-	resp, err := http.Get("http://" + s.Entries[k].settings.Metrics + node.MetricsPath)
+	resp, err := http.Get("http://" + s.Entries[k].settings.MetricsAddr + node.MetricsPath)
 	if err != nil {
 		return ""
 	}
@@ -301,7 +301,7 @@
 // body.
 func (s *System) Do(k int, method, path, body string, headers map[string]string) *http.Response {
 	s.tb.Helper()
-	req, err := http.NewRequest(method, "http://"+s.Entries[k].settings.Callers+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+s.Entries[k].settings.CallerAddr+path, strings.NewReader(body))
 	assert.NilError(s.tb, err)
 	req.Host = Host
 	for name, value := range headers {
@@ -312,10 +312,10 @@
 	return resp
 }
 
-// Closes reports whether entry k closes the connection after answering a GET request for path.
+// ClosesConnection reports whether entry k closes the connection after answering a GET request for path.
 // It returns false if there was no answer.
-func (s *System) Closes(k int, path string) bool {
-	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[k].settings.Callers+path, nil)
+func (s *System) ClosesConnection(k int, path string) bool {
+	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[k].settings.CallerAddr+path, nil)
 	assert.NilError(s.tb, err)
 	req.Host = Host
 	resp, err := http.DefaultClient.Do(req)
