--- a/owner/answer.go
+++ b/owner/answer.go
@@ -17,7 +17,8 @@
 const (
 	// Completed means that every task succeeded.
 	Completed Kind = iota + 1
-	// Failed means that a task has used up the attempts of its queue or crashes targets.
+	// Failed means that a task has used up the attempts of its configured queue or crashes
+	// targets.
 	Failed
 	// GivenUp means that the job was ended before its tasks were done, and that tasks of it may
 	// have been started.
--- a/owner/callers.go
+++ b/owner/callers.go
@@ -38,7 +38,7 @@
 	j.callers[o.callers] = answer
 	o.checkDeadlines(now, j)
 	if o.jobs[desc.ID] == j && !j.started() && o.needsEvacuatedHall(now, j) {
-		o.giveUp(now, j, code.JobEvacuated)
+		o.endEarly(now, j, code.JobEvacuated)
 	}
 	o.schedule(now, o.queue(desc.Service))
 	return o.callers
--- a/owner/cancel.go
+++ b/owner/cancel.go
@@ -16,8 +16,8 @@
 	cancelTimeout = 100 * time.Millisecond
 )
 
-// lookup is a pending cancellation of a job that this entry does not own.
-type lookup struct {
+// pendingCancel is the cancellation of a job that this entry does not own.
+type pendingCancel struct {
 	since   time.Duration
 	homes   int // homes that have not replied
 	answers []func(cancelled bool)
@@ -35,8 +35,8 @@
 		answer(true)
 		return
 	}
-	if l := o.lookups[id]; l != nil {
-		l.answers = append(l.answers, answer)
+	if p := o.pendingCancels[id]; p != nil {
+		p.answers = append(p.answers, answer)
 		return
 	}
 	sent := o.sendCancellations(id)
@@ -44,7 +44,7 @@
 		answer(false)
 		return
 	}
-	o.lookups[id] = &lookup{since: now, homes: sent, answers: []func(bool){answer}}
+	o.pendingCancels[id] = &pendingCancel{since: now, homes: sent, answers: []func(bool){answer}}
 }
 
 // sendCancellations sends a cancellation to the agents that would be homes of the job and
@@ -68,37 +68,37 @@
 
 // cancelReply handles a home's reply to a cancellation.
 func (o *Owner) cancelReply(now time.Duration, r claim.Reply) {
-	l := o.lookups[r.Job]
-	if l == nil {
+	p := o.pendingCancels[r.Job]
+	if p == nil {
 		return
 	}
 	switch r.State {
 	case claim.Cancelling:
-		o.endLookup(now, r.Job, true)
+		o.endPendingCancel(now, r.Job, true)
 	case claim.Answered:
-		o.endLookup(now, r.Job, r.Outcome == claim.Cancelled)
+		o.endPendingCancel(now, r.Job, r.Outcome == claim.Cancelled)
 	case claim.Unknown:
-		if l.homes--; l.homes == 0 {
-			o.endLookup(now, r.Job, false)
+		if p.homes--; p.homes == 0 {
+			o.endPendingCancel(now, r.Job, false)
 		}
 	}
 }
 
-// endLookup answers the callers that cancelled the job.
-func (o *Owner) endLookup(now time.Duration, id string, cancelled bool) {
-	l := o.lookups[id]
-	delete(o.lookups, id)
-	o.logCancelPassed(id, cancelled, now-l.since)
-	for _, answer := range l.answers {
+// endPendingCancel answers the callers that cancelled the job.
+func (o *Owner) endPendingCancel(now time.Duration, id string, cancelled bool) {
+	p := o.pendingCancels[id]
+	delete(o.pendingCancels, id)
+	o.logCancelPassed(id, cancelled, now-p.since)
+	for _, answer := range p.answers {
 		answer(cancelled)
 	}
 }
 
-// checkLookups ends the lookups whose homes have not replied in time.
-func (o *Owner) checkLookups(now time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(o.lookups)) {
-		if now-o.lookups[id].since >= cancelTimeout {
-			o.endLookup(now, id, false)
+// checkPendingCancels ends the cancellations whose homes have not replied in time.
+func (o *Owner) checkPendingCancels(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(o.pendingCancels)) {
+		if now-o.pendingCancels[id].since >= cancelTimeout {
+			o.endPendingCancel(now, id, false)
 		}
 	}
 }
--- a/owner/claim.go
+++ b/owner/claim.go
@@ -22,12 +22,12 @@
 	reservationKeepTime = 20 * time.Millisecond
 )
 
-// claimed reports whether the claims of j permit its tasks to start: no claim is unanswered or
+// mayStart reports whether the claims of j permit its tasks to start: no claim is unanswered or
 // held by another entry that keeps it, and no run of an earlier submission is left. A job
 // without homes may start unclaimed only if no connected agent supports claims. Jobs that were
 // not claimed before wait while this entry is isolated, or partitioned without a shared home,
 // because other entries may choose other homes for them.
-func (o *Owner) claimed(j *job) bool {
+func (o *Owner) mayStart(j *job) bool {
 	if o.dropped[j.desc.ID] != nil || len(j.homes) == 0 && j.homeCount > 0 && o.homesExist() {
 		return false
 	}
@@ -184,7 +184,7 @@
 	if o.jobs[j.desc.ID] == j && j.startable() && j.index < 0 {
 		j.queue.add(now, j)
 	}
-	if o.claimed(j) {
+	if o.mayStart(j) {
 		if j.claimedAt == 0 && len(j.homes) > 0 {
 			j.claimedAt = now
 			o.ObserveStage.Observe(stage.Claiming, now-j.arrived)
--- a/owner/claim_test.go
+++ b/owner/claim_test.go
@@ -201,7 +201,7 @@
 	b.advance(contestTimeout + TickInterval)
 	assert.Equal(t, b.Stats().Yielded, uint64(0))
 
-	b.submit(jobOf("2", 1)) // here, this entry has started nothing
+	b.submit(jobOf("2", 1)) // not started here, so it is transferred to the other entry
 	homes = b.homesOf("2")
 	b.reply(homes[0], claim.Reply{Job: "2", State: claim.Granted})
 	b.reply(homes[1], claim.Reply{Job: "2", State: claim.Held})
--- a/owner/connection.go
+++ b/owner/connection.go
@@ -135,7 +135,7 @@
 	ejected := st.Health == peer.Ejected && a.state.Health != peer.Ejected
 	wasAccepting := a.state.Accepting
 	a.applyState(st)
-	a.recordAccepting(now, wasAccepting)
+	a.recordStoppedAccepting(now, wasAccepting)
 	if st.Profile != nil {
 		a.lastHall = a.profile.Hall
 		o.setEvacuated(a)
--- a/owner/crash.go
+++ b/owner/crash.go
@@ -14,9 +14,11 @@
 // If that target crashes as well, the job fails.
 
 const (
-	// maxCrashes is the number of crashes at which a job fails if the task had one of the targets
-	// to itself, maxNonExclusiveCrashes the number if it never had.
-	maxCrashes             = 2
+	// maxCrashes is the number of crashes under a task at which its job fails if the task had at
+	// least one of the crashed targets to itself.
+	maxCrashes = 2
+	// maxNonExclusiveCrashes is the number of crashes under a task at which its job fails if the
+	// task had none of the crashed targets to itself.
 	maxNonExclusiveCrashes = 3
 	// maxLosses is the number of runs of a task, lost with crashed or silent targets over all
 	// submissions, at which its job is given up.
@@ -31,9 +33,6 @@
 	// Such an event, like the loss of a rack or of power, is not attributed to tasks if it
 	// affects at least correlatedShare of the agents (correlated) and at least minCorrelated
 	// agents.
-	//
-	// A job of many tasks may crash as many targets at once. A crash under a task with the
-	// target to itself therefore counts in any case.
 	correlationWindow = 100 * time.Millisecond
 	correlatedShare   = 0.1
 	minCorrelated     = 3
@@ -47,9 +46,9 @@
 	exclusive bool // no other run was there
 }
 
-// recordAccepting records when a's target stopped accepting work, for the detection of
+// recordStoppedAccepting records when a's target stopped accepting work, for the detection of
 // correlated crashes.
-func (a *agent) recordAccepting(now time.Duration, wasAccepting bool) {
+func (a *agent) recordStoppedAccepting(now time.Duration, wasAccepting bool) {
 	if wasAccepting && !a.state.Accepting {
 		a.stoppedAcceptingAt = now
 	}
@@ -72,8 +71,8 @@
 	return stopped >= max(minCorrelated, int(correlatedShare*float64(known)))
 }
 
-// recordLoss records the end of a run whose target crashed or fell silent. It reports whether
-// the job was given up because the task has lost too many targets.
+// recordLoss records the end of a run whose target crashed, became silent or had no such run. It
+// reports whether the job was given up because the task has lost too many targets.
 func (o *Owner) recordLoss(now time.Duration, a *agent, j *job, id task.ID, t *taskState, why code.Code) bool {
 	switch why {
 	case code.RunTargetGone:
@@ -87,7 +86,7 @@
 	if j.earlierLosses+t.losses < maxLosses {
 		return false
 	}
-	o.giveUp(now, j, code.JobCrashes)
+	o.endEarly(now, j, code.JobCrashes)
 	return true
 }
 
@@ -97,7 +96,7 @@
 	if j.started() || j.earlierLosses < maxEarlierLosses {
 		return false
 	}
-	o.giveUp(now, j, code.JobCrashes)
+	o.endEarly(now, j, code.JobCrashes)
 	return true
 }
 
@@ -134,8 +133,8 @@
 }
 
 // crashesTooOften reports whether the job of t should fail. A crash under a task that had the
-// target to itself counts at once, any other one after correlationWindow and only if it was not
-// correlated.
+// target to itself counts at once, even if correlated, since a job of many tasks may itself crash
+// many targets at once. Any other crash counts after correlationWindow, if it was not correlated.
 func (o *Owner) crashesTooOften(now time.Duration, t *taskState) bool {
 	count, exclusive := 0, false
 	for _, c := range t.crashes {
@@ -170,7 +169,7 @@
 // j does not block other jobs. It reports whether it did; requeueCrashSuspects puts the job back.
 func (o *Owner) deferCrashSuspect(now time.Duration, j *job) bool {
 	step, index, ok := j.nextTask()
-	if !ok || !o.claimed(j) || !j.steps[step].tasks[index].needsEmptyTarget(now) {
+	if !ok || !o.mayStart(j) || !j.steps[step].tasks[index].needsEmptyTarget(now) {
 		return false
 	}
 	j.queue.remove(j)
--- a/owner/evacuation.go
+++ b/owner/evacuation.go
@@ -65,7 +65,7 @@
 // counts as present, since it may reconnect.
 const discoveryTime = time.Second
 
-// needsEvacuatedHall reports whether j, which must not be started, has a step that only targets
+// needsEvacuatedHall reports whether j, which must not have started, has a step that only targets
 // in evacuated halls may run.
 func (o *Owner) needsEvacuatedHall(now time.Duration, j *job) bool {
 	if len(o.evacuations.Halls) == 0 || o.PartiallyConnected || o.firstConnectedAt == 0 ||
@@ -103,7 +103,7 @@
 	}
 	for _, j := range o.sortedJobs() {
 		if !j.started() && o.needsEvacuatedHall(now, j) {
-			o.giveUp(now, j, code.JobEvacuated)
+			o.endEarly(now, j, code.JobEvacuated)
 		}
 	}
 }
--- a/owner/flush.go
+++ b/owner/flush.go
@@ -49,13 +49,14 @@
 	}
 }
 
-// Heartbeats sends an empty frame to each agent that has received none for the heartbeat
-// interval of its connection, which renews this entry's lease. Unresponsive agents of a
-// suspected hall get none: their leases should expire soon, so that their tasks can start
-// elsewhere.
+// Heartbeats sends a frame to each agent that has received none for the heartbeat interval of its
+// connection, which renews this entry's lease. The frame is empty unless content waits for
+// the next frame, such as a settlement. Unresponsive agents of a suspected hall get no heartbeat:
+// their leases should expire soon, so that their tasks can start elsewhere. Collected frames to
+// other agents are sent as well.
 func (o *Owner) Heartbeats(now time.Duration) {
 	for _, a := range o.byName {
-		if a.connected && now-a.sentAt >= peer.Interval(a.used()) && !(o.hallSuspected(a) && a.unresponsive(now)) {
+		if a.connected && now-a.sentAt >= peer.Interval(a.inUse()) && !(o.hallSuspected(a) && a.unresponsive(now)) {
 			o.markDirty(a)
 		}
 	}
--- a/owner/hall_outage.go
+++ b/owner/hall_outage.go
@@ -16,15 +16,16 @@
 // elsewhere earlier than after the timeouts of single agents.
 
 const (
-	// unresponsiveTime is the silence after which an agent in use counts as unresponsive: two
-	// heartbeats.
+	// unresponsiveTime is how long an agent in use may send no frame before it counts as
+	// unresponsive: two heartbeats.
 	unresponsiveTime = 220 * time.Millisecond
 	// maxContactAge is the maximum age of the latest frame from any agent for a suspicion. If
 	// this entry is cut off itself, no frame arrives, but the agents of one hall may become
 	// unresponsive before those of the others.
 	maxContactAge = 60 * time.Millisecond
 	// minUnresponsive is the minimum number of unresponsive agents for a suspicion, since one
-	// or two agents fail independently.
+	// or two agents may fail independently at the same time. For the check of isolation, it is
+	// also the minimum number of known agents of a hall that counts as mostly reachable.
 	minUnresponsive = 3
 	// lostAgentTime is how long a disconnected agent counts as unresponsive.
 	lostAgentTime = 3 * time.Second
@@ -50,7 +51,7 @@
 	case a.silentSince > 0:
 		return true
 	}
-	return a.used() && now-max(a.lastFrameAt, a.watchedSince) > unresponsiveTime
+	return a.inUse() && now-max(a.lastFrameAt, a.watchedSince) > unresponsiveTime
 }
 
 // checkHalls updates the suspected halls. No hall becomes suspected while this entry is isolated,
@@ -102,7 +103,7 @@
 		a.reserved = nil
 		for _, id := range a.taskIDs() {
 			if j := a.tasks[id]; j != nil && o.jobs[id.Job] == j && j.tooLateAfter(now+o.ClearTime) {
-				o.giveUp(now, j, code.JobHallLost)
+				o.endEarly(now, j, code.JobHallLost)
 			}
 		}
 	}
--- a/owner/home.go
+++ b/owner/home.go
@@ -64,8 +64,9 @@
 	return o.Homes
 }
 
-// completeHomes claims j at further agents until it has homeCount homes: the agent of the
-// lowest rank, and the agent of the lowest rank in another data hall.
+// completeHomes claims j at further agents until it has homeCount homes or no agent is left. Each
+// further home is the lowest-ranked agent in a data hall without a home of j, or in any hall if
+// there is none.
 func (o *Owner) completeHomes(now time.Duration, j *job) {
 	for len(j.homes) < j.homeCount {
 		a := o.nextHome(j, true)
--- a/owner/isolation.go
+++ b/owner/isolation.go
@@ -14,10 +14,11 @@
 // mostly reachable, so that work can continue in that hall. Entries in other halls may be
 // partitioned as well. A partitioned entry starts a new job only if it has claimed the job at one
 // of the homes that a fully connected entry would choose, because conflicting claims are detected
-// there. The other jobs wait until the unreachable agents have been silent for isolationTime.
+// there. The other jobs wait until the unreachable agents have sent no frame for isolationTime.
 
-// isolationTime is how long a silent or lost agent counts toward isolation. After that it is
-// taken to be down, and the remaining halls resume service.
+// isolationTime is how long after its last frame a silent or lost agent counts toward isolation.
+// After that it is taken to be down, and the remaining halls resume service. An agent is silent
+// while it leaves a claim unanswered (agent.silentSince).
 const isolationTime = 3 * time.Second
 
 // maxMissingShare is the share of a hall's agents that may be silent or lost while the hall
--- a/owner/job.go
+++ b/owner/job.go
@@ -36,7 +36,7 @@
 	// failures counts failed runs, taskFailures those that were not the target's fault.
 	failures, taskFailures int
 	tries                  int // runs that may have begun, for logs
-	losses                 int // runs whose target crashed, fell silent or did not have them
+	losses                 int // runs lost because the target crashed, became silent or had no such run
 	// crashes lists runs whose target crashed. Until exclusiveUntil, the task runs only on an
 	// otherwise empty target.
 	crashes        []crash
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -78,8 +78,8 @@
 	ObserveStage stage.Observer
 	// CountAnswer is called with the cause of each answer. It may be nil.
 	CountAnswer func(code.Code)
-	// Log receives a line for each decision and for each change of a connection, of isolation
-	// and of a suspected hall.
+	// Log receives the events of package event that an Owner writes. Watches, room requests and
+	// reservations are not logged.
 	Log *slog.Logger
 	// ClearTime overrides the constant of the same name in tests.
 	ClearTime time.Duration
@@ -90,7 +90,7 @@
 	Addr func(agent string) string
 	// ClaimTimeout overrides DefaultClaimTimeout in tests.
 	ClaimTimeout time.Duration
-	// Homes is the number of homes of a job. With zero, jobs are not claimed.
+	// Homes is the number of homes of a job. If zero, jobs are not claimed.
 	Homes int
 	// WaitForDroppedRuns makes a dropped job wait for its runs to end before it may start again. Only
 	// tests unset it.
@@ -99,11 +99,11 @@
 	SkipSuspendRecovery bool
 	// Goal selects the refusal policy.
 	Goal Goal
-	// IsHome reports whether jobs may be claimed at an agent. With nil, they may be at every
-	// agent.
+	// IsHome reports whether jobs may be claimed at an agent. If nil, jobs may be claimed at
+	// every agent.
 	IsHome func(agent string) bool
-	// IsPreferred reports whether an agent is one that this entry prefers while it has room. With
-	// nil, every agent is.
+	// IsPreferred reports whether an agent is one that this entry prefers while it has room. If
+	// nil, every agent is preferred.
 	IsPreferred func(agent string) bool
 	// PartiallyConnected is set if there are agents to which the process does not connect.
 	PartiallyConnected bool
@@ -122,10 +122,10 @@
 
 	estimators map[string]*estimate.Estimator // by configured queue
 
-	dropped        map[string]*droppedJob // by id: dropped jobs with runs that have not ended
-	lookups        map[string]*lookup     // by id: pending cancellations of jobs that this entry does not own
-	shuttingDown   bool                   // the process is about to exit
-	suspectedHalls map[string]bool        // data halls that are suspected to be lost
+	dropped        map[string]*droppedJob    // by id: dropped jobs with runs that have not ended
+	pendingCancels map[string]*pendingCancel // by id: pending cancellations of jobs that this entry does not own
+	shuttingDown   bool                      // the process is about to exit
+	suspectedHalls map[string]bool           // data halls that are suspected to be lost
 	// missingLabel records that a job requires a label which no connected agent has.
 	missingLabel bool
 	// lastNoContactAt is the last tick at which the latest frame from any agent was older than
@@ -164,10 +164,9 @@
 	// the runs stopped to be retried elsewhere, and Relayed the orders that refer to another
 	// agent for the spec.
 	Starts, Rejected, Moved, Relayed uint64
-	// Joined counts jobs that another entry held or had answered, and for each job started here
-	// the replies by which another entry has the stronger claim. Yielded counts the jobs stopped
-	// here because another entry holds them, and SilentHomes the agents that left a claim
-	// unanswered.
+	// Joined counts jobs that another entry held or had answered, and the replies
+	// claim.Held that contest a job started here. Yielded counts the jobs stopped here because
+	// another entry holds them, and SilentHomes the agents that left a claim unanswered.
 	Joined, Yielded, SilentHomes uint64
 	// HallsSuspected counts how often a data hall was suspected to be lost.
 	HallsSuspected uint64
@@ -185,7 +184,7 @@
 		agents:             make(map[string]*agent),
 		estimators:         make(map[string]*estimate.Estimator),
 		dropped:            make(map[string]*droppedJob),
-		lookups:            make(map[string]*lookup),
+		pendingCancels:     make(map[string]*pendingCancel),
 		suspectedHalls:     make(map[string]bool),
 		Homes:              DefaultHomes,
 		ClaimTimeout:       DefaultClaimTimeout,
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -192,12 +192,13 @@
 	assert.Equal(t, b.Stats().Rejected, uint64(1))
 }
 
-func TestRejectedRunNumberIsRaised(t *testing.T) {
+// Guards against repeated orders under a run number that the target rejects as stale.
+func TestStaleRunNumberIsRaised(t *testing.T) {
 	b := newHarness(t, "a", "b")
 	b.reportState("b", 4000, 0.9, peer.Healthy)
 	b.submit(jobOf("1", 1))
 	b.reportEnd("a", b.starts("a")[0], task.EndRejected, code.RunStaleNumber)
-	assert.Equal(t, b.starts("b")[0].Run, 3)
+	assert.Equal(t, b.starts("b")[0].Run, 3) // the rejected number doubled, plus one for the new run
 }
 
 // Guards against a task that runs on two targets at once.
--- a/owner/placement.go
+++ b/owner/placement.go
@@ -148,10 +148,10 @@
 	o.requestRoom(now, q)
 }
 
-// startTasks starts tasks of j while there is room, provided that j is claimed. It reports
+// startTasks starts tasks of j while there is room, provided that j may start. It reports
 // whether no task is left to start.
 func (o *Owner) startTasks(now time.Duration, j *job) bool {
-	if !o.claimed(j) {
+	if !o.mayStart(j) {
 		return false
 	}
 	for {
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -148,7 +148,7 @@
 	return sum
 }
 
-// jobHeap implements heap.Interface for queue; the lowest rank is on top.
+// jobHeap implements heap.Interface for serviceQueue; the lowest rank is on top.
 type jobHeap []*job
 
 func (h jobHeap) Len() int           { return len(h) }
--- a/owner/rank.go
+++ b/owner/rank.go
@@ -91,9 +91,9 @@
 	return j.rankInputs(now).rank()
 }
 
-// missesObjective reports whether j's rank is at least lateRankOffset. Ranks are times on the
-// entry's clock: this holds for the jobs that could no longer meet their objective when they
-// were last ranked, and for any job whose adjusted latest start is at lateRankOffset or later.
+// missesObjective reports whether j's rank is at least lateRankOffset, as it is if j could no
+// longer meet its objective when it was last ranked. Ranks are times on the entry's clock, so the
+// result is also true of any job whose adjusted latest start is at lateRankOffset or later.
 func (j *job) missesObjective() bool {
 	return j.rank >= lateRankOffset
 }
--- a/owner/refusal.go
+++ b/owner/refusal.go
@@ -49,9 +49,9 @@
 	hasStartable bool
 }
 
-// refusalCause returns code.OK if the job should go on, and otherwise the cause for which it is
+// endCause returns code.OK if the job should go on, and otherwise the cause for which it is
 // refused or given up.
-func (p deadlineState) refusalCause() code.Code {
+func (p deadlineState) endCause() code.Code {
 	switch {
 	case p.callerDeadline > 0 && p.now >= p.callerDeadline-answerMargin:
 		return code.JobCallerTimeout
@@ -134,8 +134,8 @@
 	} else {
 		p.remaining = j.remaining()
 	}
-	if why := p.refusalCause(); why != code.OK {
-		o.giveUp(now, j, why)
+	if why := p.endCause(); why != code.OK {
+		o.endEarly(now, j, why)
 		return
 	}
 	if j.crashSuspect && o.checkCrashes(now, j) {
@@ -167,8 +167,8 @@
 	earlierJobMeets := false
 	for _, j := range order {
 		wait := time.Duration(ahead / q.workRate * float64(time.Second))
-		if !j.mayHaveRun() && o.claimed(j) && o.shouldRefuse(j.position(now, wait, earlierJobMeets)) {
-			o.giveUp(now, j, code.JobBacklogTooLong)
+		if !j.mayHaveRun() && o.mayStart(j) && o.shouldRefuse(j.position(now, wait, earlierJobMeets)) {
+			o.endEarly(now, j, code.JobBacklogTooLong)
 			continue
 		}
 		earlierJobMeets = earlierJobMeets || !j.missesObjective()
@@ -198,9 +198,9 @@
 	}
 }
 
-// giveUp answers j before its tasks are done: as refused if no order of this or an earlier
+// endEarly answers j before its tasks are done: as refused if no order of this or an earlier
 // submission has reached a target, and as given up otherwise.
-func (o *Owner) giveUp(now time.Duration, j *job, why code.Code) {
+func (o *Owner) endEarly(now time.Duration, j *job, why code.Code) {
 	kind := Refused
 	if j.mayHaveRun() {
 		kind = GivenUp
--- a/owner/release.go
+++ b/owner/release.go
@@ -64,7 +64,7 @@
 	return a != nil && len(a.tasks) > 0
 }
 
-// Backlogged reports whether the queue of a service is backlogged.
+// Backlogged reports whether the queue of at least one service is backlogged.
 func (o *Owner) Backlogged(now time.Duration) bool {
 	for _, q := range o.queues {
 		if q.backlogged(now) {
--- a/owner/reservation.go
+++ b/owner/reservation.go
@@ -33,7 +33,7 @@
 		return
 	}
 	step, index, ok := j.nextTask()
-	if !ok || !o.claimed(j) && o.chooseAgent(now, j, step, index) != nil {
+	if !ok || !o.mayStart(j) && o.chooseAgent(now, j, step, index) != nil {
 		return // room is available without a reservation
 	}
 	pending := 0
@@ -63,7 +63,7 @@
 }
 
 // requestCandidates returns up to count agents to ask for room for a task, those near its data
-// first, and all eligible agents below peer.LevelWatch in addition. Ejected targets are
+// first, plus all eligible agents below peer.LevelWatch that are watched. Ejected targets are
 // excluded, as they get single probes only.
 func (o *Owner) requestCandidates(now time.Duration, j *job, step, index, count int) []*agent {
 	var legacy []*agent
@@ -187,7 +187,7 @@
 
 // hasPendingClaims reports whether at least one job of the queue is not claimed yet.
 func (o *Owner) hasPendingClaims(q *serviceQueue) bool {
-	return slices.ContainsFunc(q.waiting, func(j *job) bool { return !o.claimed(j) })
+	return slices.ContainsFunc(q.waiting, func(j *job) bool { return !o.mayStart(j) })
 }
 
 // useKeptReservations uses the kept reservations after a job of the queue was claimed.
@@ -216,13 +216,13 @@
 // best fit is returned, the most urgent one of those with an equal fit.
 func (o *Owner) nextJobFor(now time.Duration, q *serviceQueue, a *agent) *job {
 	first := q.peek(now)
-	if first == nil || o.claimed(first) && o.fit(now, first, a) == fitsLocal {
+	if first == nil || o.mayStart(first) && o.fit(now, first, a) == fitsLocal {
 		return first
 	}
 	var best *job
 	for _, j := range q.waiting {
 		rating := o.fit(now, j, a)
-		if rating == noFit || !o.claimed(j) {
+		if rating == noFit || !o.mayStart(j) {
 			continue
 		}
 		if best == nil || rating > o.fit(now, best, a) || rating == o.fit(now, best, a) && j.rank < best.rank {
--- a/owner/retry.go
+++ b/owner/retry.go
@@ -29,7 +29,7 @@
 	failureBackoff   = 3 * time.Second
 	rejectionBackoff = 30 * time.Millisecond
 	// maxTargetFailures is the number of target failures that a task may have beyond the
-	// attempts of its queue.
+	// attempts of its configured queue.
 	maxTargetFailures = 5
 )
 
@@ -45,7 +45,7 @@
 
 // attemptsUsedUp reports whether a task has failed too often to run again. failures counts all
 // failed runs, taskFailures those that were not the target's fault, and attempts is the limit
-// of the queue.
+// of the configured queue.
 func attemptsUsedUp(failures, taskFailures, attempts int) bool {
 	return taskFailures >= attempts || failures >= attempts+maxTargetFailures
 }
@@ -173,6 +173,8 @@
 		j.specAgent = ""
 	}
 	if why == code.RunStaleNumber {
-		t.run *= 2 // the target has seen this run number or a higher one
+		// The target has seen this run number or a higher one. Doubling exceeds the highest
+		// number after few rejections.
+		t.run *= 2
 	}
 }
--- a/owner/retry_after.go
+++ b/owner/retry_after.go
@@ -20,9 +20,10 @@
 // resubmissionSchedule assigns times to the resubmissions of refused and given-up jobs. Times are
 // on the entry's clock.
 type resubmissionSchedule struct {
-	// until is the time up to which resubmissions are assigned, urgentUntil the time up to which
-	// those of the most urgent priority are.
-	urgentUntil, until time.Duration
+	// urgentUntil is the time up to which resubmissions of the most urgent priority are assigned.
+	urgentUntil time.Duration
+	// until is the time up to which resubmissions of any priority are assigned.
+	until time.Duration
 }
 
 // next assigns a time to the resubmission of a job and returns how long its caller should wait.
--- a/owner/rules_test.go
+++ b/owner/rules_test.go
@@ -139,7 +139,7 @@
 		if c.change != nil {
 			c.change(&p)
 		}
-		assert.Equal(t, p.refusalCause(), c.want, c.name)
+		assert.Equal(t, p.endCause(), c.want, c.name)
 	}
 }
 
--- a/owner/spec.go
+++ b/owner/spec.go
@@ -12,7 +12,8 @@
 // between two agents, the order carries the address of an agent that has it.
 const (
 	// relayTime is the time in which an agent fetches a spec from another one: a connection and
-	// a round trip between data halls.
+	// a round trip between data halls. It is also the delay of the link's send queue from which
+	// the link counts as busy (linkBusy).
 	relayTime = 3 * time.Millisecond
 	// orderBytes is the approximate size of an order without its spec, frameBytes that of any
 	// other part of a frame including packet headers.
@@ -43,7 +44,8 @@
 	return max(0, u.freeAt-now) + u.transmitTime(bytes)
 }
 
-// linkBusy reports whether the link's send queue is long enough to omit optional traffic.
+// linkBusy reports whether the link's send queue takes at least relayTime, so that optional
+// traffic should be omitted.
 func (o *Owner) linkBusy(now time.Duration) bool {
 	return o.link.delay(now, 0) >= relayTime
 }
--- a/owner/suspension.go
+++ b/owner/suspension.go
@@ -44,8 +44,8 @@
 	return a.connectedAt < o.resumedAt
 }
 
-// RecoveringFromSuspension reports whether the process resumed within postStopIsolationTime. Connections from
-// before the suspension are then closed even if nothing was read from them since.
+// RecoveringFromSuspension reports whether the process resumed less than resumeIsolationTime ago.
+// Connections from before the suspension are then closed even if nothing was read from them since.
 func (o *Owner) RecoveringFromSuspension(now time.Duration) bool {
 	return o.resumedAt > 0 && now-o.resumedAt < resumeIsolationTime
 }
--- a/owner/tick.go
+++ b/owner/tick.go
@@ -23,7 +23,7 @@
 	o.checkSilentHomes(now)
 	o.checkContested(now)
 	o.checkHalls(now)
-	o.checkLookups(now)
+	o.checkPendingCancels(now)
 	o.releaseKeptReservations(now)
 	for _, j := range o.sortedJobs() {
 		o.checkDeadlines(now, j)
--- a/owner/watch.go
+++ b/owner/watch.go
@@ -24,8 +24,8 @@
 	idleTime = 10 * time.Second
 )
 
-// used reports whether the connection is in use. The agent applies the same rule.
-func (a *agent) used() bool {
+// inUse reports whether the connection is in use. The agent applies the same rule.
+func (a *agent) inUse() bool {
 	return a.level < peer.LevelWatch || a.watching || len(a.tasks) > 0
 }
 
@@ -87,7 +87,7 @@
 	}
 	o.endEvacuatedWatches()
 	for len(o.watched) > keep {
-		a := o.leastUsed(now)
+		a := o.leastRecentlyUsed(now)
 		if a == nil {
 			break
 		}
@@ -112,9 +112,9 @@
 	}
 }
 
-// leastUsed returns the least recently used agent whose watch may end, or nil. Agents with
+// leastRecentlyUsed returns the least recently used agent whose watch may end, or nil. Agents with
 // ejected targets stay watched so that the targets are probed.
-func (o *Owner) leastUsed(now time.Duration) *agent {
+func (o *Owner) leastRecentlyUsed(now time.Duration) *agent {
 	var least *agent
 	for _, a := range o.watched {
 		if a.level < peer.LevelWatch || len(a.tasks) > 0 || now-a.usedAt < watchRetention ||
@@ -175,5 +175,5 @@
 	if a.silentSince > 0 && len(a.tasks) == 0 {
 		return now-a.silentSince >= o.ClaimTimeout
 	}
-	return peer.SilentTooLong(now, a.lastFrameAt, a.used(), a.watchedSince)
+	return peer.SilentTooLong(now, a.lastFrameAt, a.inUse(), a.watchedSince)
 }
