--- a/owner/retry_after.go
+++ b/owner/retry_after.go
@@ -21,9 +21,8 @@
 // on the entry's clock.
 type resubmissionSchedule struct {
 	// urgentUntil is the time up to which resubmissions of the most urgent priority are assigned.
-	urgentUntil time.Duration
 	// until is the time up to which resubmissions of any priority are assigned.
-	until time.Duration
+	urgentUntil, until time.Duration
 }
 
 // next assigns a time to the resubmission of a job and returns how long its caller should wait.
