--- a/owner/retry_after.go
+++ b/owner/retry_after.go
@@ -20,8 +20,8 @@
 // resubmissionSchedule assigns times to the resubmissions of refused and given-up jobs. Times are
 // on the entry's clock.
 type resubmissionSchedule struct {
-	// until is the time up to which resubmissions are assigned, urgentUntil the time up to which
-	// those of the most urgent priority are.
+	// urgentUntil is the time up to which resubmissions of the most urgent priority are assigned.
+	// until is the time up to which resubmissions of any priority are assigned.
 	urgentUntil, until time.Duration
 }
 
