--- a/node/configure.go
+++ b/node/configure.go
@@ -57,8 +57,8 @@
 
 // watchWait returns how long the next watch of the store may stay open. The wait grows with the
 // number of entries. After a failure it is minWatchWait, since a change may be pending. Otherwise
-// it is randomized over up to half of its length: the first watch to end reports a change that
-// others missed, and agents pass the change on.
+// it is randomized over up to half of its length, so that watches end at different times: if they
+// miss a change, the entry whose watch ends first reads it, and agents pass it on to the others.
 func (e *Entry) watchWait(failures int) time.Duration {
 	if failures > 0 {
 		return minWatchWait
--- a/node/entry.go
+++ b/node/entry.go
@@ -43,7 +43,7 @@
 	log       *slog.Logger
 	clock     bootClock
 
-	// Serve serves the callers' interface until ctx is done. It then shuts down gracefully, and
+	// Serve serves the caller API until ctx is done. It then shuts down gracefully, and
 	// cuts off remaining requests when abort is done. It must be set before Run.
 	Serve func(ctx, abort context.Context) error
 	// ForgetAfter is how long an agent may be unreachable before the entry removes it from the
@@ -109,7 +109,7 @@
 	e.owner.ClaimTimeout = d
 }
 
-// SetGoal sets the optimization objective of the owner. It must be called before Run.
+// SetGoal sets the goal of the owner. It must be called before Run.
 func (e *Entry) SetGoal(g owner.Goal) {
 	e.owner.Goal = g
 }
@@ -256,7 +256,7 @@
 }
 
 // stop waits until ctx is done and shuts the entry down in steps: it reports not ready but
-// keeps serving, closes the callers' interface, waits for the remaining jobs, and ends the
+// keeps serving, closes the caller API, waits for the remaining jobs, and ends the
 // process.
 func (e *Entry) stop(ctx context.Context, closeCallers, cancel func()) error {
 	<-ctx.Done()
@@ -289,9 +289,10 @@
 	})
 }
 
-// discoverAgents lists the agents and entries in the directory and registers this entry. It lists
-// first, since an agent adds an entry when the entry connects. Later changes arrive through the
-// watch of the store; the directory is listed again after listInterval or a signal on relist.
+// discoverAgents lists the agents and entries in the directory and registers this entry. It
+// registers after the first lists: agents add an entry when it connects, without the directory.
+// Later changes arrive through the watch of the store; the directory is listed again after
+// listInterval or a signal on relist.
 func (e *Entry) discoverAgents(ctx context.Context) {
 	own := Registration{Name: e.settings.Name, Addr: e.settings.PeerAddr}
 	for registered := false; ; {
--- a/node/link.go
+++ b/node/link.go
@@ -182,8 +182,8 @@
 // send stamps a frame and queues it for an agent. It returns the frame's sequence number, zero
 // if there is no connection. The caller must hold e.mu.
 //
-// The echo is computed for the time of the last tick. Otherwise a process that was suspended after
-// that tick would extend its lease by the time of the suspension, for decisions made before.
+// The echo is computed for the time of the last tick. Otherwise, after a suspension, frames with
+// decisions from before it would carry an echo from after it and extend the lease by its length.
 func (e *Entry) send(name string, f *peer.Frame) uint64 {
 	l := e.links[name]
 	if l == nil || l.conn == nil {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -66,6 +66,7 @@
 	register("beaconpoint_jobs", func() uint64 { return uint64(e.jobs()) })
 	register("beaconpoint_agents", func() uint64 { return uint64(e.connectedAgents.Load()) })
 	register("beaconpoint_agents_known", func() uint64 { return uint64(e.countAgents().known) })
+	// Surplus links are included until they are closed.
 	register("beaconpoint_agents_wanted", func() uint64 { return uint64(e.countAgents().links) })
 	register("beaconpoint_agents_watched", func() uint64 { return uint64(e.watched()) })
 	register("beaconpoint_specs_relayed_total", func() uint64 { return e.Stats().Relayed })
--- a/node/pause.go
+++ b/node/pause.go
@@ -22,7 +22,7 @@
 // the end of a pause.
 type pauseDetector struct {
 	lastAt    time.Duration // time of the last tick
-	resumedAt time.Duration // time of the last tick after a pause
+	resumedAt time.Duration // time of the first tick after the latest pause
 }
 
 // tick records a tick and reports whether silent peers may be disconnected now.
--- a/node/renewal.go
+++ b/node/renewal.go
@@ -22,7 +22,8 @@
 	return nil
 }
 
-// parallelRenewLoop makes renewals in parallel with renewLoop while replies are being lost.
+// parallelRenewLoop makes renewals in parallel with renewLoop while replies are being lost and there
+// are runs.
 func (a *Agent) parallelRenewLoop(ctx context.Context) error {
 	for {
 		select {
@@ -34,7 +35,7 @@
 		case <-a.heartbeatSeenParallel: // discard an earlier signal, which must not cut the next pause short
 		default:
 		}
-		for a.losingReplies() && a.renewParallel(ctx) {
+		for a.needsParallelRenewal() && a.renewParallel(ctx) {
 		}
 	}
 }
@@ -45,8 +46,8 @@
 	return a.renewOnce(ctx, a.heartbeatSeenParallel)
 }
 
-// losingReplies reports whether replies of the target are being lost.
-func (a *Agent) losingReplies() bool {
+// needsParallelRenewal reports whether replies of the target are being lost while there are runs.
+func (a *Agent) needsParallelRenewal() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.supervisor.NeedsSecondRenewal(a.clock.now())
--- a/node/session.go
+++ b/node/session.go
@@ -102,9 +102,9 @@
 	c.conn.Send(f)
 }
 
-// scheduleFlush schedules the next flush of changed states and starts a parallel renewal if replies
-// are being lost. It must be called after calls to the supervisor that may change a state; the next
-// tick does so for connect and stop. The caller must hold a.mu.
+// scheduleFlush schedules the next flush of changed states and starts a parallel renewal if one is
+// needed. It must be called after calls to the supervisor that may change a state; connect and stop
+// do not call it, because the next tick does. The caller must hold a.mu.
 func (a *Agent) scheduleFlush(now time.Duration) {
 	if a.supervisor.NeedsSecondRenewal(now) {
 		notify(a.repliesLost)
--- a/node/spec.go
+++ b/node/spec.go
@@ -10,8 +10,8 @@
 )
 
 // specWaitTimeout is how long an agent that is asked for a spec waits until the spec arrives. An
-// entry names the agent in orders to others as soon as it has sent the spec there. The requesting
-// agent waits twice as long for the answer.
+// entry refers other agents to an agent as soon as it has sent the spec to that agent, so a request
+// can arrive before the spec. The requesting agent waits twice as long for the answer.
 const specWaitTimeout = 120 * time.Millisecond
 
 // specWaiters holds the pending requests of other agents for specs that have not arrived, by job:
@@ -28,8 +28,8 @@
 	return ready
 }
 
-// drop removes all pending requests for a job's spec. Those that still wait look for the spec at
-// their own timeout.
+// drop removes the channels of a job. Requests that still wait on them look for the spec when they
+// time out.
 func (w specWaiters) drop(job string) {
 	delete(w, job)
 }
--- a/node/zip.go
+++ b/node/zip.go
@@ -9,8 +9,8 @@
 	"github.com/beaconpoint/beaconpoint/peer"
 )
 
-// maxDocumentBytes is the maximum size of a decompressed document, which is also the limit of the
-// platform's store. A plain document of this size does not fit into a frame of package peer.
+// maxDocumentBytes is the maximum size of a decompressed document. A plain document of this size
+// does not fit into a frame of package peer.
 const maxDocumentBytes = 4 << 20
 
 // errDocumentTooLarge is returned for compressed documents that expand beyond maxDocumentBytes.
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -42,7 +42,8 @@
 	// Config is the version of the sender's configuration, zero if it has none.
 	Config uint64
 
-	// Hello is set in the first frame of each direction of a connection.
+	// Hello is set in the first frame of each direction of a connection, except on connections
+	// for a spec request.
 	Hello *Hello
 	// Document is the configuration document, sent to a peer that requested it.
 	Document []byte
@@ -63,8 +64,8 @@
 	// RoomRequest is sent by entries: the capacity that the entry still needs.
 	RoomRequest *RoomRequest
 	// Watch is sent by entries on connections of LevelWatch or newer. It begins or ends the
-	// entry's watch of the target. There, only watching entries are sent each change of the
-	// target's free capacity.
+	// entry's watch of the target. On these connections, only entries that watch the target
+	// receive each change of its free capacity.
 	Watch Watch
 	// Claims and Settled are sent by entries on connections of LevelClaim or newer: claims and
 	// results of jobs of which the receiver is a home. Entries claim a job at its homes before
@@ -107,8 +108,8 @@
 	Name string // unique in the system
 	// Addr is the address on which the process accepts connections from peers.
 	Addr string
-	// Introduce marks an introduction: the receiver opens a connection to the sender's address,
-	// and this connection is closed.
+	// Introduce marks an introduction: the receiver adds the sender and may connect to its
+	// address; this connection is closed.
 	Introduce bool
 	// Level is the newest protocol level that the sender supports, LevelBase if the sender sends
 	// none.
@@ -200,7 +201,7 @@
 	Profile *Profile
 	// Free is the capacity that the receiver may use.
 	Free task.Resources
-	// Speed is the target's estimated relative speed; 1 is normal.
+	// Speed is the target's estimated relative speed; 1 is the nominal speed.
 	Speed float64
 	// Health reports whether the target is ejected.
 	Health Health
