--- a/settings/node.go
+++ b/settings/node.go
@@ -45,7 +45,7 @@
 	Descriptors int `yaml:"descriptors" validate:"min=0"`
 	// Contracts are the platform contracts in force.
 	Contracts []string `yaml:"contracts" validate:"max=100"`
-	// Goal is the optimisation objective of an entry, "worth" or "served". If empty, the
+	// Goal is the goal of an entry, what its owner optimises: "worth" or "served". If empty, the
 	// contracts determine it.
 	Goal string `yaml:"term" validate:"omitempty,oneof=worth served"`
 	// MetricsAddr is the address on which metrics are served. If empty, they are not served.
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -71,8 +71,8 @@
 const minSuggestionPrefix = 3
 
 // suggestion returns a message suffix that suggests a known key with the same prefix, or
-// an empty string. The suggested key may equal the unknown one if only one of the given
-// types has it.
+// an empty string. If the key is valid in another of the given types, the suggestion may be
+// the key itself.
 func suggestion(key string, known []reflect.Type) string {
 	for _, t := range known {
 		for k := range t.NumField() {
