--- a/estimate/estimator.go
+++ b/estimate/estimator.go
@@ -1,6 +1,6 @@
 // Package estimate predicts the run times of a queue's tasks, and the usual error of the
 // predictions, from the callers' estimates and the measured times. Durations refer to a target
-// of speed 1. The package holds a few moving averages per queue and has no dependencies.
+// of nominal speed (1). The package holds a few moving averages per queue and has no dependencies.
 //
 // The model is log-normal: the logarithm of a task's time is the level of its step plus a
 // deviation of the task. Levels are normally distributed around the prediction from the
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -198,6 +198,7 @@
 		f := answer.fields
 		text := fmt.Sprintf("%s was answered after %.0f ms (objective %.0f ms): %s",
 			id, f.number("age_ms"), f.number("objective_ms"), f.text("why"))
+		// Kind 1 is owner.Completed.
 		inTime := f.text("kind") == "1" && f.number("age_ms") <= f.number("objective_ms")
 		if causes := describeCauses(own, others); causes != "" && !inTime {
 			text += "; " + causes
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -8,7 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestJobCollectsLinesOfAllProcesses(t *testing.T) {
+// TestJobMergesLogsOfAllProcesses guards against missing or unsorted lines and a wrong summary, for
+// the ID of a job and of its request.
+func TestJobMergesLogsOfAllProcesses(t *testing.T) {
 	entry, err := os.ReadFile("testdata/entry.log")
 	assert.NilError(t, err)
 	agent, err := os.ReadFile("testdata/agent.log")
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -129,7 +129,7 @@
 	return max(len(s.agents), s.fleetSize) > FullMesh
 }
 
-// SetLost records whether an agent is lost or unreachable, or connected.
+// SetLost records whether the connection to an agent is lost or could not be established.
 func (s *Set) SetLost(name string, lost bool) {
 	if a := s.agents[name]; a != nil && a.lost != lost {
 		a.lost = lost
@@ -168,7 +168,7 @@
 	if !s.Partial() || s.grownAt > 0 && now-s.grownAt < growInterval {
 		return
 	}
-	if len(s.lastAdded) > 0 && !slices.ContainsFunc(s.lastAdded, runsTasks) || s.preferredCount() >= len(s.agents) {
+	if len(s.lastAdded) > 0 && !slices.ContainsFunc(s.lastAdded, runsTasks) || s.preferredQuota() >= len(s.agents) {
 		return
 	}
 	s.grownAt = now
@@ -182,8 +182,8 @@
 	s.allWantedUntil = now + wantAllDuration
 }
 
-// preferredCount returns the number of preferred agents that the entry wants and that are not lost.
-func (s *Set) preferredCount() int {
+// preferredQuota returns how many preferred agents that are not lost the entry should select.
+func (s *Set) preferredQuota() int {
 	covering := 0
 	if s.entries > 0 {
 		covering = (coverage*len(s.agents) + s.entries - 1) / s.entries
@@ -199,7 +199,7 @@
 }
 
 // Update recomputes the wanted agents, the preferred ones and the homes if anything has changed. It
-// reports whether it did.
+// reports whether it recomputed them.
 func (s *Set) Update(now time.Duration) bool {
 	if s.extra > 0 && now-s.shortAt >= growRetention {
 		s.extra, s.lastAdded, s.changed = 0, nil, true
@@ -217,7 +217,7 @@
 	}
 	if s.large() {
 		selectLive(s.byHome, homeAgents, func(a *agent) { a.wanted, a.home = true, true })
-		selectLive(s.byPreference, s.preferredCount(), func(a *agent) { a.wanted, a.preferred = true, true })
+		selectLive(s.byPreference, s.preferredQuota(), func(a *agent) { a.wanted, a.preferred = true, true })
 	}
 	if s.grownAt == now && now > 0 {
 		s.lastAdded = nil
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -49,7 +49,7 @@
 // TestSetSizeIndependentOfFleetSize guards against connection counts that grow with the
 // fleet, at entries and at agents that are not homes.
 func TestSetSizeIndependentOfFleetSize(t *testing.T) {
-	// The last fleet has so few entries that coverage exceeds minOwn.
+	// The last fleet has so few entries that coverage requires more than minPreferred agents.
 	for _, c := range []struct{ entries, agents int }{{184, 800}, {368, 1600}, {20, 1200}} {
 		covered := make(map[string]int)
 		for k := range c.entries {
--- a/task/job.go
+++ b/task/job.go
@@ -53,8 +53,8 @@
 	Count int
 	// Needs is the resources of each task.
 	Needs Resources
-	// Guess is the caller's estimate of the time of one task on a target of nominal speed;
-	// Estimate is the entry's estimate derived from it.
+	// Estimate is the entry's estimate of the time of one task on a target of nominal speed,
+	// derived from Guess, the caller's estimate.
 	Estimate time.Duration
 	Guess    time.Duration
 	// Longest is the estimate for the longest of the tasks on a target of nominal speed;
@@ -80,7 +80,7 @@
 	return s.Estimate
 }
 
-// Job is one submission, completed by the configuration of its queue.
+// Job is one submission, supplemented with the configuration of its queue.
 type Job struct {
 	// ID is chosen by the caller.
 	ID string
--- a/task/job_test.go
+++ b/task/job_test.go
@@ -7,7 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestChainIsCriticalPath(t *testing.T) {
+// TestObjectivesDerivedFromCriticalPath guards against objectives that do not follow the longest
+// chain of dependent steps.
+func TestObjectivesDerivedFromCriticalPath(t *testing.T) {
 	j := Job{
 		ObjectiveFactor: 1.5,
 		ObjectiveSlack:  60 * time.Millisecond,
