--- a/claim/claim.go
+++ b/claim/claim.go
@@ -19,12 +19,14 @@
 	"github.com/beaconpoint/beaconpoint/code"
 )
 
-// Claim is an entry's claim of a job, or a caller's request to cancel it. Like those of
-// Settlement, its fields have short names on the wire: every job sends several of both.
+// Claim is an entry's claim of a job, or a caller's request to cancel it. The fields of Claim
+// and Settlement have short names on the wire, since several of these messages are sent for
+// each job.
 type Claim struct {
 	Job string `msgpack:"j"`
-	// MaxDuration is the longest time for which the entry holds the job. After that time no run of
-	// the entry is left, even if the entry has been lost meanwhile. Zero means unknown.
+	// MaxDuration is the longest time for which the entry holds the job. At its end the entry's
+	// runs are stopped, even if the entry has been lost meanwhile; the claim expires
+	// expiryMargin later. Zero means unknown.
 	MaxDuration time.Duration `msgpack:"l"`
 	// Begun is set if tasks of the job have been started. An entry that has started none
 	// yields the job to one that has.
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -22,9 +22,8 @@
 	// retryMargin is how much earlier than requested a caller may retry: the delay of the
 	// caller begins before the refusal reaches the home.
 	retryMargin = 50 * time.Millisecond
-	// expiryMargin is the time from the end of a claim's duration to its expiry: it covers
-	// the stop of runs (50 ms) and delayed timers, as in the target's lease (package
-	// supervisor).
+	// expiryMargin is the time from the end of a claim's duration to its expiry. It covers the
+	// time that runs take to stop, and delayed timers.
 	expiryMargin = 200 * time.Millisecond
 )
 
@@ -47,8 +46,8 @@
 	// clearAt is when the runs of a lost holder are certain to be over; zero while it is
 	// connected.
 	clearAt time.Duration
-	// interestSentAt is when the first Interest was sent to the holder that no frame of the
-	// holder has followed yet; zero if there is none.
+	// interestSentAt is the send time of the first Interest since the holder's last frame;
+	// zero if there is none.
 	interestSentAt time.Duration
 	// released is set when the holder has given up the job without an answer; its runs may
 	// continue until it reports that they have ended. mayHaveRun is set if a run of the job
@@ -82,7 +81,8 @@
 	// ClearTime is the longest time for which the runs of an entry may continue after the
 	// end of its connection.
 	ClearTime time.Duration
-	// Log receives one line for each job that another entry waits for or takes over.
+	// Log receives a line whenever an entry begins to wait for a job or takes one over, or the
+	// holder of a job is found silent.
 	Log *slog.Logger
 
 	records map[string]*record
@@ -95,10 +95,11 @@
 
 // Stats holds the counters of a home.
 type Stats struct {
-	// Claims counts the claims for which a record is added; Joined those of a job that another
-	// entry holds or that is answered; TakenOver the grants after another entry gave up the job
-	// or was lost; Forgotten the evictions for lack of space, including those of records whose
-	// job has a new record or none.
+	// Claims counts the claims for which a record is added. Joined counts the claims of a job
+	// that another entry holds or that is answered. TakenOver counts the grants of a job whose
+	// holder has given it up or was lost, or whose claim has expired. Forgotten counts the
+	// retained records evicted for lack of space, including stale ones that had already been
+	// replaced or deleted.
 	Claims, Joined, TakenOver, Forgotten uint64
 	// Records is the current number of records.
 	Records int
@@ -198,7 +199,8 @@
 	g.Reply(w.conn, Reply{Job: r.job, State: Granted, Ran: r.mayHaveRun, Losses: r.losses})
 }
 
-// takeOver transfers the job to another entry after its holder was lost or gave it up.
+// takeOver transfers the job to another entry after its claim has expired, or its holder was
+// lost or gave it up.
 func (g *Registry) takeOver(now time.Duration, r *record, w waiter) {
 	g.stats.TakenOver++
 	r.mayHaveRun = r.mayHaveRun || !r.released
@@ -262,8 +264,9 @@
 
 // Settle handles an entry's report on a job that it holds or waits for. An outcome that is
 // retained is recorded as the answer even if the job was taken over or evicted meanwhile; the
-// current holder receives it too. Otherwise, if the sender holds the job, the job is released,
-// and passes on once the sender has no more runs of it; if not, the sender stops waiting.
+// current holder receives it too. With any other outcome, a sender that holds the job releases
+// it: the next waiting entry is granted the job once the sender reports that its runs have
+// ended. A sender that only waits for the job is removed from the waiting entries.
 func (g *Registry) Settle(now time.Duration, from Holder, s Settlement) {
 	r := g.records[s.Job]
 	if s.Outcome.retained() {
@@ -280,7 +283,7 @@
 	case r == nil || r.answer.State == Answered:
 		return
 	case r.holder != from:
-		g.stopWaiting(r, from)
+		g.withdrawWaiter(r, from)
 		return
 	case s.Outcome == GivenUp:
 		g.replyWaiting(r, s.reply())
@@ -301,8 +304,8 @@
 	r.waiting = nil
 }
 
-// stopWaiting removes an entry that no longer waits, if it did.
-func (g *Registry) stopWaiting(r *record, from Holder) {
+// withdrawWaiter removes an entry from those that wait. If none is left, it informs the holder.
+func (g *Registry) withdrawWaiter(r *record, from Holder) {
 	if g.removeWaiter(r, from) {
 		g.sendNoInterest(r)
 	}
@@ -383,8 +386,8 @@
 	}
 }
 
-// checkHolder treats a holder as lost if it has been silent since an Interest was sent to
-// it.
+// checkHolder treats a holder as lost if no frame of it has arrived within interestTimeout
+// after an Interest was sent to it.
 func (g *Registry) checkHolder(r *record, now time.Duration) {
 	switch {
 	case r.interestSentAt == 0:
--- a/claim/registry_test.go
+++ b/claim/registry_test.go
@@ -146,9 +146,9 @@
 	assert.DeepEqual(t, g.claim(b, 2, "j"), Reply{Job: "j", State: Granted})
 }
 
-// TestGivenUpJobMayBeResubmitted guards against waiting entries that do not receive the result,
-// and against a later grant without the mark that the job may have run.
-func TestGivenUpJobMayBeResubmitted(t *testing.T) {
+// TestGivenUpJobGrantedAgainWithRan guards against waiting entries that do not receive the
+// result, and against a later grant without Ran, which means that the job may have run.
+func TestGivenUpJobGrantedAgainWithRan(t *testing.T) {
 	g := newHarness()
 	g.claim(a, 1, "j")
 	g.claim(b, 2, "j")
@@ -210,7 +210,7 @@
 		entries := []Holder{a, b, c}
 		conns := []ConnID{1, 2, 3}
 		next := ConnID(4)
-		heldUntil := make(map[int]time.Duration) // by entry, until when its runs may be active
+		heldUntil := make(map[int]time.Duration) // by entry or lost process: until when its runs may be active
 		const unbounded = time.Hour
 		granted := make(map[ConnID]int)
 		checkGrants := func() {
@@ -241,7 +241,9 @@
 				g.Settle(g.now, entries[k], Settlement{Job: "j", Clear: true, Ran: true})
 			case 3: // the entry is lost and restarts
 				g.Disconnected(g.now, conns[k])
-				if heldUntil[k] == unbounded { // a key apart from those of entries; reused only with a later time
+				if heldUntil[k] == unbounded {
+					// The runs of the lost process have a key above those of the entries. A later loss
+					// may reuse the key, with a later time.
 					heldUntil[len(heldUntil)+10] = g.now + clearTime
 				}
 				delete(heldUntil, k)
