--- a/supervisor/baseline.go
+++ b/supervisor/baseline.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// baseline is the normal ratio of run time to estimate on a target, as mean and variance of
-// its logarithm. Runs enter the baseline late and with a small weight, so that a target that
+// baseline is the normal ratio of run time to learned estimate on a target, as mean and variance
+// of its logarithm. Runs enter the baseline late and with a small weight, so that a target that
 // becomes slow deviates from it.
 type baseline struct {
 	runs           float64 // number of runs learned from, at most baselineRuns
--- a/supervisor/crash.go
+++ b/supervisor/crash.go
@@ -6,8 +6,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// A task may crash every target that starts it, so that entries limit the runs of a task
-// that end with the loss of their target. An incarnation has crashed if it ended without
+// A task may crash every target that starts it. Entries therefore limit the runs of a task that
+// end with the loss of their target. An incarnation has crashed if it ended without
 // having announced a shutdown. A target that crashes and does not restart at once is first
 // treated as silent, and its runs as lapsed. If a later answer or heartbeat shows that their
 // incarnation is over, the entries are sent a late report that these runs ended by a crash.
--- a/supervisor/evacuation.go
+++ b/supervisor/evacuation.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// logIfEmpty logs that no run is left on an evacuated target, if that is the case.
+// logIfEmpty logs if the target is evacuated and has no runs left.
 func (s *Supervisor) logIfEmpty(now time.Duration) {
 	if s.evacuatedSince > 0 && len(s.runs) == 0 {
 		s.logEmpty(now)
--- a/supervisor/health.go
+++ b/supervisor/health.go
@@ -62,7 +62,7 @@
 // health is the ejection state and the learned speed of a target, judged by ended and
 // overdue runs (outlier detection). A target is ejected when the runs of several jobs fail,
 // are slow or are overdue on it. Slowness is judged relative to the target's normal deviation
-// from the estimates (baseline), so that inaccurate estimates require more evidence. An
+// from the learned estimates (baseline), so that inaccurate estimates require more evidence. An
 // ejected target receives single probe runs; each success doubles the number of concurrent
 // probes, and after probesToRecover successes the target has recovered.
 type health struct {
@@ -81,13 +81,14 @@
 	baseline    baseline
 }
 
-// endRecord is the end of one run.
+// endRecord is the end of one run, or the rejection of one start by a target that is
+// temporarily unable to start runs.
 type endRecord struct {
 	job    string
 	failed bool
-	// minRatio is the log ratio of the shortest possible run time to the estimate.
+	// minRatio is the log ratio of the shortest possible run time to the learned estimate.
 	minRatio float64
-	// maxRatio is the log ratio of the time until the end was listed to the estimate;
+	// maxRatio is the log ratio of the time until the end was listed to the learned estimate;
 	// precise is set if that time is close enough to the run time.
 	maxRatio float64
 	precise  bool
@@ -134,8 +135,8 @@
 	return h.ejected
 }
 
-// recordRejection records a start that the target rejected as unhealthy. It reports whether
-// the target was ejected as a result.
+// recordRejection records a start that the target rejected because it was temporarily unable to
+// start runs. It reports whether the target was ejected as a result.
 func (h *health) recordRejection(now time.Duration, job string) bool {
 	h.add(endRecord{job: job, failed: true})
 	return h.evaluate()
@@ -169,15 +170,15 @@
 	return h.evaluate()
 }
 
-// learnSpeed updates the learned speed with the time of a run, relative to the caller's
-// estimate. Relative to the learned estimates (package estimate), which assume the learned
-// speed, both would drift.
+// learnSpeed updates the learned speed with the time of a run, relative to guess, the caller's
+// estimate. The learned estimate (package estimate) is unsuitable: it depends on the learned
+// speed, so that each would follow the other.
 func (h *health) learnSpeed(guess, took time.Duration) {
 	h.logSlowdown += speedWeight * (logRatio(took, guess) - h.logSlowdown)
 }
 
-// add appends an end. Ends that leave the window update the baseline, since they have not
-// led to an ejection.
+// add appends an end. While the target is not ejected, precise ends that leave the window
+// update the baseline.
 func (h *health) add(e endRecord) {
 	h.ends = append(h.ends, e)
 	if len(h.ends) <= maxEndRecords {
@@ -251,7 +252,8 @@
 	return false
 }
 
-// logRatio returns the logarithm of run time over estimate.
+// logRatio returns the logarithm of run time over estimate, which is the learned estimate or
+// the caller's.
 func logRatio(took, estimate time.Duration) float64 {
 	return math.Log(float64(took) / float64(max(estimate, minRunTime)))
 }
--- a/supervisor/health_test.go
+++ b/supervisor/health_test.go
@@ -123,9 +123,9 @@
 	assert.Equal(t, jobsUntilEjected(6, 0.9), 7)
 }
 
-// TestTargetIsJudgedByItsBaseline guards against ejecting a target on which all runs take
+// TestUniformlySlowTargetNotEjected guards against ejecting a target on which all runs take
 // twice their estimate, and against not ejecting it when they take much longer than that.
-func TestTargetIsJudgedByItsBaseline(t *testing.T) {
+func TestUniformlySlowTargetNotEjected(t *testing.T) {
 	h := newHealth()
 	for k := range 300 {
 		assert.Assert(t, !recordRun(&h, fmt.Sprint(k), task.EndDone, 2+0.2*float64(k%2), false))
@@ -174,7 +174,7 @@
 	assert.Assert(t, !h.admits(time.Minute+probeInterval, 1))
 }
 
-func TestSpeedIsLearned(t *testing.T) {
+func TestSpeedFollowsRunTimes(t *testing.T) {
 	h := newHealth()
 	for k := range 200 {
 		recordRun(&h, fmt.Sprint(k), task.EndDone, 1.25, false)
@@ -187,7 +187,7 @@
 func TestEjectedTargetGoesOnTrial(t *testing.T) {
 	b := newHarness(t)
 	b.health.eject(code.TargetSlow)
-	b.announceHealth(b.now)
+	b.healthChanged(b.now)
 	sentHealth := func() peer.Health { return b.stateToSend(b.now, b.sessions[1]).Health }
 	assert.Equal(t, sentHealth(), peer.Ejected)
 	b.now += trialDelay - ms
--- a/supervisor/incarnation.go
+++ b/supervisor/incarnation.go
@@ -13,7 +13,7 @@
 const maxEndedIncarnations = 8
 
 // maxHeartbeatAge is the age at which the last heartbeat is too old for new work on the target.
-// Targets send a heartbeat every 1.5 s, and two may be lost.
+// Targets send several heartbeats in this time.
 const maxHeartbeatAge = 4 * time.Second
 
 // target is the current incarnation of the target.
@@ -82,8 +82,9 @@
 	case r.Service != t.report.Service:
 		return // a target does not change its service: sent by another process
 	case r.Seq < t.report.Seq && now-t.reportAt < maxHeartbeatAge:
-		// Out of order. An older report is replaced whatever its number, which may come from
-		// another process and be higher than the target ever reaches.
+		// Out of order. Once the latest report has reached maxHeartbeatAge, any report replaces
+		// it: its sequence number may come from another process and be higher than the target
+		// ever reaches.
 		return
 	}
 	if !t.report.Draining && r.Draining {
@@ -169,10 +170,10 @@
 	s.markChanged()
 }
 
-// wrongIncarnation ends the current incarnation because another one answered a call
-// addressed to it, and begins the candidate, if any.
-func (s *Supervisor) wrongIncarnation(now time.Duration, call string) {
-	s.logIncarnationOver(call)
+// wrongIncarnation ends the current incarnation because another one answered a call addressed
+// to it, and begins the candidate, if any. seenBy is the kind of that call.
+func (s *Supervisor) wrongIncarnation(now time.Duration, seenBy string) {
+	s.logIncarnationOver(seenBy)
 	t := &s.target
 	t.recordEnded()
 	s.endIncarnation(now)
@@ -195,10 +196,10 @@
 	}
 }
 
-// awaitCleared marks the target as cleared once a list requested under this agent's own
+// checkCleared marks the target as cleared once a list requested under this agent's own
 // fencing token is empty: from then on the target rejects calls of earlier agents, and none
 // of their runs is left. Without a token it first chooses one.
-func (s *Supervisor) awaitCleared(now time.Duration, c RenewCall, l *RunLists) {
+func (s *Supervisor) checkCleared(now time.Duration, c RenewCall, l *RunLists) {
 	if s.target.token == 0 && s.Rules.FencingTokens {
 		s.renewToken(now)
 		return
--- a/supervisor/incarnation_test.go
+++ b/supervisor/incarnation_test.go
@@ -65,9 +65,9 @@
 	assert.Equal(t, len(b.runs), 1)
 }
 
-// TestEndedIncarnationOfFirstHeartbeatReplaced guards against keeping an ended incarnation
+// TestEndedIncarnationNotKeptAsCurrent guards against keeping an ended incarnation
 // as the current one because its delayed heartbeat is the first that the agent receives.
-func TestEndedIncarnationOfFirstHeartbeatReplaced(t *testing.T) {
+func TestEndedIncarnationNotKeptAsCurrent(t *testing.T) {
 	b := newHarness(t)
 	b.endIncarnation(b.now)
 	b.Heartbeat(b.now, b.report("i-0", 77))
--- a/supervisor/lease.go
+++ b/supervisor/lease.go
@@ -21,10 +21,10 @@
 	// earlier agent.
 	clearingWait = 20 * time.Millisecond
 	// silenceLimit is the time without an answer after which a target counts as silent: it
-	// receives no more work, and its lease is not renewed. One renewal and its timeout.
+	// receives no more work, and its lease is not renewed. It covers one renewal and its timeout.
 	silenceLimit = idleWait + 120*time.Millisecond
-	// leaseMargin is the time that a run may take to stop after the end of the lease: the
-	// stop itself (50 ms) and delayed timers.
+	// leaseMargin is the time that a run may take to stop after the end of the lease, including
+	// delayed timers.
 	leaseMargin = 70 * time.Millisecond
 	// lossyDuration is how long the target is assumed to be losing replies after an
 	// unanswered call.
@@ -46,8 +46,8 @@
 	// lastReplyAt is when the target last answered a call.
 	lastReplyAt time.Duration
 	// listedAt is when the last applied lists were requested; later ends are unknown.
-	// previousListedAt is the same for the lists before them: a run that the last lists are
-	// the first to show as ended was active at that time.
+	// previousListedAt is the same for the lists before them: a run that was first listed as
+	// ended in the last lists was still active at previousListedAt.
 	listedAt, previousListedAt time.Duration
 	// failedRenewals is the number of consecutive renewals that were not accepted.
 	failedRenewals int
@@ -87,8 +87,8 @@
 	return l.clock.atLeast(now) >= l.maxDeadline+leaseMargin
 }
 
-// recordReply records the time and the clock reading of a reply.
-func (l *lease) recordReply(now time.Duration, reply Reply) {
+// noteReply records the time and the clock reading of a reply.
+func (l *lease) noteReply(now time.Duration, reply Reply) {
 	if reply.Outcome != NoAnswer {
 		l.lastReplyAt = now
 	}
@@ -97,9 +97,9 @@
 	}
 }
 
-// recordTimeout marks the target as losing replies, unless it is silent altogether. It
-// reports whether the mark is new.
-func (l *lease) recordTimeout(now time.Duration) bool {
+// markLossy marks the target as losing replies, unless it is silent altogether. It reports
+// whether the mark is new.
+func (l *lease) markLossy(now time.Duration) bool {
 	if l.silent(now) {
 		return false
 	}
@@ -122,17 +122,17 @@
 	return backoff.Interval(renewalRetry, renewalRetryMax, l.failedRenewals-1)
 }
 
-// recordReply records a reply to a call addressed to an incarnation, if that one is
-// current.
+// recordReply records a reply to a call addressed to incarnation i, if i is current.
 func (s *Supervisor) recordReply(now time.Duration, i Incarnation, reply Reply) {
 	if i.is(s.target.incarnation()) {
-		s.lease.recordReply(now, reply)
+		s.lease.noteReply(now, reply)
 	}
 }
 
-// recordTimeout records that the target left a call unanswered.
+// recordTimeout handles a call that the target left unanswered: it marks the target as losing
+// replies and logs a new mark.
 func (s *Supervisor) recordTimeout(now time.Duration) {
-	if s.lease.recordTimeout(now) {
+	if s.lease.markLossy(now) {
 		s.logLosingReplies()
 	}
 }
--- a/supervisor/log.go
+++ b/supervisor/log.go
@@ -35,8 +35,8 @@
 		slog.Int("runs", len(s.runs)))
 }
 
-// logIncarnationOver logs that the current incarnation is over, and which kind of call or
-// heartbeat showed it.
+// logIncarnationOver logs that the current incarnation is over, and what showed it: the kind of
+// call, or a heartbeat.
 func (s *Supervisor) logIncarnationOver(seenBy string) {
 	s.log(event.TargetIncarnationOver,
 		slog.String("target", s.target.id()),
--- a/supervisor/renewal.go
+++ b/supervisor/renewal.go
@@ -40,7 +40,7 @@
 	if !c.Incarnation.is(s.target.incarnation()) {
 		return
 	}
-	s.lease.recordReply(now, reply)
+	s.lease.noteReply(now, reply)
 	s.lease.failedRenewals++
 	switch reply.Outcome {
 	case NoAnswer:
@@ -94,7 +94,7 @@
 		s.dropAbsent(now, c, present)
 	}
 	if !s.target.cleared {
-		s.awaitCleared(now, c, l)
+		s.checkCleared(now, c, l)
 	}
 }
 
--- a/supervisor/reservation.go
+++ b/supervisor/reservation.go
@@ -7,8 +7,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// reservationTTL is how long resources stay reserved for an entry: a round trip and one
-// lost packet.
+// reservationTTL is how long resources stay reserved for an entry. It covers a round trip with a
+// retransmission.
 const reservationTTL = 40 * time.Millisecond
 
 // room accounts for the target's resources. Invariant: when a session's order is added, use
--- a/supervisor/run.go
+++ b/supervisor/run.go
@@ -53,8 +53,8 @@
 	deadline time.Duration
 	tries    int           // starts sent
 	sentAt   time.Duration // send time of the last start or stop
-	// cannotStart is set once the run can no longer start if it has not: a renewal sent
-	// after cannotStartSince shows whether it exists.
+	// cannotStart is set once no call can start the run any more. From then on, the absence of
+	// the run from lists requested at or after cannotStartSince proves that it does not exist.
 	cannotStart      bool
 	cannotStartSince time.Duration
 
@@ -67,7 +67,7 @@
 	reason    code.Code     // reason for the stop
 }
 
-// markCannotStart records that r can no longer start if it has not started.
+// markCannotStart records that no call can start r any more.
 func (r *run) markCannotStart(now time.Duration) {
 	if !r.cannotStart {
 		r.cannotStart = true
@@ -177,9 +177,9 @@
 	s.markChanged()
 }
 
-// recordHealth updates the target's health with the end of a run. It reports whether the
-// end does not count as a failure of the task: any end but EndFailed, and EndFailed if the
-// target is then ejected.
+// recordHealth updates the target's health with the end of a run. It returns TargetFault of the
+// end (peer.RunEnd): false for EndFailed unless the target is ejected afterwards, true for all
+// other ends.
 func (s *Supervisor) recordHealth(now time.Duration, r *run, end task.End) bool {
 	targetFault := end != task.EndFailed
 	if r.started && end == task.EndDone && !s.health.ejected {
@@ -187,7 +187,7 @@
 	}
 	if r.started && (end == task.EndDone || end == task.EndFailed) {
 		if s.health.recordEnd(r, end, max(0, s.lease.previousListedAt-r.startedAt), now-r.startedAt) {
-			s.announceHealth(now)
+			s.healthChanged(now)
 		}
 		targetFault = targetFault || s.health.ejected
 	}
--- a/supervisor/spec.go
+++ b/supervisor/spec.go
@@ -8,8 +8,8 @@
 	"github.com/beaconpoint/beaconpoint/task"
 )
 
-// specTimeout bounds the fetch of a spec from another agent. The order keeps its resources
-// meanwhile and is rejected afterwards.
+// specTimeout bounds the fetch of a spec from another agent. Meanwhile the order keeps its
+// resources; if the fetch times out, the order is rejected.
 const specTimeout = 150 * time.Millisecond
 
 // specState is the availability of the spec of an order.
@@ -21,9 +21,9 @@
 	specUnknown
 )
 
-// completeSpec fills in the job's spec if the order omits it, and stores it otherwise; orders
-// of entries below LevelWatch always contain it and are not stored. It returns whether the
-// order now has its spec.
+// completeSpec fills in the job's spec if the order omits it. Otherwise it stores the spec of
+// the order, except from entries below LevelWatch, whose orders always contain the spec. It
+// returns the availability of the spec.
 func (s *Supervisor) completeSpec(c *session, order *task.Order) specState {
 	switch {
 	case c.level < peer.LevelWatch:
@@ -64,8 +64,8 @@
 	s.FetchSpec(r.order.Task.Job, r.order.SpecAt)
 }
 
-// SpecFetched handles the result of FetchSpec: it starts the runs that wait for the spec,
-// or rejects them if the spec was not obtained.
+// SpecFetched handles the result of FetchSpec: it starts the runs that wait for the spec. It
+// rejects those whose entry's lease has expired, and all of them if the spec was not obtained.
 func (s *Supervisor) SpecFetched(now time.Duration, job, spec string, known bool) {
 	defer s.flush(now)
 	for _, r := range s.sortedRuns() {
--- a/supervisor/starting.go
+++ b/supervisor/starting.go
@@ -52,7 +52,7 @@
 	outcome := reply.Outcome
 	s.logStartRejected(r, reply)
 	if outcome == RejectedUnhealthy && s.health.recordRejection(now, r.order.Task.Job) {
-		s.announceHealth(now)
+		s.healthChanged(now)
 	}
 	if outcome == RejectedToken {
 		s.renewToken(now)
--- a/supervisor/state.go
+++ b/supervisor/state.go
@@ -15,13 +15,14 @@
 	stateIntervalPerWatcher = 10 * time.Millisecond
 )
 
-// Flush sends the states that are due. It should be called at the time returned by Pending.
+// Flush sends the states that are due. It should be called after the delay that Pending
+// returns.
 func (s *Supervisor) Flush(now time.Duration) {
 	s.flush(now)
 }
 
-// Pending reports whether a state is waiting to be sent, and after what time Flush should
-// be called.
+// Pending returns the delay after which Flush should be called; false if no state is waiting
+// to be sent.
 func (s *Supervisor) Pending(now time.Duration) (time.Duration, bool) {
 	var due time.Duration
 	found := false
@@ -137,8 +138,9 @@
 	}
 }
 
-// announceHealth logs a change of the target's health and schedules states for the entries.
-func (s *Supervisor) announceHealth(now time.Duration) {
+// healthChanged handles an ejection or recovery of the target: it logs the change and schedules
+// states for the entries. On an ejection it also restarts the delay until the trial.
+func (s *Supervisor) healthChanged(now time.Duration) {
 	if s.health.ejected {
 		s.health.resetTrial(now)
 	}
--- a/supervisor/supervisor.go
+++ b/supervisor/supervisor.go
@@ -17,8 +17,8 @@
 //     when the agent shuts down;
 //   - keeps one renewal in progress: NextRenewal, the call, RenewalAnswered, a pause
 //     of RenewalBackoff; and a second renewal in parallel while NeedsSecondRenewal is true;
-//   - calls Tick every TickInterval, and once StartRetry after each start;
-//   - calls Flush at the time that Pending returns, and SendHeartbeats regularly.
+//   - calls Tick every TickInterval, and additionally at StartRetry after each start;
+//   - calls Flush after the delay that Pending returns, and SendHeartbeats regularly.
 //
 // The files, by responsibility:
 //
@@ -34,7 +34,7 @@
 //	spec.go         specs that an order omits
 //	reservation.go  resource accounting: resources in use, and reservations of sessions
 //	health.go       ejection and recovery of the target
-//	baseline.go     the target's normal ratio of run time to estimate
+//	baseline.go     the target's normal ratio of run time to learned estimate
 //	crash.go        runs that were active when the target crashed
 //	warmup.go       slowdown of a target that is warming up
 //	renewal.go      lists of runs that the target returns with each renewal
@@ -70,7 +70,7 @@
 	OwnerLease time.Duration
 	// TargetLease is how long the target keeps its runs without a renewal.
 	TargetLease time.Duration
-	// AwaitCleared makes a new agent wait until no run of an earlier agent is left.
+	// AwaitCleared makes a new agent reject all starts until no run of an earlier agent is left.
 	AwaitCleared bool
 	// FencingTokens gives each agent a higher token than any agent before it.
 	FencingTokens bool
@@ -210,7 +210,7 @@
 	s.checkCandidate(now)
 	s.dropExpiredReservations(now)
 	if s.health.checkOverdue(s.lease.listedAt, s.activeRuns()) {
-		s.announceHealth(now)
+		s.healthChanged(now)
 	}
 	if s.health.checkTrial(now) {
 		s.markChanged()
